--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,8 @@
 # The linter and the formatters it runs are pinned here and nowhere else.
 GOLANGCI := github.com/golangci/golangci-lint/v2/cmd/golangci-lint@v2.15.0
+GOPLS := golang.org/x/tools/gopls@v0.23.0 # v0.24 needs a newer Go
 
-.PHONY: build run up test lint format unit bench compare soak
+.PHONY: build run up test lint format rename unit bench compare soak
 
 build:
 	go build -o bin/ ./cmd/...
@@ -24,6 +25,10 @@
 format:
 	go run $(GOLANGCI) fmt ./...
 
+# Renames an identifier in all packages and tests: make rename AT=FILE:LINE:COLUMN TO=NAME
+rename:
+	go run $(GOPLS) rename -w $(AT) $(TO)
+
 # The tests of KNOWN-RED.txt, each the first word of its line, are passed over.
 RED := $(shell cut -d' ' -f1 KNOWN-RED.txt | paste -sd'|')
 
