--- a/compare/run.go
+++ b/compare/run.go
@@ -36,8 +36,8 @@
 		{"least loaded", placement.Sticky{}, least, true, true},
 		{"round robin", placement.Sticky{}, turn, true, true},
 		{"random", placement.Sticky{}, anywhere, true, true},
-		{"all on demand", placement.OnDemand{}, chosen, true, true},
-		{"place anew", placement.Anew{}, chosen, true, true},
+		{"all on demand", placement.OnDemandOnly{}, chosen, true, true},
+		{"place anew", placement.FromScratch{}, chosen, true, true},
 		{"replay only", placement.Sticky{}, chosen, false, true},
 		{"no reserve", placement.Sticky{}, chosen, true, false},
 	}
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -236,11 +236,11 @@
 		o := orders.New(log)
 		o.Box, o.Cloud, o.Election, o.Policy, o.Demand = s.Box, cl, e, scaling.Default, p.demand
 		o.Limited = func(e endpoint.Endpoint) bool { return p.book.Available.Limited(e.Incarnation(), boottime.Now()) }
-		o.Bears = func(service string, slots int, pause time.Duration) scaling.Bears {
+		o.Capacity = func(service string, slots int, pause time.Duration) scaling.Capacity {
 			m := p.book.Model(service)
-			return scaling.Bears{
-				Reclaimable: m.Bear(scaling.Late(p.book.Blind()), slots, pause),
-				OnDemand:    m.Bear(scaling.LateOnDemand, slots, pause),
+			return scaling.Capacity{
+				Reclaimable: m.Bear(scaling.LateShareFor(p.book.Blind()), slots, pause),
+				OnDemand:    m.Bear(scaling.LateShareOnDemand, slots, pause),
 			}
 		}
 		ss = append(ss, o)
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -214,7 +214,7 @@
 	for _, e := range o.view.Slots() {
 		s.Endpoints = append(s.Endpoints, e.Endpoint)
 	}
-	s.DutyHolder, s.DutyFence = o.placer.Duty()
+	s.DutyHolder, s.DutyFence = o.placer.Leader()
 	jsonhttp.Write(w, http.StatusOK, s)
 }
 
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -29,8 +29,8 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// boot is how long an endpoint takes from its order until it serves.
-const boot = 4 * time.Second
+// startDelay is how long an endpoint takes from its order until it serves.
+const startDelay = 4 * time.Second
 
 // kind is one kind of endpoint in a data centre.
 type kind struct {
@@ -42,11 +42,11 @@
 type cloud struct {
 	store *memstore.Memory
 
-	mu     sync.Mutex
-	next   int
-	have   map[kind][]string
-	coming map[kind]int
-	dry    bool // no reclaimable endpoint can be had
+	mu          sync.Mutex
+	next        int
+	have        map[kind][]string
+	starting    map[kind]int
+	outOfSupply bool // no reclaimable endpoint can be had
 }
 
 func (l *cloud) Report(context.Context, cloudapi.Duty, int64, map[string]int) error { return nil }
@@ -58,16 +58,16 @@
 	for len(l.have[k]) > o.Count {
 		l.drain(k)
 	}
-	more := o.Count - len(l.have[k]) - l.coming[k]
-	if more > 0 && l.dry && o.Reclaimable {
+	more := o.Count - len(l.have[k]) - l.starting[k]
+	if more > 0 && l.outOfSupply && o.Reclaimable {
 		return cloudapi.ErrFenced
 	}
 	for range max(more, 0) {
-		l.coming[k]++
-		time.AfterFunc(boot, func() {
+		l.starting[k]++
+		time.AfterFunc(startDelay, func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			l.coming[k]--
+			l.starting[k]--
 			l.add(k)
 		})
 	}
@@ -97,7 +97,7 @@
 func (l *cloud) reclaim(dc string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.dry = true
+	l.outOfSupply = true
 	for k := (kind{dc, true}); len(l.have[k]) > 0; {
 		l.drain(k)
 	}
@@ -110,7 +110,7 @@
 	n := 0
 	for _, dc := range dataCentres {
 		k := kind{dc, reclaimable}
-		n += len(l.have[k]) + l.coming[k]
+		n += len(l.have[k]) + l.starting[k]
 	}
 	return n
 }
@@ -123,21 +123,21 @@
 	*cloud
 	t *testing.T
 
-	mu     sync.Mutex
-	tokens float64
-	cut    string   // the data centre that is not heard
-	slow   []string // endpoints that take a bounded rate
+	mu          sync.Mutex
+	tokens      float64
+	partitioned string   // the data centre that is not heard
+	limited     []string // endpoints that take a bounded rate
 }
 
 // start begins with endpoints on demand in each data centre; found says how many
 // of them are listed at once, and the others follow a second later.
 func start(t *testing.T, onDemand, found int) *fleet {
 	t.Helper()
-	return startMost(t, onDemand, found, 12)
+	return startWithMax(t, onDemand, found, 12)
 }
 
-// startMost is start where a data centre may have so many endpoints.
-func startMost(t *testing.T, onDemand, found, most int) *fleet {
+// startWithMax is start where a data centre may have so many endpoints.
+func startWithMax(t *testing.T, onDemand, found, most int) *fleet {
 	t.Helper()
 	m := &memstore.Memory{}
 	text, err := json.Marshal(catalog.Document{Version: 1, Services: []catalog.Service{{
@@ -145,7 +145,7 @@
 	}}})
 	require.NoError(t, err)
 	m.Set("config", string(text))
-	f := &fleet{t: t, cloud: &cloud{store: m, have: map[kind][]string{}, coming: map[kind]int{}}}
+	f := &fleet{t: t, cloud: &cloud{store: m, have: map[kind][]string{}, starting: map[kind]int{}}}
 	list := func(n int) {
 		f.cloud.mu.Lock()
 		defer f.cloud.mu.Unlock()
@@ -177,7 +177,7 @@
 		defer f.mu.Unlock()
 		out := map[string]demand.Figure{}
 		for _, dc := range dataCentres {
-			if dc != f.cut {
+			if dc != f.partitioned {
 				out[dc] = demand.Figure{Tokens: f.tokens}
 			}
 		}
@@ -186,11 +186,11 @@
 	o.Limited = func(e endpoint.Endpoint) bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return slices.Contains(f.slow, e.ID)
+		return slices.Contains(f.limited, e.ID)
 	}
-	o.Bears = func(string, int, time.Duration) scaling.Bears {
+	o.Capacity = func(string, int, time.Duration) scaling.Capacity {
 		b := estimate.Bearable{Tokens: 20_000, Running: 40}
-		return scaling.Bears{Reclaimable: b, OnDemand: b}
+		return scaling.Capacity{Reclaimable: b, OnDemand: b}
 	}
 	n := &kernel.Kernel{}
 	services := []kernel.Service{s, k, e, o}
@@ -211,22 +211,22 @@
 	})
 }
 
-func (f *fleet) ask(tokens float64) {
+func (f *fleet) setDemand(tokens float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.tokens = tokens
 }
 
-func (f *fleet) pass(d time.Duration) { wait.For(f.t.Context(), d) }
+func (f *fleet) advance(d time.Duration) { wait.For(f.t.Context(), d) }
 
 // A fleet that is found on demand is replaced by reclaimable endpoints, and is not
 // given up before those serve. Endpoints that are listed late count as well.
-func TestFound(t *testing.T) {
+func TestInitialFleetReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t, 4, 1)
-		f.pass(7 * time.Second)
+		f.advance(7 * time.Second)
 		require.Equal(t, 12, f.count(false))
-		f.pass(20 * time.Second)
+		f.advance(20 * time.Second)
 		require.Equal(t, 1, f.count(false))
 		require.GreaterOrEqual(t, f.count(true), 2*9)
 	})
@@ -234,28 +234,28 @@
 
 // What was found is given up as soon as what replaces it serves, while there are no
 // callers whose load could swing.
-func TestReplacedAtOnce(t *testing.T) {
+func TestIdleFleetScalesDownAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t, 4, 4)
 		for f.count(true) == 0 {
-			f.pass(10 * time.Millisecond)
+			f.advance(10 * time.Millisecond)
 		}
-		f.pass(boot + 900*time.Millisecond)
+		f.advance(startDelay + 900*time.Millisecond)
 		require.Equal(t, 1, f.count(false))
 	})
 }
 
 // The first callers order nothing, as nothing is known of the endpoints' speed yet; after
 // some seconds their load does.
-func TestFirstCallers(t *testing.T) {
+func TestFirstDemandIsObserved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t, 4, 4)
-		f.pass(15 * time.Second)
+		f.advance(15 * time.Second)
 		before := f.count(true)
-		f.ask(200_000)
-		f.pass(2 * time.Second)
+		f.setDemand(200_000)
+		f.advance(2 * time.Second)
 		require.Equal(t, before, f.count(true))
-		f.pass(4 * time.Second)
+		f.advance(4 * time.Second)
 		require.Greater(t, f.count(true), before)
 	})
 }
@@ -266,17 +266,17 @@
 func TestReclaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t, 3, 3)
-		f.ask(60_000)
-		f.pass(40 * time.Second)
+		f.setDemand(60_000)
+		f.advance(40 * time.Second)
 		require.Equal(t, 1, f.count(false))
 		f.reclaim("a")
-		f.pass(time.Second)
+		f.advance(time.Second)
 		require.Equal(t, 6, f.count(false))
-		f.pass(15 * time.Second)
+		f.advance(15 * time.Second)
 		f.cloud.mu.Lock()
-		f.dry = false
+		f.outOfSupply = false
 		f.cloud.mu.Unlock()
-		f.pass(30 * time.Second)
+		f.advance(30 * time.Second)
 		require.Equal(t, 1, f.count(false))
 	})
 }
@@ -285,30 +285,30 @@
 // load, and nothing was ordered for them: two others carried all, with up to 72 requests under way,
 // and one stream in thirty failed, most at their deadline.
 // Endpoints that take a bounded rate are stood in for, and no longer once they take any rate.
-func TestLimitedAreStoodInFor(t *testing.T) {
+func TestLimitedEndpointsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t, 3, 3)
-		f.ask(60_000)
-		f.pass(40 * time.Second)
+		f.setDemand(60_000)
+		f.advance(40 * time.Second)
 		before := f.count(true)
-		f.limit(f.some(3))
-		f.pass(10 * time.Second)
+		f.setLimited(f.reclaimableIDs(3))
+		f.advance(10 * time.Second)
 		require.Equal(t, before+3, f.count(true))
-		f.limit(nil)
-		f.pass(20 * time.Second)
+		f.setLimited(nil)
+		f.advance(20 * time.Second)
 		require.Equal(t, before, f.count(true))
 	})
 }
 
-// limit lets some endpoints take a bounded rate, and the others any.
-func (f *fleet) limit(ids []string) {
+// setLimited lets some endpoints take a bounded rate, and the others any.
+func (f *fleet) setLimited(ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.slow = ids
+	f.limited = ids
 }
 
-// some returns some reclaimable endpoints of one data centre.
-func (f *fleet) some(n int) []string {
+// reclaimableIDs returns some reclaimable endpoints of one data centre.
+func (f *fleet) reclaimableIDs(n int) []string {
 	f.cloud.mu.Lock()
 	defer f.cloud.mu.Unlock()
 	return slices.Clone(f.have[kind{"a", true}][:n])
@@ -316,22 +316,22 @@
 
 // A data centre that is cut off, whose endpoints' records lapse, has not lost them:
 // what is ordered there stays.
-func TestCutIsNoReclaim(t *testing.T) {
+func TestPartitionIsNoReclaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t, 3, 3)
-		f.ask(60_000)
-		f.pass(40 * time.Second)
+		f.setDemand(60_000)
+		f.advance(40 * time.Second)
 		before := f.count(true)
-		f.hide("a")
-		f.pass(6 * time.Second)
+		f.partition("a")
+		f.advance(6 * time.Second)
 		require.Equal(t, before, f.count(true))
 	})
 }
 
-// hide cuts a data centre off.
-func (f *fleet) hide(dc string) {
+// partition cuts a data centre off.
+func (f *fleet) partition(dc string) {
 	f.mu.Lock()
-	f.cut = dc
+	f.partitioned = dc
 	f.mu.Unlock()
 	f.cloud.mu.Lock()
 	defer f.cloud.mu.Unlock()
@@ -344,17 +344,17 @@
 
 // A load that swings within the time in which a smaller count settles changes
 // nothing.
-func TestSwings(t *testing.T) {
+func TestDemandSwings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t, 3, 3)
-		f.ask(60_000)
-		f.pass(40 * time.Second)
+		f.setDemand(60_000)
+		f.advance(40 * time.Second)
 		n := f.next
 		for range 10 {
-			f.ask(30_000)
-			f.pass(3 * time.Second)
-			f.ask(60_000)
-			f.pass(3 * time.Second)
+			f.setDemand(30_000)
+			f.advance(3 * time.Second)
+			f.setDemand(60_000)
+			f.advance(3 * time.Second)
 		}
 		require.Equal(t, n, f.next)
 	})
@@ -364,15 +364,15 @@
 // of a day: the count that was wanted went up and down by a few with the load, which began the time
 // anew after which a smaller one is ordered. Most of a large surplus goes within seconds, and the
 // rest when the count has been about the same for as long as before.
-func TestSurplusGoes(t *testing.T) {
+func TestSurplusScaledDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := startMost(t, 400, 400, 1000)
-		f.pass(15 * time.Second)
+		f := startWithMax(t, 400, 400, 1000)
+		f.advance(15 * time.Second)
 		require.GreaterOrEqual(t, f.count(true), 1200)
 		wave := func(d time.Duration) {
 			for i := range int(d / (400 * time.Millisecond)) {
-				f.ask(float64(600_000 + 20_000*(i%3)))
-				f.pass(400 * time.Millisecond)
+				f.setDemand(float64(600_000 + 20_000*(i%3)))
+				f.advance(400 * time.Millisecond)
 			}
 		}
 		// Three data centres ask for 1.8 to 1.9 million tokens a second: 93 endpoints bear them.
--- a/orders/outcome_test.go
+++ b/orders/outcome_test.go
@@ -13,8 +13,8 @@
 // Want of supply does not read as if another box held the duty.
 func TestOutcome(t *testing.T) {
 	fenced := fmt.Errorf("%w: 409", cloudapi.ErrFenced)
-	require.Equal(t, "ordered", outcome(subject{}, nil))
-	require.Contains(t, outcome(subject{reclaimable: true}, fenced), "none can be had")
-	require.Contains(t, outcome(subject{}, fenced), "holds the duty")
-	require.Contains(t, outcome(subject{}, errors.New("no answer")), "not known")
+	require.Equal(t, "ordered", outcome(pool{}, nil))
+	require.Contains(t, outcome(pool{reclaimable: true}, fenced), "none can be had")
+	require.Contains(t, outcome(pool{}, fenced), "holds the duty")
+	require.Contains(t, outcome(pool{}, errors.New("no answer")), "not known")
 }
--- a/placement/input.go
+++ b/placement/input.go
@@ -18,7 +18,7 @@
 	Endpoints  []fleet.Endpoint
 	Prices     []cloud.Price
 	Demand     map[string]float64
-	Loads      int
+	MaxLoads   int
 	Refused    []cloud.Start
 	Classes    map[string]Class
 }
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -41,8 +41,8 @@
 	return es
 }
 
-// carryOut loads and drops as the plan's orders say, and returns the loads.
-func carryOut(es []fleet.Endpoint, p placement.Plan) int {
+// apply loads and drops as the plan's orders say, and returns the loads.
+func apply(es []fleet.Endpoint, p placement.Plan) int {
 	loads := 0
 	for _, a := range p.Assignments {
 		i := slices.IndexFunc(es, func(e fleet.Endpoint) bool { return e.Name == a.Box })
@@ -65,7 +65,7 @@
 // From any start, plan after plan comes to rest: every workload has its copies,
 // one of them on a box that is not reclaimable, and no plan lets the copies of
 // a workload fall while others have yet to load.
-func TestPlansComeToRest(t *testing.T) {
+func TestPlansConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := models(t, rapid.IntRange(1, 6).Draw(t, "models"), "")
 		ws := d.Workloads()
@@ -73,7 +73,7 @@
 		for i := range es {
 			es[i].Loaded = rapid.SliceOfNDistinct(rapid.SampledFrom(ws), 0, min(len(ws), 4), rapid.ID[string]).Draw(t, "loaded")
 		}
-		in := placement.Input{DataCentre: "a", Document: d, Loads: rapid.IntRange(1, 4).Draw(t, "loads"), Demand: map[string]float64{}}
+		in := placement.Input{DataCentre: "a", Document: d, MaxLoads: rapid.IntRange(1, 4).Draw(t, "loads"), Demand: map[string]float64{}}
 		for _, w := range ws {
 			in.Demand[w] = rapid.Float64Range(0, 40).Draw(t, "demand")
 		}
@@ -85,8 +85,8 @@
 			for _, w := range ws {
 				before[w] = copies(es, w)
 			}
-			loads = carryOut(es, p)
-			require.LessOrEqual(t, loads, in.Loads)
+			loads = apply(es, p)
+			require.LessOrEqual(t, loads, in.MaxLoads)
 			for _, w := range ws {
 				require.GreaterOrEqual(t, copies(es, w), min(before[w], 2), w)
 			}
@@ -103,13 +103,13 @@
 }
 
 // One box leaves: what the others have stays where it is.
-func TestOnlyWhatMustMoveMoves(t *testing.T) {
+func TestMovesOnlyLostWorkloads(t *testing.T) {
 	d := models(t, 6, "")
 	es := engines(9)
-	in := placement.Input{DataCentre: "a", Document: d, Loads: 100}
+	in := placement.Input{DataCentre: "a", Document: d, MaxLoads: 100}
 	for range 5 {
 		in.Endpoints = es
-		carryOut(es, placement.Sticky{}.Plan(in))
+		apply(es, placement.Sticky{}.Plan(in))
 	}
 	es[1].State = fleet.Leaving
 	lost := len(es[1].Loaded)
@@ -122,9 +122,9 @@
 }
 
 // Selectors that leave too little room are named.
-func TestUnmetNamesTheSelector(t *testing.T) {
+func TestUnmetNamesSelector(t *testing.T) {
 	d := models(t, 1, "[selector \"only old\"]\nworkloads = m0*\nrequire = class=old\n")
-	p := placement.Sticky{}.Plan(placement.Input{DataCentre: "a", Document: d, Endpoints: engines(3), Loads: 9})
+	p := placement.Sticky{}.Plan(placement.Input{DataCentre: "a", Document: d, Endpoints: engines(3), MaxLoads: 9})
 	require.Len(t, p.Unmet, 1)
 	require.Equal(t, "only old", p.Unmet[0].Selector)
 	require.Equal(t, "m0@1", p.Unmet[0].Workload)
@@ -132,10 +132,10 @@
 
 // A refused kind of box is not asked for again at once; the next cheapest is.
 // What is too slow for the target is never asked for.
-func TestStartsTheCheapestThatWillDo(t *testing.T) {
+func TestStartsCheapestSuitableBox(t *testing.T) {
 	d := models(t, 1, "")
 	in := placement.Input{
-		DataCentre: "a", Document: d, Endpoints: engines(1), Loads: 9, Demand: map[string]float64{"m0@1": 30},
+		DataCentre: "a", Document: d, Endpoints: engines(1), MaxLoads: 9, Demand: map[string]float64{"m0@1": 30},
 		Classes: map[string]placement.Class{"new": {Slots: 8, TokensPerSecond: 50}, "old": {Slots: 8, TokensPerSecond: 10}},
 		Prices: []cloud.Price{
 			{DataCentre: "a", Class: "new", Reclaimable: true, PerHour: 1, Supply: 9},
@@ -159,11 +159,11 @@
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			d := models(b, 40, "[selector \"s\"]\nworkloads = m*\nrequire = class=new|old\nprefer = supply=reclaimable\n")
 			es := engines(n)
-			in := placement.Input{DataCentre: "a", Document: d, Endpoints: es, Loads: 9, Demand: map[string]float64{}}
+			in := placement.Input{DataCentre: "a", Document: d, Endpoints: es, MaxLoads: 9, Demand: map[string]float64{}}
 			for _, w := range d.Workloads() {
 				in.Demand[w] = 5
 			}
-			carryOut(es, placement.Sticky{}.Plan(in))
+			apply(es, placement.Sticky{}.Plan(in))
 			b.ReportAllocs()
 			for b.Loop() {
 				placement.Sticky{}.Plan(in)
@@ -174,10 +174,10 @@
 
 // Without any demand a data centre keeps one box that no reclaim takes, however
 // dear, and asks for one if it has none.
-func TestKeepsOneThatStays(t *testing.T) {
+func TestKeepsOneOnDemandBox(t *testing.T) {
 	spot := cloud.Start{DataCentre: "a", Class: "new", Reclaimable: true}
 	in := placement.Input{
-		DataCentre: "a", Document: models(t, 1, ""), Loads: 9,
+		DataCentre: "a", Document: models(t, 1, ""), MaxLoads: 9,
 		Prices: []cloud.Price{
 			{DataCentre: "a", Class: "new", Reclaimable: true, PerHour: 1, Supply: 9},
 			{DataCentre: "a", Class: "new", PerHour: 3, Supply: 9},
@@ -188,7 +188,7 @@
 		in.Endpoints = es
 		p := placement.Sticky{}.Plan(in)
 		require.NotContains(t, p.Stop, es[0].Name)
-		carryOut(es, p)
+		apply(es, p)
 		require.True(t, es[0].Has("m0@1"))
 	}
 	in.Endpoints = es[1:]
@@ -199,12 +199,12 @@
 
 // The more boxes' cost counts against recomputed tokens, the less of the demand is
 // carried by boxes that no reclaim takes.
-func TestWeightsCountAgainstEachOther(t *testing.T) {
+func TestWeightsTradeOffCostAndRecompute(t *testing.T) {
 	kept := func(cost, recompute float64) int {
 		d := models(t, 1, "")
 		d.Targets.CostWeight, d.Targets.RecomputeWeight = cost, recompute
 		p := placement.Sticky{}.Plan(placement.Input{
-			DataCentre: "a", Document: d, Endpoints: engines(1), Loads: 9, Demand: map[string]float64{"m0@1": 60},
+			DataCentre: "a", Document: d, Endpoints: engines(1), MaxLoads: 9, Demand: map[string]float64{"m0@1": 60},
 			Classes: map[string]placement.Class{"new": {Slots: 8, TokensPerSecond: 50}},
 			Prices: []cloud.Price{
 				{DataCentre: "a", Class: "new", Reclaimable: true, PerHour: 1, Supply: 99},
--- a/placement/sticky.go
+++ b/placement/sticky.go
@@ -10,9 +10,9 @@
 	"birchlink.dev/birchlink/fleet"
 )
 
-// defaultRoom is how many workloads an engine holds unless its box has the
+// defaultMaxWorkloads is how many workloads an engine holds unless its box has the
 // label "workloads".
-const defaultRoom = 4
+const defaultMaxWorkloads = 4
 
 // headroom is how many streams' worth of slots is planned for each that is
 // wanted.
@@ -25,77 +25,79 @@
 // Plan decides the assignments, and what boxes to hold.
 func (Sticky) Plan(in Input) Plan { return plan(&planner{in: in, sticky: true}) }
 
-// Anew places everything from nothing. It is a baseline.
-type Anew struct{}
+// FromScratch places everything from nothing. It is a baseline.
+type FromScratch struct{}
 
 // Plan decides without regard to what is loaded.
-func (Anew) Plan(in Input) Plan { return plan(&planner{in: in}) }
+func (FromScratch) Plan(in Input) Plan { return plan(&planner{in: in}) }
 
-// OnDemand is Sticky, but asks for no reclaimable boxes. It is a baseline.
-type OnDemand struct{}
+// OnDemandOnly is Sticky, but asks for no reclaimable boxes. It is a baseline.
+type OnDemandOnly struct{}
 
 // Plan decides without reclaimable boxes.
-func (OnDemand) Plan(in Input) Plan { return plan(&planner{in: in, sticky: true, onDemand: true}) }
+func (OnDemandOnly) Plan(in Input) Plan {
+	return plan(&planner{in: in, sticky: true, onDemandOnly: true})
+}
 
 // engine is a live engine with its room and what is planned for it.
 type engine struct {
 	fleet.Endpoint
-	price float64
-	room  int
-	want  []string
-	shed  bool
+	unitCost     float64
+	maxWorkloads int
+	planned      []string
+	released     bool
 }
 
 // planner is the work of one plan.
 type planner struct {
-	in       Input
-	sticky   bool
-	onDemand bool
-	engines  []*engine
-	plan     Plan
+	in           Input
+	sticky       bool
+	onDemandOnly bool
+	engines      []*engine
+	plan         Plan
 
-	// by holds the engines that shall have each workload, may those that its
+	// assigned holds the engines that shall have each workload, may those that its
 	// selectors allow: both are asked for again and again.
-	by  map[string][]*engine
-	may map[string][]*engine
+	assigned  map[string][]*engine
+	permitted map[string][]*engine
 }
 
 func plan(p *planner) Plan {
-	p.by, p.may = map[string][]*engine{}, map[string][]*engine{}
-	p.gather()
-	p.shedDear()
+	p.assigned, p.permitted = map[string][]*engine{}, map[string][]*engine{}
+	p.collectEngines()
+	p.releaseExpensive()
 	if p.sticky {
-		p.keep()
+		p.keepLoaded()
 	}
-	for _, w := range p.order() {
+	for _, w := range p.placementOrder() {
 		p.place(w)
 	}
-	p.widen()
-	p.assign()
-	p.hold()
+	p.addCopies()
+	p.buildAssignments()
+	p.planBoxes()
 	return p.plan
 }
 
-// gather takes the live engines of the data centre.
-func (p *planner) gather() {
+// collectEngines takes the live engines of the data centre.
+func (p *planner) collectEngines() {
 	for _, e := range p.in.Endpoints {
 		if e.Role == fleet.EngineRole && e.DataCentre == p.in.DataCentre && e.Usable() {
-			p.engines = append(p.engines, &engine{Endpoint: e, price: p.price(e), room: room(e)})
+			p.engines = append(p.engines, &engine{Endpoint: e, unitCost: p.engineUnitCost(e), maxWorkloads: maxWorkloads(e)})
 		}
 	}
 	slices.SortFunc(p.engines, func(a, b *engine) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-func room(e fleet.Endpoint) int {
+func maxWorkloads(e fleet.Endpoint) int {
 	n, err := strconv.Atoi(e.Label("workloads"))
 	if err != nil || n < 1 {
-		return defaultRoom
+		return defaultMaxWorkloads
 	}
 	return n
 }
 
-// price is what a slot of an endpoint costs an hour for its speed.
-func (p *planner) price(e fleet.Endpoint) float64 {
+// engineUnitCost is what a slot of an endpoint costs an hour for its speed.
+func (p *planner) engineUnitCost(e fleet.Endpoint) float64 {
 	for _, q := range p.in.Prices {
 		if q.DataCentre == e.DataCentre && q.Class == e.Class && q.Reclaimable == e.Reclaimable {
 			return q.PerHour / max(float64(e.Slots)*e.TokensPerSecond, 1)
@@ -104,9 +106,9 @@
 	return 0
 }
 
-// order places the workloads with the fewest allowed engines first, so that
+// placementOrder places the workloads with the fewest allowed engines first, so that
 // the others do not take their room.
-func (p *planner) order() []string {
+func (p *planner) placementOrder() []string {
 	ws := p.in.Document.Workloads()
 	n := make(map[string]int, len(ws))
 	for _, w := range ws {
@@ -122,12 +124,12 @@
 	return ws
 }
 
-// least is how many copies a workload shall have whatever its demand.
-func (p *planner) least(w string) int { return p.in.Document.Copies(w) }
+// minCopies is how many copies a workload shall have whatever its demand.
+func (p *planner) minCopies(w string) int { return p.in.Document.Copies(w) }
 
-// copies is how many engines shall have a workload.
-func (p *planner) copies(w string) int {
-	n := p.least(w)
+// wantedCopies is how many engines shall have a workload.
+func (p *planner) wantedCopies(w string) int {
+	n := p.minCopies(w)
 	slots := 0
 	for _, e := range p.engines {
 		slots += e.Slots
@@ -142,24 +144,24 @@
 // place gives a workload the engines that it lacks: at least one that is not
 // reclaimable if there is one, the rest by worth.
 func (p *planner) place(w string) {
-	n := p.copies(w)
-	have := len(p.with(w))
+	n := p.wantedCopies(w)
+	have := len(p.assignedTo(w))
 	for ; have < n && p.placeOne(w, anyEngine); have++ {
 	}
 	if have < n {
-		p.unmet(w, have, n)
+		p.addUnmet(w, have, n)
 	}
-	if have == 0 || slices.ContainsFunc(p.with(w), stays) {
+	if have == 0 || slices.ContainsFunc(p.assignedTo(w), isOnDemand) {
 		return
 	}
-	if !p.placeOne(w, stays) {
+	if !p.placeOne(w, isOnDemand) {
 		p.plan.Unmet = append(p.plan.Unmet, Unmet{Workload: w, Reason: "every engine that may run it is reclaimable"})
 	}
 }
 
 func anyEngine(*engine) bool { return true }
 
-func stays(e *engine) bool { return !e.Reclaimable }
+func isOnDemand(e *engine) bool { return !e.Reclaimable }
 
 // placeOne gives a workload one more engine, making room on one if it must.
 func (p *planner) placeOne(w string, ok func(*engine) bool) bool {
@@ -167,44 +169,44 @@
 	if len(c) == 0 {
 		return p.evictFor(w, ok)
 	}
-	p.give(w, slices.MinFunc(c, func(a, b *engine) int { return p.compare(w, a, b) }))
+	p.add(w, slices.MinFunc(c, func(a, b *engine) int { return p.compare(w, a, b) }))
 	return true
 }
 
-// give lets an engine have a workload.
-func (p *planner) give(w string, e *engine) {
-	e.want = append(e.want, w)
-	p.by[w] = append(p.by[w], e)
+// add lets an engine have a workload.
+func (p *planner) add(w string, e *engine) {
+	e.planned = append(e.planned, w)
+	p.assigned[w] = append(p.assigned[w], e)
 }
 
-// take lets an engine no longer have a workload.
-func (p *planner) take(w string, e *engine) {
-	e.want = slices.DeleteFunc(slices.Clone(e.want), func(v string) bool { return v == w })
-	p.by[w] = slices.DeleteFunc(p.by[w], func(o *engine) bool { return o == e })
+// remove lets an engine no longer have a workload.
+func (p *planner) remove(w string, e *engine) {
+	e.planned = slices.DeleteFunc(slices.Clone(e.planned), func(v string) bool { return v == w })
+	p.assigned[w] = slices.DeleteFunc(p.assigned[w], func(o *engine) bool { return o == e })
 }
 
 // allowed returns the engines that may have one more copy of a workload, were
 // there room.
 func (p *planner) allowed(w string) []*engine {
-	all, known := p.may[w]
+	all, known := p.permitted[w]
 	if !known {
 		for _, e := range p.engines {
-			if ok, _ := p.in.Document.Allowed(w, e.Box); ok && !e.shed {
+			if ok, _ := p.in.Document.Allowed(w, e.Box); ok && !e.released {
 				all = append(all, e)
 			}
 		}
-		p.may[w] = all
+		p.permitted[w] = all
 	}
-	return slices.DeleteFunc(slices.Clone(all), func(e *engine) bool { return slices.Contains(e.want, w) })
+	return slices.DeleteFunc(slices.Clone(all), func(e *engine) bool { return slices.Contains(e.planned, w) })
 }
 
 // candidates returns the engines that may have one more copy of a workload.
 func (p *planner) candidates(w string) []*engine {
-	return slices.DeleteFunc(p.allowed(w), func(e *engine) bool { return len(e.want) >= e.room })
+	return slices.DeleteFunc(p.allowed(w), func(e *engine) bool { return len(e.planned) >= e.maxWorkloads })
 }
 
-// with returns the engines that shall have a workload.
-func (p *planner) with(w string) []*engine { return p.by[w] }
+// assignedTo returns the engines that shall have a workload.
+func (p *planner) assignedTo(w string) []*engine { return p.assigned[w] }
 
 // compare orders engines for a workload: those that have it first, then by
 // preference, by how full they are, and by price for their speed.
@@ -216,8 +218,8 @@
 	return cmp.Or(
 		stay,
 		cmp.Compare(p.in.Document.Preference(w, b.Box), p.in.Document.Preference(w, a.Box)),
-		cmp.Compare(len(a.want), len(b.want)),
-		cmp.Compare(a.price, b.price),
+		cmp.Compare(len(a.planned), len(b.planned)),
+		cmp.Compare(a.unitCost, b.unitCost),
 	)
 }
 
@@ -232,8 +234,8 @@
 	}
 }
 
-// unmet says why a workload has fewer engines than it shall have.
-func (p *planner) unmet(w string, have, want int) {
+// addUnmet says why a workload has fewer engines than it shall have.
+func (p *planner) addUnmet(w string, have, want int) {
 	u := Unmet{Workload: w, Reason: fmt.Sprintf("%d of %d copies have a place", have, want)}
 	for _, e := range p.engines {
 		if ok, s := p.in.Document.Allowed(w, e.Box); !ok {
@@ -246,13 +248,13 @@
 	p.plan.Unmet = append(p.plan.Unmet, u)
 }
 
-// assign turns what is wanted into orders in two steps: load first, and give up
+// buildAssignments turns what is wanted into orders in two steps: load first, and give up
 // what is no longer wanted only when every engine that wants it has it.
-func (p *planner) assign() {
-	now := p.loadsNow()
+func (p *planner) buildAssignments() {
+	now := p.chooseLoads()
 	for _, e := range p.engines {
 		a := Assignment{Box: e.Name, Reason: "as wanted"}
-		for _, w := range e.want {
+		for _, w := range e.planned {
 			switch {
 			case e.Has(w):
 				a.Workloads = append(a.Workloads, w)
@@ -264,7 +266,7 @@
 			}
 		}
 		for _, w := range e.Loaded {
-			if !slices.Contains(e.want, w) && !p.loadedWhereWanted(w) {
+			if !slices.Contains(e.planned, w) && !p.fullyLoaded(w) {
 				a.Keep = append(a.Keep, w)
 				a.Workloads = append(a.Workloads, w)
 				a.Reason = "keeps what others have yet to load"
@@ -280,16 +282,16 @@
 	workload string
 }
 
-// loadsNow chooses the loads that the weight store bears now: for those first
+// chooseLoads chooses the loads that the weight store bears now: for those first
 // that have the fewest copies loaded.
-func (p *planner) loadsNow() map[load]bool {
+func (p *planner) chooseLoads() map[load]bool {
 	var all []load
 	loaded := map[string]int{}
 	for _, e := range p.engines {
 		for _, w := range e.Loaded {
 			loaded[w]++
 		}
-		for _, w := range e.want {
+		for _, w := range e.planned {
 			if !e.Has(w) {
 				all = append(all, load{e, w})
 			}
@@ -297,17 +299,17 @@
 	}
 	slices.SortStableFunc(all, func(a, b load) int { return cmp.Compare(loaded[a.workload], loaded[b.workload]) })
 	now := map[load]bool{}
-	for _, l := range all[:min(len(all), p.in.Loads)] {
+	for _, l := range all[:min(len(all), p.in.MaxLoads)] {
 		now[l] = true
 	}
 	return now
 }
 
-// loadedWhereWanted reports whether every engine that wants w has it, or no
+// fullyLoaded reports whether every engine that wants w has it, or no
 // engine wants it and it is no longer configured.
-func (p *planner) loadedWhereWanted(w string) bool {
+func (p *planner) fullyLoaded(w string) bool {
 	for _, e := range p.engines {
-		if slices.Contains(e.want, w) && !e.Has(w) {
+		if slices.Contains(e.planned, w) && !e.Has(w) {
 			return false
 		}
 	}
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -32,11 +32,11 @@
 
 // The times and bounds of the duty.
 const (
-	candidates  = 2
-	orderLimit  = 30 * time.Second
-	loadsAtOnce = 2
-	refusedFor  = time.Minute
-	stopEvery   = time.Minute
+	candidates         = 2
+	orderTimeout       = 30 * time.Second
+	maxConcurrentLoads = 2
+	refusalTTL         = time.Minute
+	stopInterval       = time.Minute
 )
 
 // Placer is the service of one box.
@@ -52,18 +52,18 @@
 	admission *admission.Admission
 	engines   *engine.Client
 
-	mu      sync.Mutex
-	plan    placement.Plan
-	refused map[cloud.Start]time.Time
-	pending map[string]bool
-	stopped time.Time
-	cancel  context.CancelFunc
-	group   sync.WaitGroup
+	mu        sync.Mutex
+	plan      placement.Plan
+	refusedAt map[cloud.Start]time.Time
+	pending   map[string]bool
+	lastStop  time.Time
+	cancel    context.CancelFunc
+	group     sync.WaitGroup
 }
 
 // New returns the placer of a box.
 func New(p *cloud.Client, log zerolog.Logger) *Placer {
-	return &Placer{Platform: p, Log: log, refused: map[cloud.Start]time.Time{}, pending: map[string]bool{}}
+	return &Placer{Platform: p, Log: log, refusedAt: map[cloud.Start]time.Time{}, pending: map[string]bool{}}
 }
 
 // Name returns the service's name.
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// Duty returns the holder and the fence as this box knows them.
-func (p *Placer) Duty() (string, uint64) { return p.lease.Current() }
+// Leader returns the holder and the fence as this box knows them.
+func (p *Placer) Leader() (string, uint64) { return p.lease.Current() }
 
 // Plan returns the last plan that this box made.
 func (p *Placer) Plan() placement.Plan {
@@ -115,7 +115,7 @@
 	t := time.NewTicker(duty.Renew)
 	defer t.Stop()
 	for {
-		p.round(c)
+		p.reconcile(c)
 		select {
 		case <-c.Done():
 			return
@@ -124,7 +124,7 @@
 	}
 }
 
-func (p *Placer) round(c context.Context) {
+func (p *Placer) reconcile(c context.Context) {
 	first, _ := p.members.Owner("placer", candidates)
 	if _, mine := p.lease.Mine(); !first && !mine {
 		return
@@ -138,14 +138,14 @@
 		return
 	}
 	plan := placement.Sticky{}.Plan(p.input(c))
-	p.note(plan)
-	p.carryOut(c, plan, fence)
+	p.record(plan)
+	p.apply(c, plan, fence)
 }
 
 func (p *Placer) input(c context.Context) placement.Input {
 	in := placement.Input{
 		DataCentre: p.members.Self().DataCentre, Document: p.follower.Current(),
-		Demand: p.admission.DataCentreDemand(), Loads: loadsAtOnce,
+		Demand: p.admission.DataCentreDemand(), MaxLoads: maxConcurrentLoads,
 	}
 	in.Classes = map[string]placement.Class{}
 	for _, s := range p.view.Slots() {
@@ -161,9 +161,9 @@
 	in.Prices = ps
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for s, at := range p.refused {
-		if time.Since(at) > refusedFor {
-			delete(p.refused, s)
+	for s, at := range p.refusedAt {
+		if time.Since(at) > refusalTTL {
+			delete(p.refusedAt, s)
 			continue
 		}
 		in.Refused = append(in.Refused, s)
@@ -171,8 +171,8 @@
 	return in
 }
 
-// note logs a plan's decisions that are new.
-func (p *Placer) note(n placement.Plan) {
+// record logs a plan's decisions that are new.
+func (p *Placer) record(n placement.Plan) {
 	p.mu.Lock()
 	old := p.plan
 	p.plan = n
@@ -184,11 +184,11 @@
 	}
 }
 
-// carryOut orders what differs from the plan.
-func (p *Placer) carryOut(c context.Context, n placement.Plan, fence uint64) {
+// apply orders what differs from the plan.
+func (p *Placer) apply(c context.Context, n placement.Plan, fence uint64) {
 	for _, a := range n.Assignments {
 		s := p.view.Slot(a.Box)
-		if s == nil || sameSet(s.Loaded, a.Workloads) || !p.may(s) {
+		if s == nil || sameSet(s.Loaded, a.Workloads) || !p.canOrder(s) {
 			continue
 		}
 		p.order(c, s.Endpoint, a, fence)
@@ -197,18 +197,18 @@
 		return
 	}
 	for _, s := range n.Start {
-		p.start(c, s)
+		p.startBox(c, s)
 	}
-	if len(n.Stop) > 0 && time.Since(p.stopped) > stopEvery {
-		p.stopped = time.Now()
-		p.stop(c, n.Stop[0])
+	if len(n.Stop) > 0 && time.Since(p.lastStop) > stopInterval {
+		p.lastStop = time.Now()
+		p.stopBox(c, n.Stop[0])
 	}
 }
 
-// may reports whether an engine may be given orders now. One that checks the
+// canOrder reports whether an engine may be given orders now. One that checks the
 // fence decides itself, so the last holder goes on while the platform is away.
-func (p *Placer) may(s *view.Slot) bool {
-	return s.ChecksFence || p.lease.Safe(time.Now(), orderLimit)
+func (p *Placer) canOrder(s *view.Slot) bool {
+	return s.ChecksFence || p.lease.Safe(time.Now(), orderTimeout)
 }
 
 // order gives one engine its orders, unless it still works on the last.
@@ -227,7 +227,7 @@
 			delete(p.pending, e.Name)
 			p.mu.Unlock()
 		}()
-		c, cancel := context.WithTimeout(c, orderLimit)
+		c, cancel := context.WithTimeout(c, orderTimeout)
 		defer cancel()
 		err := p.engines.Order(c, e.Address, engine.Orders{Fence: fence, Workloads: a.Workloads})
 		if errors.Is(err, engine.ErrFenced) {
@@ -238,19 +238,19 @@
 	})
 }
 
-func (p *Placer) start(c context.Context, s cloud.Start) {
+func (p *Placer) startBox(c context.Context, s cloud.Start) {
 	b, err := p.Platform.Start(c, s)
 	n := decisions.Decision{Subject: "placement", Event: "start", Choice: b.Name, Workload: s.Class, Reason: "demand needs it"}
 	if err != nil {
 		n.Reason = err.Error()
 		p.mu.Lock()
-		p.refused[s] = time.Now()
+		p.refusedAt[s] = time.Now()
 		p.mu.Unlock()
 	}
 	p.decisions.Note(n)
 }
 
-func (p *Placer) stop(c context.Context, box string) {
+func (p *Placer) stopBox(c context.Context, box string) {
 	n := decisions.Decision{Subject: "placement", Event: "stop", Choice: box, Reason: "not needed for the demand"}
 	if err := p.Platform.Stop(c, box); err != nil {
 		n.Reason = err.Error()
--- a/scaling/plan.go
+++ b/scaling/plan.go
@@ -35,77 +35,77 @@
 	// 1.5 the mean worth of five days with trouble is 0.024 less.
 	Surplus float64
 
-	// Lost is how many data centres' reclaimable endpoints may go at once with the
+	// ToleratedLosses is how many data centres' reclaimable endpoints may go at once with the
 	// rest still carrying the load; WaryLost is that number for Wary after a reclaim
 	// anywhere: reclaims come in waves, one data centre after the other, and none can
 	// be had meanwhile. With 1 then as well the same mean is 0.012 less.
-	Lost, WaryLost int
-	Wary           time.Duration
+	ToleratedLosses, LossesAfterReclaim int
+	ReclaimWindow                       time.Duration
 
-	// Insured is the part of what the load needs that remains when those data centres
+	// InsuredShare is the part of what the load needs that remains when those data centres
 	// lose theirs: an endpoint on demand costs several times a reclaimable one for as
 	// long as it waits for a loss, and the rest starts within seconds. With 1 the same
 	// mean is 0.008 less.
-	Insured float64
+	InsuredShare float64
 
-	// BasePart is the part of what the load needs that is on demand whatever else
+	// BaseShare is the part of what the load needs that is on demand whatever else
 	// there is: a cloud that is away when reclaims come replaces nothing. With none the
 	// same mean is 0.008 less.
-	BasePart float64
+	BaseShare float64
 
-	// Least is how many endpoints the fleet needs, whatever its load.
-	Least int
+	// MinEndpoints is how many endpoints the fleet needs, whatever its load.
+	MinEndpoints int
 }
 
 // Default is the policy in use; its figures are measured in rounds (docs/DESIGN.md).
-var Default = Policy{Surplus: 1.5, Lost: 1, WaryLost: 2, Wary: 15 * time.Second, Insured: 0.6, BasePart: 0.05, Least: 4}
+var Default = Policy{Surplus: 1.5, ToleratedLosses: 1, LossesAfterReclaim: 2, ReclaimWindow: 15 * time.Second, InsuredShare: 0.6, BaseShare: 0.05, MinEndpoints: 4}
 
 // late is the part of the requests that may miss their objective for having waited at
 // an endpoint for the prompts of others, where choices know nothing of those; heardPart
 // is the part of such waits that a choice avoids which knows of all prompts.
 const (
-	late      = 0.08
-	heardPart = 0.6
+	lateShare      = 0.08
+	avoidableShare = 0.6
 )
 
-// LateOnDemand is the same part for endpoints on demand, whatever choices know. They
+// LateShareOnDemand is the same part for endpoints on demand, whatever choices know. They
 // cost several times as much, and carry the load when reclaimable ones cannot be had:
 // with 0.25 the whole day's worth falls by 0.02 to 0.08 where all of those are gone.
-const LateOnDemand = 0.15
+const LateShareOnDemand = 0.15
 
-// Late returns the part of the requests that may wait too long by an estimate that
+// LateShareFor returns the part of the requests that may wait too long by an estimate that
 // takes choices to know nothing of others' prompts, where they do not know of a part.
-func Late(blind float64) float64 { return late / (1 - heardPart*(1-blind)) }
+func LateShareFor(blind float64) float64 { return lateShare / (1 - avoidableShare*(1-blind)) }
 
-// Bears is what one endpoint bears, where reclaimable endpoints carry the load and
+// Capacity is what one endpoint bears, where reclaimable endpoints carry the load and
 // where it takes others.
-type Bears struct {
+type Capacity struct {
 	Reclaimable estimate.Bearable
 	OnDemand    estimate.Bearable
 }
 
 // Site is what is known of a service in one data centre.
 type Site struct {
-	DataCentre string
-	Demand     Demand
-	Have       Count // that serve
-	Limited    Count // of them, those that take a bounded rate of requests
-	Dry        bool  // no reclaimable endpoint can be had now
-
-	// Since is how long ago its reclaimable endpoints began to be taken.
-	Since time.Duration
+	DataCentre  string
+	Demand      Demand
+	Have        Count // that serve
+	Limited     Count // of them, those that take a bounded rate of requests
+	OutOfSupply bool  // no reclaimable endpoint can be had now
+
+	// SinceReclaim is how long ago its reclaimable endpoints began to be taken.
+	SinceReclaim time.Duration
 }
 
-// free is how many endpoints there take any rate.
-func (d *Site) free() Count {
+// unlimited is how many endpoints there take any rate.
+func (d *Site) unlimited() Count {
 	return Count{d.Have.OnDemand - d.Limited.OnDemand, d.Have.Reclaimable - d.Limited.Reclaimable}
 }
 
-// reclaimable is how many reclaimable endpoints carry load there, or coming if that is more
+// usableReclaimable is how many reclaimable endpoints carry load there, or coming if that is more
 // and they can be had.
-func (d *Site) reclaimable(coming int) int {
-	n := d.free().Reclaimable
-	if d.Dry {
+func (d *Site) usableReclaimable(coming int) int {
+	n := d.unlimited().Reclaimable
+	if d.OutOfSupply {
 		return n
 	}
 	return max(n, coming)
@@ -120,7 +120,7 @@
 // leave theirs to the others.
 // Sites are in the order of their price; bears is what one endpoint
 // bears.
-func (p Policy) Plan(s *catalog.Scaling, sites []Site, bears Bears) map[string]Count {
+func (p Policy) Plan(s *catalog.Scaling, sites []Site, bears Capacity) map[string]Count {
 	if len(sites) == 0 {
 		return map[string]Count{}
 	}
@@ -129,19 +129,19 @@
 		all.Tokens += d.Demand.Tokens
 		all.Running += d.Demand.Running
 	}
-	want := max(need(all, bears.Reclaimable), p.Least)
-	must := max(need(all, bears.OnDemand), p.Least)
+	want := max(endpointsFor(all, bears.Reclaimable), p.MinEndpoints)
+	must := max(endpointsFor(all, bears.OnDemand), p.MinEndpoints)
 	each := ceil(p.Surplus * float64(want) / float64(max(len(sites)-1, 1)))
 	// Where some were taken lately, none is counted that does not serve yet.
 	least := func(coming int) int {
-		if p.wary(sites) {
+		if p.reclaimedRecently(sites) {
 			coming = 0
 		}
-		insured := ceil(p.Insured*float64(must)) - p.survivors(sites, coming)
-		return max(must-serving(sites, coming), insured, ceil(p.BasePart*float64(must)))
+		insured := ceil(p.InsuredShare*float64(must)) - p.survivors(sites, coming)
+		return max(must-totalReclaimable(sites, coming), insured, ceil(p.BaseShare*float64(must)))
 	}
 	keep, add := least(0), least(min(each, s.Max))
-	out := p.onDemand(s, sites, keep, add)
+	out := p.spreadOnDemand(s, sites, keep, add)
 	for _, d := range sites {
 		c := out[d.DataCentre]
 		c.OnDemand = min(c.OnDemand+d.Limited.OnDemand, s.Max)
@@ -151,12 +151,12 @@
 	return out
 }
 
-// serving is how many reclaimable endpoints serve. While they can be had, coming is how
+// totalReclaimable is how many reclaimable endpoints serve. While they can be had, coming is how
 // many each data centre has soon, if it does not yet.
-func serving(sites []Site, coming int) int {
+func totalReclaimable(sites []Site, coming int) int {
 	n := 0
 	for i := range sites {
-		n += sites[i].reclaimable(coming)
+		n += sites[i].usableReclaimable(coming)
 	}
 	return n
 }
@@ -164,13 +164,13 @@
 // survivors is how many of those remain when the data centres that have most of them
 // lose theirs.
 func (p Policy) survivors(sites []Site, coming int) int {
-	lost := p.Lost
-	if p.wary(sites) {
-		lost = p.WaryLost
+	lost := p.ToleratedLosses
+	if p.reclaimedRecently(sites) {
+		lost = p.LossesAfterReclaim
 	}
 	have := make([]int, 0, len(sites))
 	for i := range sites {
-		have = append(have, sites[i].reclaimable(coming))
+		have = append(have, sites[i].usableReclaimable(coming))
 	}
 	slices.Sort(have)
 	n := 0
@@ -180,16 +180,16 @@
 	return n
 }
 
-// wary reports whether reclaimable endpoints were taken lately anywhere.
-func (p Policy) wary(sites []Site) bool {
-	return slices.ContainsFunc(sites, func(d Site) bool { return d.Since < p.Wary })
+// reclaimedRecently reports whether reclaimable endpoints were taken lately anywhere.
+func (p Policy) reclaimedRecently(sites []Site) bool {
+	return slices.ContainsFunc(sites, func(d Site) bool { return d.SinceReclaim < p.ReclaimWindow })
 }
 
-// onDemand spreads the endpoints on demand, of which there are as many as keep for
+// spreadOnDemand spreads the endpoints on demand, of which there are as many as keep for
 // those that serve and as add with others. Those that serve are kept, the cheapest
 // first; others are added where that is cheapest and there is room beside the
 // reclaimable ones.
-func (p Policy) onDemand(s *catalog.Scaling, sites []Site, keep, add int) map[string]Count {
+func (p Policy) spreadOnDemand(s *catalog.Scaling, sites []Site, keep, add int) map[string]Count {
 	out := map[string]Count{}
 	total := 0
 	grow := func(d Site, to, most int) {
@@ -203,7 +203,7 @@
 		out[d.DataCentre] = Count{}
 	}
 	for _, d := range sites {
-		grow(d, keep, min(d.free().OnDemand, s.Max))
+		grow(d, keep, min(d.unlimited().OnDemand, s.Max))
 	}
 	for _, d := range sites {
 		grow(d, add, s.Max-d.Have.Reclaimable)
@@ -213,8 +213,8 @@
 
 func ceil(f float64) int { return int(math.Ceil(f)) }
 
-// need is how many endpoints a load takes.
-func need(d Demand, b estimate.Bearable) int {
+// endpointsFor is how many endpoints a load takes.
+func endpointsFor(d Demand, b estimate.Bearable) int {
 	return ceil(max(d.Tokens/max(b.Tokens, 1), d.Running/max(b.Running, 1)))
 }
 
@@ -226,8 +226,8 @@
 	})
 }
 
-// Serving counts the endpoints of one data centre that take work.
-func Serving(es []endpoint.Endpoint, dc string) Count {
+// CountEndpoints counts the endpoints of one data centre that take work.
+func CountEndpoints(es []endpoint.Endpoint, dc string) Count {
 	var c Count
 	for i := range es {
 		switch {
