--- a/placement/input.go
+++ b/placement/input.go
@@ -1,6 +1,6 @@
 // Package placement decides which workloads run on which engines of a data
-// centre, and which boxes to hold. It does no I/O: the facts go in, the plan
-// with its reasons comes out.
+// centre, and which boxes to start and stop. It does no I/O: a [Planner] turns
+// an [Input] into a [Plan], which gives the reason for each decision.
 package placement
 
 import (
@@ -9,9 +9,10 @@
 	"birchlink.dev/birchlink/fleet"
 )
 
-// Input is what a plan rests on. Demand counts the streams wanted at once by
-// workload; Loads is how many loads the weight store bears together; Refused
-// names kinds of boxes that the cloud refused a little ago.
+// Input holds what a plan is computed from. Demand is the number of concurrent
+// streams wanted of each workload. MaxLoads is how many loads the weight store
+// can serve at once. Refused lists the kinds of boxes that the cloud refused
+// recently. Classes is keyed by the name of a class of engines.
 type Input struct {
 	DataCentre string
 	Document   *config.Document
@@ -23,22 +24,26 @@
 	Classes    map[string]Class
 }
 
-// Class is what an engine of a class can do, as it was measured.
+// Class is the measured capacity of an engine of a class: the streams that it
+// runs at once, and the speed of each stream.
 type Class struct {
 	Slots           int
 	TokensPerSecond float64
 }
 
-// Unmet says what the plan could not do, and which selector stood in the way.
+// Unmet is a requirement that the plan does not satisfy. Selector is the
+// selector that prevents it, if one does. Workload is empty if the requirement
+// concerns boxes rather than a workload.
 type Unmet struct {
 	Workload string `json:"workload"`
 	Selector string `json:"selector,omitempty"`
 	Reason   string `json:"reason"`
 }
 
-// Assignment is what one engine shall have loaded. Load names what it must
-// fetch now, Later what waits for the weight store, Keep what it keeps only
-// until others have loaded it.
+// Assignment is the set of workloads that one engine should have loaded.
+// Workloads is the whole set, including Load and Keep. Load lists the workloads
+// to fetch now, Later those that wait for capacity of the weight store, and Keep
+// those that stay only until other engines have loaded them.
 type Assignment struct {
 	Box       string   `json:"box"`
 	Workloads []string `json:"workloads"`
@@ -48,8 +53,9 @@
 	Reason    string   `json:"reason"`
 }
 
-// Plan is the decision. Cost is per hour, of the boxes held after Start and
-// Stop.
+// Plan is the result of a [Planner]. Start lists the boxes to start, one entry
+// for each, and Stop names the boxes to stop. Cost is the price per hour of the
+// present boxes and of those in Start.
 type Plan struct {
 	Assignments []Assignment  `json:"assignments"`
 	Start       []cloud.Start `json:"start,omitempty"`
@@ -58,7 +64,7 @@
 	Cost        float64       `json:"cost"`
 }
 
-// Planner makes plans.
+// Planner computes plans.
 type Planner interface {
 	Plan(in Input) Plan
 }
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -21,7 +21,8 @@
 	return d
 }
 
-// models returns a document with n models of one workload, two copies each.
+// models returns a document with n models of one workload and two copies each, followed
+// by the lines of more.
 func models(tb require.TestingT, n int, more string) *config.Document {
 	var b strings.Builder
 	for i := range n {
@@ -41,7 +42,8 @@
 	return es
 }
 
-// apply loads and drops as the plan's orders say, and returns the loads.
+// apply sets what the engines have loaded to the plan's assignments and returns the
+// number of loads.
 func apply(es []fleet.Endpoint, p placement.Plan) int {
 	loads := 0
 	for _, a := range p.Assignments {
@@ -62,9 +64,9 @@
 	return n
 }
 
-// From any start, plan after plan comes to rest: every workload has its copies,
-// one of them on a box that is not reclaimable, and no plan lets the copies of
-// a workload fall while others have yet to load.
+// From any initial state, repeated plans converge: every workload has its copies, one of
+// them on a box that is not reclaimable. On the way, no plan unloads one of the last two
+// copies of a workload before its replacement is loaded.
 func TestPlansConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := models(t, rapid.IntRange(1, 6).Draw(t, "models"), "")
@@ -94,7 +96,7 @@
 				break
 			}
 		}
-		require.Zero(t, loads, "it does not come to rest")
+		require.Zero(t, loads, "plans do not converge")
 		for _, w := range ws {
 			require.GreaterOrEqual(t, copies(es, w), 2, w)
 			require.True(t, slices.ContainsFunc(es, func(e fleet.Endpoint) bool { return !e.Reclaimable && e.Has(w) }), w)
@@ -102,7 +104,7 @@
 	})
 }
 
-// One box leaves: what the others have stays where it is.
+// When a box leaves, only the workloads that it had are loaded elsewhere.
 func TestMovesOnlyLostWorkloads(t *testing.T) {
 	d := models(t, 6, "")
 	es := engines(9)
@@ -121,7 +123,7 @@
 	require.LessOrEqual(t, moved, lost)
 }
 
-// Selectors that leave too little room are named.
+// A selector that leaves too few engines for a workload is named in the plan.
 func TestUnmetNamesSelector(t *testing.T) {
 	d := models(t, 1, "[selector \"only old\"]\nworkloads = m0*\nrequire = class=old\n")
 	p := placement.Sticky{}.Plan(placement.Input{DataCentre: "a", Document: d, Endpoints: engines(3), MaxLoads: 9})
@@ -130,8 +132,8 @@
 	require.Equal(t, "m0@1", p.Unmet[0].Workload)
 }
 
-// A refused kind of box is not asked for again at once; the next cheapest is.
-// What is too slow for the target is never asked for.
+// A kind of box that was refused recently is not started; the next cheapest is. A class
+// that is too slow for the target between tokens is never started.
 func TestStartsCheapestSuitableBox(t *testing.T) {
 	d := models(t, 1, "")
 	in := placement.Input{
@@ -143,14 +145,14 @@
 			{DataCentre: "a", Class: "old", Reclaimable: true, PerHour: 0.1, Supply: 9},
 		},
 	}
-	spot := cloud.Start{DataCentre: "a", Class: "new", Reclaimable: true}
-	kept := cloud.Start{DataCentre: "a", Class: "new"}
+	reclaimable := cloud.Start{DataCentre: "a", Class: "new", Reclaimable: true}
+	onDemand := cloud.Start{DataCentre: "a", Class: "new"}
 	p := placement.Sticky{}.Plan(in)
-	require.Contains(t, p.Start, spot)
-	require.Contains(t, p.Start, kept, "a part is carried without reclaimable boxes")
-	in.Refused = []cloud.Start{spot}
+	require.Contains(t, p.Start, reclaimable)
+	require.Contains(t, p.Start, onDemand, "a share is carried without reclaimable boxes")
+	in.Refused = []cloud.Start{reclaimable}
 	for _, s := range (placement.Sticky{}).Plan(in).Start {
-		require.Equal(t, kept, s)
+		require.Equal(t, onDemand, s)
 	}
 }
 
@@ -172,10 +174,10 @@
 	}
 }
 
-// Without any demand a data centre keeps one box that no reclaim takes, however
-// dear, and asks for one if it has none.
+// Without demand, a data centre keeps one box that is not reclaimable, whatever its price,
+// and starts one if it has none.
 func TestKeepsOneOnDemandBox(t *testing.T) {
-	spot := cloud.Start{DataCentre: "a", Class: "new", Reclaimable: true}
+	reclaimable := cloud.Start{DataCentre: "a", Class: "new", Reclaimable: true}
 	in := placement.Input{
 		DataCentre: "a", Document: models(t, 1, ""), MaxLoads: 9,
 		Prices: []cloud.Price{
@@ -194,13 +196,13 @@
 	in.Endpoints = es[1:]
 	p := placement.Sticky{}.Plan(in)
 	require.Contains(t, p.Start, cloud.Start{DataCentre: "a", Class: "new"})
-	require.NotContains(t, p.Start, spot)
+	require.NotContains(t, p.Start, reclaimable)
 }
 
-// The more boxes' cost counts against recomputed tokens, the less of the demand is
-// carried by boxes that no reclaim takes.
+// The more weight cost has against recomputed tokens, the smaller is the share of the
+// demand on boxes that are not reclaimable.
 func TestWeightsTradeOffCostAndRecompute(t *testing.T) {
-	kept := func(cost, recompute float64) int {
+	onDemandStarts := func(cost, recompute float64) int {
 		d := models(t, 1, "")
 		d.Targets.CostWeight, d.Targets.RecomputeWeight = cost, recompute
 		p := placement.Sticky{}.Plan(placement.Input{
@@ -219,6 +221,6 @@
 		}
 		return n
 	}
-	require.Greater(t, kept(0.1, 0.5), kept(0.9, 0.5))
-	require.Equal(t, kept(1, 0.1), kept(0, 0), "the least is carried whatever the weights")
+	require.Greater(t, onDemandStarts(0.1, 0.5), onDemandStarts(0.9, 0.5))
+	require.Equal(t, onDemandStarts(1, 0.1), onDemandStarts(0, 0), "the minimum share is carried whatever the weights")
 }
--- a/placement/sticky.go
+++ b/placement/sticky.go
@@ -10,45 +10,47 @@
 	"birchlink.dev/birchlink/fleet"
 )
 
-// defaultMaxWorkloads is how many workloads an engine holds unless its box has the
+// defaultMaxWorkloads is how many workloads an engine holds if its box has no valid
 // label "workloads".
 const defaultMaxWorkloads = 4
 
-// headroom is how many streams' worth of slots is planned for each that is
-// wanted.
+// headroom is the number of slots planned for each wanted stream.
 const headroom = 1.3
 
-// Sticky moves only what must move: a workload stays where it is loaded while
-// that is allowed, and is given up only when its other copies are loaded.
+// Sticky is the [Planner] in use. It moves as few workloads as possible: a workload
+// stays where it is loaded while its selectors allow that, and is unloaded only when
+// its other copies are loaded.
 type Sticky struct{}
 
-// Plan decides the assignments, and what boxes to hold.
+// Plan implements [Planner].
 func (Sticky) Plan(in Input) Plan { return plan(&planner{in: in, sticky: true}) }
 
-// FromScratch places everything from nothing. It is a baseline.
+// FromScratch is a [Planner] that ignores where workloads are loaded. It serves as a
+// baseline in comparisons.
 type FromScratch struct{}
 
-// Plan decides without regard to what is loaded.
+// Plan implements [Planner].
 func (FromScratch) Plan(in Input) Plan { return plan(&planner{in: in}) }
 
-// OnDemandOnly is Sticky, but asks for no reclaimable boxes. It is a baseline.
+// OnDemandOnly is [Sticky] without starts of reclaimable boxes. It serves as a baseline
+// in comparisons.
 type OnDemandOnly struct{}
 
-// Plan decides without reclaimable boxes.
+// Plan implements [Planner].
 func (OnDemandOnly) Plan(in Input) Plan {
 	return plan(&planner{in: in, sticky: true, onDemandOnly: true})
 }
 
-// engine is a live engine with its room and what is planned for it.
+// engine is a live engine and the plan for it.
 type engine struct {
 	fleet.Endpoint
-	unitCost     float64
+	unitCost     float64 // price per hour for a token per second, 0 if unknown
 	maxWorkloads int
-	planned      []string
-	released     bool
+	planned      []string // workloads that it should have
+	released     bool     // gets no workloads, so that its box can be stopped
 }
 
-// planner is the work of one plan.
+// planner holds the state of the computation of one plan.
 type planner struct {
 	in           Input
 	sticky       bool
@@ -56,8 +58,8 @@
 	engines      []*engine
 	plan         Plan
 
-	// assigned holds the engines that shall have each workload, may those that its
-	// selectors allow: both are asked for again and again.
+	// assigned holds the engines for which each workload is planned, permitted those
+	// that its selectors allow. They are caches, since both are looked up often.
 	assigned  map[string][]*engine
 	permitted map[string][]*engine
 }
@@ -78,7 +80,8 @@
 	return p.plan
 }
 
-// collectEngines takes the live engines of the data centre.
+// collectEngines sets p.engines to the usable engines of the data centre, sorted by
+// name.
 func (p *planner) collectEngines() {
 	for _, e := range p.in.Endpoints {
 		if e.Role == fleet.EngineRole && e.DataCentre == p.in.DataCentre && e.Usable() {
@@ -96,7 +99,8 @@
 	return n
 }
 
-// engineUnitCost is what a slot of an endpoint costs an hour for its speed.
+// engineUnitCost returns the price per hour of an engine divided by its throughput in
+// tokens per second, or 0 if there is no price for its kind.
 func (p *planner) engineUnitCost(e fleet.Endpoint) float64 {
 	for _, q := range p.in.Prices {
 		if q.DataCentre == e.DataCentre && q.Class == e.Class && q.Reclaimable == e.Reclaimable {
@@ -106,28 +110,28 @@
 	return 0
 }
 
-// placementOrder places the workloads with the fewest allowed engines first, so that
-// the others do not take their room.
+// placementOrder returns the workloads in the order in which they are placed. Those with
+// the fewest permitted engines come first, so that others do not fill these engines.
 func (p *planner) placementOrder() []string {
 	ws := p.in.Document.Workloads()
-	n := make(map[string]int, len(ws))
+	permitted := make(map[string]int, len(ws))
 	for _, w := range ws {
 		for _, e := range p.engines {
 			if ok, _ := p.in.Document.Allowed(w, e.Box); ok {
-				n[w]++
+				permitted[w]++
 			}
 		}
 	}
 	slices.SortStableFunc(ws, func(a, b string) int {
-		return cmp.Or(cmp.Compare(n[a], n[b]), cmp.Compare(p.in.Demand[b], p.in.Demand[a]))
+		return cmp.Or(cmp.Compare(permitted[a], permitted[b]), cmp.Compare(p.in.Demand[b], p.in.Demand[a]))
 	})
 	return ws
 }
 
-// minCopies is how many copies a workload shall have whatever its demand.
+// minCopies returns how many copies a workload should have whatever its demand.
 func (p *planner) minCopies(w string) int { return p.in.Document.Copies(w) }
 
-// wantedCopies is how many engines shall have a workload.
+// wantedCopies returns on how many engines a workload should be loaded.
 func (p *planner) wantedCopies(w string) int {
 	n := p.minCopies(w)
 	slots := 0
@@ -137,12 +141,12 @@
 	if len(p.engines) == 0 || slots == 0 {
 		return n
 	}
-	mean := float64(slots) / float64(len(p.engines))
-	return max(n, int(math.Ceil(p.in.Demand[w]*headroom/mean)))
+	meanSlots := float64(slots) / float64(len(p.engines))
+	return max(n, int(math.Ceil(p.in.Demand[w]*headroom/meanSlots)))
 }
 
-// place gives a workload the engines that it lacks: at least one that is not
-// reclaimable if there is one, the rest by worth.
+// place assigns a workload to as many more engines as it lacks, including at least one
+// that is not reclaimable if there is one.
 func (p *planner) place(w string) {
 	n := p.wantedCopies(w)
 	have := len(p.assignedTo(w))
@@ -163,7 +167,8 @@
 
 func isOnDemand(e *engine) bool { return !e.Reclaimable }
 
-// placeOne gives a workload one more engine, making room on one if it must.
+// placeOne assigns a workload to one more engine that satisfies ok, and evicts another
+// workload if no engine has room. It reports whether it succeeded.
 func (p *planner) placeOne(w string, ok func(*engine) bool) bool {
 	c := slices.DeleteFunc(p.candidates(w), func(e *engine) bool { return !ok(e) })
 	if len(c) == 0 {
@@ -173,23 +178,23 @@
 	return true
 }
 
-// add lets an engine have a workload.
+// add plans a workload for an engine.
 func (p *planner) add(w string, e *engine) {
 	e.planned = append(e.planned, w)
 	p.assigned[w] = append(p.assigned[w], e)
 }
 
-// remove lets an engine no longer have a workload.
+// remove undoes add. It allocates new slices, since callers may be ranging over the old ones.
 func (p *planner) remove(w string, e *engine) {
 	e.planned = slices.DeleteFunc(slices.Clone(e.planned), func(v string) bool { return v == w })
 	p.assigned[w] = slices.DeleteFunc(p.assigned[w], func(o *engine) bool { return o == e })
 }
 
-// allowed returns the engines that may have one more copy of a workload, were
-// there room.
+// allowed returns the engines that may get a copy of a workload, whether or not they
+// have room for it.
 func (p *planner) allowed(w string) []*engine {
-	all, known := p.permitted[w]
-	if !known {
+	all, cached := p.permitted[w]
+	if !cached {
 		for _, e := range p.engines {
 			if ok, _ := p.in.Document.Allowed(w, e.Box); ok && !e.released {
 				all = append(all, e)
@@ -200,23 +205,24 @@
 	return slices.DeleteFunc(slices.Clone(all), func(e *engine) bool { return slices.Contains(e.planned, w) })
 }
 
-// candidates returns the engines that may have one more copy of a workload.
+// candidates returns the engines that may get a copy of a workload and have room for it.
 func (p *planner) candidates(w string) []*engine {
 	return slices.DeleteFunc(p.allowed(w), func(e *engine) bool { return len(e.planned) >= e.maxWorkloads })
 }
 
-// assignedTo returns the engines that shall have a workload.
+// assignedTo returns the engines for which a workload is planned.
 func (p *planner) assignedTo(w string) []*engine { return p.assigned[w] }
 
-// compare orders engines for a workload: those that have it first, then by
-// preference, by how full they are, and by price for their speed.
+// compare orders engines by how well they suit a workload, the best first. Engines that
+// have it loaded come first if the planner is sticky. Ties are broken by preference, by
+// the number of planned workloads and by cost.
 func (p *planner) compare(w string, a, b *engine) int {
-	stay := 0
+	byLoaded := 0
 	if p.sticky {
-		stay = -compareBool(a.Has(w), b.Has(w))
+		byLoaded = -compareBool(a.Has(w), b.Has(w))
 	}
 	return cmp.Or(
-		stay,
+		byLoaded,
 		cmp.Compare(p.in.Document.Preference(w, b.Box), p.in.Document.Preference(w, a.Box)),
 		cmp.Compare(len(a.planned), len(b.planned)),
 		cmp.Compare(a.unitCost, b.unitCost),
@@ -234,7 +240,7 @@
 	}
 }
 
-// addUnmet says why a workload has fewer engines than it shall have.
+// addUnmet records that a workload has fewer engines than it should have, and why.
 func (p *planner) addUnmet(w string, have, want int) {
 	u := Unmet{Workload: w, Reason: fmt.Sprintf("%d of %d copies have a place", have, want)}
 	for _, e := range p.engines {
@@ -248,8 +254,8 @@
 	p.plan.Unmet = append(p.plan.Unmet, u)
 }
 
-// buildAssignments turns what is wanted into orders in two steps: load first, and give up
-// what is no longer wanted only when every engine that wants it has it.
+// buildAssignments turns the planned workloads into assignments. A workload that is not
+// planned for an engine stays there until every engine for which it is planned has it.
 func (p *planner) buildAssignments() {
 	now := p.chooseLoads()
 	for _, e := range p.engines {
@@ -276,14 +282,14 @@
 	}
 }
 
-// load is one workload to be fetched by one engine.
+// load is the fetch of one workload by one engine.
 type load struct {
 	engine   *engine
 	workload string
 }
 
-// chooseLoads chooses the loads that the weight store bears now: for those first
-// that have the fewest copies loaded.
+// chooseLoads returns the loads to do now, at most as many as the weight store can serve.
+// Workloads with the fewest loaded copies come first.
 func (p *planner) chooseLoads() map[load]bool {
 	var all []load
 	loaded := map[string]int{}
@@ -305,8 +311,8 @@
 	return now
 }
 
-// fullyLoaded reports whether every engine that wants w has it, or no
-// engine wants it and it is no longer configured.
+// fullyLoaded reports whether every engine for which w is planned has it. A workload
+// that is planned for no engine counts as fully loaded.
 func (p *planner) fullyLoaded(w string) bool {
 	for _, e := range p.engines {
 		if slices.Contains(e.planned, w) && !e.Has(w) {
--- a/placement/widen.go
+++ b/placement/widen.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// evictionMargin is by how much the copies that are left must carry the demand before
-// one is given up for another workload.
+// evictionMargin is the ratio of capacity to wanted slots that the remaining copies of a
+// workload must have before one copy is evicted in favour of another workload.
 const evictionMargin = 1.1
 
-// keepLoaded leaves every workload where it is loaded and may be: what is there costs
-// nothing. Where an engine has more than it has room for, those with the fewest
+// keepLoaded plans every workload where it is loaded and permitted, since that needs no
+// load. If an engine has more workloads than it has room for, those with the fewest
 // copies stay.
 func (p *planner) keepLoaded() {
 	copies := map[string]int{}
@@ -16,11 +16,11 @@
 			copies[w]++
 		}
 	}
-	known := p.in.Document.Workloads()
+	configured := p.in.Document.Workloads()
 	for _, e := range p.engines {
 		ws := slices.DeleteFunc(slices.Clone(e.Loaded), func(w string) bool {
 			ok, _ := p.in.Document.Allowed(w, e.Box)
-			return !ok || e.released || !slices.Contains(known, w)
+			return !ok || e.released || !slices.Contains(configured, w)
 		})
 		slices.SortStableFunc(ws, func(a, b string) int { return copies[a] - copies[b] })
 		for _, w := range ws[:min(len(ws), e.maxWorkloads)] {
@@ -29,7 +29,8 @@
 	}
 }
 
-// evictFor gives a workload the place of another that has copies to spare.
+// evictFor replaces a planned copy of another workload, which can spare it, by one of w on
+// an engine that satisfies ok. It reports whether there was such an engine.
 func (p *planner) evictFor(w string, ok func(*engine) bool) bool {
 	for _, e := range p.allowed(w) {
 		if !ok(e) {
@@ -46,26 +47,27 @@
 	return false
 }
 
-// canSpare reports whether a workload does without its copy on an engine: always
-// for one that lacks its least copies, otherwise only when the rest carry its
+// canSpare reports whether workload v can give up its copy on e to w. It never goes below
+// its minimum number of copies, nor gives up its last copy that is not reclaimable. If w
+// lacks either of these, v gives way; otherwise only if its other copies carry its
 // demand.
 func (p *planner) canSpare(v, w string, e *engine) bool {
-	with := p.assignedTo(v)
-	if len(with) <= p.minCopies(v) {
+	engines := p.assignedTo(v)
+	if len(engines) <= p.minCopies(v) {
 		return false
 	}
-	if isOnDemand(e) && !slices.ContainsFunc(with, func(o *engine) bool { return o != e && isOnDemand(o) }) {
+	if isOnDemand(e) && !slices.ContainsFunc(engines, func(o *engine) bool { return o != e && isOnDemand(o) }) {
 		return false
 	}
 	if len(p.assignedTo(w)) < p.minCopies(w) || !slices.ContainsFunc(p.assignedTo(w), isOnDemand) {
 		return true
 	}
-	all := p.sustainableStreams(v)
-	return all*float64(len(with)-1)/float64(len(with)) >= p.in.Demand[v]*headroom*evictionMargin
+	streams := p.sustainableStreams(v)
+	return streams*float64(len(engines)-1)/float64(len(engines)) >= p.in.Demand[v]*headroom*evictionMargin
 }
 
-// addCopies gives more copies to workloads whose engines, shared as they are with
-// other workloads, cannot carry their demand, while engines have room.
+// addCopies adds copies of workloads whose engines cannot carry their demand beside the
+// other workloads planned for them, while engines have room.
 func (p *planner) addCopies() {
 	for range len(p.engines) * defaultMaxWorkloads {
 		if !p.addCopy() {
@@ -74,31 +76,34 @@
 	}
 }
 
-// addCopy gives one more copy to the workload that lacks the most.
+// addCopy adds a copy of the workload that lacks the most capacity and reports whether
+// there was one.
 func (p *planner) addCopy() bool {
-	worst, lack := "", 0.0
+	neediest, deficit := "", 0.0
 	for _, w := range p.in.Document.Workloads() {
-		if l := p.in.Demand[w]*headroom - p.sustainableStreams(w); l > lack && len(p.candidates(w)) > 0 {
-			worst, lack = w, l
+		if d := p.in.Demand[w]*headroom - p.sustainableStreams(w); d > deficit && len(p.candidates(w)) > 0 {
+			neediest, deficit = w, d
 		}
 	}
-	return worst != "" && p.placeOne(worst, anyEngine)
+	return neediest != "" && p.placeOne(neediest, anyEngine)
 }
 
-// sustainableStreams is how many streams of a workload its engines carry when each divides
-// its slots by the demand of what it holds.
+// sustainableStreams returns how many streams of a workload its engines can run at once,
+// if each divides its slots among its workloads in proportion to their demand.
 func (p *planner) sustainableStreams(w string) float64 {
 	var sum float64
 	for _, e := range p.assignedTo(w) {
-		var all float64
+		var demand float64
 		for _, o := range e.planned {
-			all += p.in.Demand[o] / float64(p.copyCount(o))
+			demand += p.in.Demand[o] / float64(p.copyCount(o))
 		}
-		if all > 0 {
-			sum += float64(e.Slots) * p.in.Demand[w] / float64(p.copyCount(w)) / all
+		if demand > 0 {
+			sum += float64(e.Slots) * p.in.Demand[w] / float64(p.copyCount(w)) / demand
 		}
 	}
 	return sum
 }
 
+// copyCount returns the number of planned copies of a workload, at least 1 so that it can
+// be a divisor.
 func (p *planner) copyCount(w string) int { return max(len(p.assignedTo(w)), 1) }
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -1,6 +1,7 @@
-// Package placer carries out placement plans for a data centre, on the one box
-// that has the duty: declarative orders to engines, reconciled by reading back,
-// and starts and stops of boxes.
+// Package placer carries out placement plans for a data centre. The box that
+// holds the lease of the data centre computes the plans. It sends each engine the
+// set of workloads to load until the engine reports that set, and starts and stops
+// boxes.
 package placer
 
 import (
@@ -27,19 +28,19 @@
 	"birchlink.dev/birchlink/view"
 )
 
-// Name is the name of the service.
+// Name is the name of the service in the kernel.
 const Name = "placer"
 
-// The times and bounds of the duty.
 const (
-	candidates         = 2
-	orderTimeout       = 30 * time.Second
-	maxConcurrentLoads = 2
-	refusalTTL         = time.Minute
-	stopInterval       = time.Minute
+	candidates         = 2                // boxes of a data centre that compete for the lease
+	orderTimeout       = 30 * time.Second // for one order to an engine
+	maxConcurrentLoads = 2                // that the weight store serves at once
+	refusalTTL         = time.Minute      // how long a refused kind of box is not started again
+	stopInterval       = time.Minute      // minimum time between two stops of boxes
 )
 
-// Placer is the service of one box.
+// Placer is the placement service of one box. It is idle while another box holds the
+// lease.
 type Placer struct {
 	Platform *cloud.Client
 	Log      zerolog.Logger
@@ -55,21 +56,22 @@
 	mu        sync.Mutex
 	plan      placement.Plan
 	refusedAt map[cloud.Start]time.Time
-	pending   map[string]bool
+	pending   map[string]bool // boxes of engines with an order under way
 	lastStop  time.Time
 	cancel    context.CancelFunc
 	group     sync.WaitGroup
 }
 
-// New returns the placer of a box.
+// New returns a placer that starts and stops boxes through p.
 func New(p *cloud.Client, log zerolog.Logger) *Placer {
 	return &Placer{Platform: p, Log: log, refusedAt: map[cloud.Start]time.Time{}, pending: map[string]bool{}}
 }
 
-// Name returns the service's name.
+// Name returns [Name].
 func (p *Placer) Name() string { return Name }
 
-// Start begins to seek the duty.
+// Start binds the services that the placer needs from k and begins to compete for the
+// lease.
 func (p *Placer) Start(_ context.Context, k *kernel.Kernel) error {
 	s, err := kernel.Find[*kv.Service](k, kv.Name)
 	if err != nil {
@@ -93,7 +95,7 @@
 	return nil
 }
 
-// Stop ends the duty.
+// Stop ends the placer and waits until its orders have ended.
 func (p *Placer) Stop(context.Context) error {
 	p.cancel()
 	p.group.Wait()
@@ -101,10 +103,11 @@
 	return nil
 }
 
-// Leader returns the holder and the fence as this box knows them.
+// Leader returns the incarnation of the box that holds the lease and the fence of the
+// lease, as far as this box knows.
 func (p *Placer) Leader() (string, uint64) { return p.lease.Current() }
 
-// Plan returns the last plan that this box made.
+// Plan returns the last plan that this box computed.
 func (p *Placer) Plan() placement.Plan {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,17 +127,18 @@
 	}
 }
 
+// reconcile renews the lease and, if this box holds it, computes and applies a plan.
 func (p *Placer) reconcile(c context.Context) {
-	first, _ := p.members.Owner("placer", candidates)
-	if _, mine := p.lease.Mine(); !first && !mine {
+	candidate, _ := p.members.Owner("placer", candidates)
+	if _, held := p.lease.Mine(); !candidate && !held {
 		return
 	}
 	if err := p.lease.Step(c); err != nil {
-		p.Log.Warn().Err(err).Msg("duty not renewed")
+		p.Log.Warn().Err(err).Msg("could not acquire or renew the lease")
 	}
-	fence, mine := p.lease.Mine()
+	fence, held := p.lease.Mine()
 	d := p.follower.Current()
-	if !mine || d == nil {
+	if !held || d == nil {
 		return
 	}
 	plan := placement.Sticky{}.Plan(p.input(c))
@@ -156,7 +160,7 @@
 	}
 	ps, err := p.Platform.Prices(c)
 	if err != nil {
-		p.Log.Warn().Err(err).Msg("placing without prices")
+		p.Log.Warn().Err(err).Msg("planning without prices")
 	}
 	in.Prices = ps
 	p.mu.Lock()
@@ -171,7 +175,7 @@
 	return in
 }
 
-// record logs a plan's decisions that are new.
+// record stores a plan and logs the unmet requirements that the previous plan did not have.
 func (p *Placer) record(n placement.Plan) {
 	p.mu.Lock()
 	old := p.plan
@@ -184,7 +188,7 @@
 	}
 }
 
-// apply orders what differs from the plan.
+// apply sends orders to the engines that differ from the plan, and starts and stops boxes.
 func (p *Placer) apply(c context.Context, n placement.Plan, fence uint64) {
 	for _, a := range n.Assignments {
 		s := p.view.Slot(a.Box)
@@ -205,13 +209,15 @@
 	}
 }
 
-// canOrder reports whether an engine may be given orders now. One that checks the
-// fence decides itself, so the last holder goes on while the platform is away.
+// canOrder reports whether this box may send orders to an engine now. An engine that checks
+// fences refuses stale orders itself, so the last holder of the lease can continue while
+// the platform is unreachable.
 func (p *Placer) canOrder(s *view.Slot) bool {
 	return s.ChecksFence || p.lease.Safe(time.Now(), orderTimeout)
 }
 
-// order gives one engine its orders, unless it still works on the last.
+// order sends an assignment to one engine in the background, unless an earlier order to
+// that engine is still under way.
 func (p *Placer) order(c context.Context, e fleet.Endpoint, a placement.Assignment, fence uint64) {
 	p.mu.Lock()
 	busy := p.pending[e.Name]
@@ -233,11 +239,13 @@
 		if errors.Is(err, engine.ErrFenced) {
 			p.Log.Warn().Str("box", e.Name).Msg("a later holder has the duty")
 		} else if err != nil {
-			p.Log.Warn().Str("box", e.Name).Err(err).Msg("order not carried out")
+			p.Log.Warn().Str("box", e.Name).Err(err).Msg("engine order failed")
 		}
 	})
 }
 
+// startBox starts a box and logs the decision. A kind of box that was refused is not
+// started again before refusalTTL has passed.
 func (p *Placer) startBox(c context.Context, s cloud.Start) {
 	b, err := p.Platform.Start(c, s)
 	n := decisions.Decision{Subject: "placement", Event: "start", Choice: b.Name, Workload: s.Class, Reason: "demand needs it"}
