--- a/scaling/plan.go
+++ b/scaling/plan.go
@@ -1,5 +1,5 @@
-// Package scaling decides how many endpoints of each kind a service should have
-// in each data centre. It does no I/O.
+// Package scaling decides how many on-demand and reclaimable endpoints a service
+// should have in each data centre. It does no I/O.
 package scaling
 
 import (
@@ -20,107 +20,116 @@
 	Reclaimable int
 }
 
-// Demand is what one data centre's boxes have to carry for a service.
+// Demand is the load that the boxes of one data centre have to carry for a service.
 type Demand struct {
-	// Tokens is the prompt tokens that have to be read a second, and Running the
-	// requests under way.
+	// Tokens is the number of prompt tokens to read per second, and Running the number
+	// of requests under way.
 	Tokens  float64
 	Running float64
 }
 
-// Policy holds the figures of the decision.
+// Policy holds the parameters of the decision. The scores in the comments of its fields
+// are means over five days of load with failures.
 type Policy struct {
-	// Surplus is how many reclaimable endpoints there are, with one data centre's
-	// taken away, for each that the load needs. They cost a fifth; with 1 in place of
-	// 1.5 the mean worth of five days with trouble is 0.024 less.
+	// Surplus is the ratio of reclaimable endpoints to those that the load needs, after
+	// the loss of those of one data centre. They cost a fifth of the price on demand. A
+	// surplus of 1 instead of 1.5 lowers the score by 0.024.
 	Surplus float64
 
-	// ToleratedLosses is how many data centres' reclaimable endpoints may go at once with the
-	// rest still carrying the load; WaryLost is that number for Wary after a reclaim
-	// anywhere: reclaims come in waves, one data centre after the other, and none can
-	// be had meanwhile. With 1 then as well the same mean is 0.012 less.
+	// ToleratedLosses is how many data centres may lose their reclaimable endpoints at once
+	// while the remaining endpoints still carry the load. LossesAfterReclaim replaces it for
+	// ReclaimWindow after a reclaim in any data centre, since reclaims come in waves, one
+	// data centre after the other, and no replacements are available meanwhile. With 1
+	// instead of 2 in that window the score is 0.012 lower.
 	ToleratedLosses, LossesAfterReclaim int
 	ReclaimWindow                       time.Duration
 
-	// InsuredShare is the part of what the load needs that remains when those data centres
-	// lose theirs: an endpoint on demand costs several times a reclaimable one for as
-	// long as it waits for a loss, and the rest starts within seconds. With 1 the same
-	// mean is 0.008 less.
+	// InsuredShare is the share of the endpoints needed for the load that must remain after
+	// such losses. A share below 1 suffices, since an on-demand endpoint costs several times
+	// a reclaimable one while it is not needed, and the missing ones start within seconds.
+	// With 1 instead of 0.6 the score is 0.008 lower.
 	InsuredShare float64
 
-	// BaseShare is the part of what the load needs that is on demand whatever else
-	// there is: a cloud that is away when reclaims come replaces nothing. With none the
-	// same mean is 0.008 less.
+	// BaseShare is the share of the endpoints needed for the load that is always on demand,
+	// since a cloud that is unreachable during a reclaim replaces nothing. With 0 instead of
+	// 0.05 the score is 0.008 lower.
 	BaseShare float64
 
-	// MinEndpoints is how many endpoints the fleet needs, whatever its load.
+	// MinEndpoints is how many endpoints the fleet needs whatever its load.
 	MinEndpoints int
 }
 
-// Default is the policy in use; its figures are measured in rounds (docs/DESIGN.md).
-var Default = Policy{Surplus: 1.5, ToleratedLosses: 1, LossesAfterReclaim: 2, ReclaimWindow: 15 * time.Second, InsuredShare: 0.6, BaseShare: 0.05, MinEndpoints: 4}
+// Default is the policy in use. See docs/DESIGN.md for its values.
+var Default = Policy{
+	Surplus: 1.5, ToleratedLosses: 1, LossesAfterReclaim: 2, ReclaimWindow: 15 * time.Second,
+	InsuredShare: 0.6, BaseShare: 0.05, MinEndpoints: 4,
+}
 
-// late is the part of the requests that may miss their objective for having waited at
-// an endpoint for the prompts of others, where choices know nothing of those; heardPart
-// is the part of such waits that a choice avoids which knows of all prompts.
+// lateShare is the share of requests that may miss their objective because they wait at an
+// endpoint for the prompts of other boxes, if routing sees none of those prompts.
+// avoidableShare is the share of such waits that routing avoids if it sees all of them.
 const (
 	lateShare      = 0.08
 	avoidableShare = 0.6
 )
 
-// LateShareOnDemand is the same part for endpoints on demand, whatever choices know. They
-// cost several times as much, and carry the load when reclaimable ones cannot be had:
-// with 0.25 the whole day's worth falls by 0.02 to 0.08 where all of those are gone.
+// LateShareOnDemand is the share of requests that may be late at on-demand endpoints,
+// whatever routing sees. On-demand endpoints cost several times as much as reclaimable ones,
+// but carry the load while those are not available: with 0.25 the score of a day falls by
+// 0.02 to 0.08 if all reclaimable endpoints are reclaimed.
 const LateShareOnDemand = 0.15
 
-// LateShareFor returns the part of the requests that may wait too long by an estimate that
-// takes choices to know nothing of others' prompts, where they do not know of a part.
-func LateShareFor(blind float64) float64 { return lateShare / (1 - avoidableShare*(1-blind)) }
+// LateShareFor returns the share of requests that may be late by an estimate that assumes
+// that routing sees no prompts of other boxes. Unobserved is the fraction of those prompts that
+// routing does not see. The share grows as unobserved falls, since routing then avoids a part of
+// the estimated waits.
+func LateShareFor(unobserved float64) float64 { return lateShare / (1 - avoidableShare*(1-unobserved)) }
 
-// Capacity is what one endpoint bears, where reclaimable endpoints carry the load and
-// where it takes others.
+// Capacity is the sustainable load of one endpoint: Reclaimable where reclaimable endpoints
+// carry the load, OnDemand where on-demand ones have to.
 type Capacity struct {
 	Reclaimable estimate.Bearable
 	OnDemand    estimate.Bearable
 }
 
-// Site is what is known of a service in one data centre.
+// Site is the state of a service in one data centre.
 type Site struct {
 	DataCentre  string
 	Demand      Demand
-	Have        Count // that serve
-	Limited     Count // of them, those that take a bounded rate of requests
-	OutOfSupply bool  // no reclaimable endpoint can be had now
+	Have        Count // serving endpoints
+	Limited     Count // serving endpoints that accept a bounded rate of requests
+	OutOfSupply bool  // no reclaimable endpoints are available now
 
-	// SinceReclaim is how long ago its reclaimable endpoints began to be taken.
+	// SinceReclaim is the time since the start of the last reclaim of its reclaimable
+	// endpoints.
 	SinceReclaim time.Duration
 }
 
-// unlimited is how many endpoints there take any rate.
+// unlimited returns how many serving endpoints accept any rate of requests.
 func (d *Site) unlimited() Count {
 	return Count{d.Have.OnDemand - d.Limited.OnDemand, d.Have.Reclaimable - d.Limited.Reclaimable}
 }
 
-// usableReclaimable is how many reclaimable endpoints carry load there, or coming if that is more
-// and they can be had.
-func (d *Site) usableReclaimable(coming int) int {
+// usableReclaimable returns how many reclaimable endpoints carry load. Starting is how many
+// there will be soon; it counts instead if it is larger and they are available.
+func (d *Site) usableReclaimable(starting int) int {
 	n := d.unlimited().Reclaimable
 	if d.OutOfSupply {
 		return n
 	}
-	return max(n, coming)
-}
-
-// Plan returns the wanted counts by data centre. Bytes between data centres cost
-// little against an endpoint, so the fleet is one. The load is carried by
-// reclaimable endpoints, as many in each data centre, with enough of them that
-// those of one may go. On demand is had what they do not carry, and of what would be
-// missing after such a loss the part that is insured. Endpoints that take a bounded rate
-// carry none of the load, and are counted besides: a fleet that has few to spare would
-// leave theirs to the others.
-// Sites are in the order of their price; bears is what one endpoint
-// bears.
-func (p Policy) Plan(s *catalog.Scaling, sites []Site, bears Capacity) map[string]Count {
+	return max(n, starting)
+}
+
+// Plan returns the wanted counts by data centre. It sizes all data centres as one fleet,
+// since traffic between them is cheap compared with an endpoint. Sites must be sorted by
+// price, the cheapest first.
+//
+// The load is carried by reclaimable endpoints, the same number in each data centre, and
+// enough of them to lose those of one data centre. On-demand endpoints carry the rest of
+// the load and the insured share of what further losses would leave uncovered. Endpoints
+// that accept a bounded rate are counted in addition and carry none of the load: in a
+// fleet with little to spare, the others would have to carry their share.
+func (p Policy) Plan(s *catalog.Scaling, sites []Site, capacity Capacity) map[string]Count {
 	if len(sites) == 0 {
 		return map[string]Count{}
 	}
@@ -129,66 +138,65 @@
 		all.Tokens += d.Demand.Tokens
 		all.Running += d.Demand.Running
 	}
-	want := max(endpointsFor(all, bears.Reclaimable), p.MinEndpoints)
-	must := max(endpointsFor(all, bears.OnDemand), p.MinEndpoints)
-	each := ceil(p.Surplus * float64(want) / float64(max(len(sites)-1, 1)))
-	// Where some were taken lately, none is counted that does not serve yet.
-	least := func(coming int) int {
+	reclaimableNeeded := max(endpointsFor(all, capacity.Reclaimable), p.MinEndpoints)
+	onDemandNeeded := max(endpointsFor(all, capacity.OnDemand), p.MinEndpoints)
+	perSite := ceil(p.Surplus * float64(reclaimableNeeded) / float64(max(len(sites)-1, 1)))
+	// After a recent reclaim, only endpoints that serve are counted.
+	minOnDemand := func(starting int) int {
 		if p.reclaimedRecently(sites) {
-			coming = 0
+			starting = 0
 		}
-		insured := ceil(p.InsuredShare*float64(must)) - p.survivors(sites, coming)
-		return max(must-totalReclaimable(sites, coming), insured, ceil(p.BaseShare*float64(must)))
+		insured := ceil(p.InsuredShare*float64(onDemandNeeded)) - p.survivors(sites, starting)
+		return max(onDemandNeeded-totalReclaimable(sites, starting), insured, ceil(p.BaseShare*float64(onDemandNeeded)))
 	}
-	keep, add := least(0), least(min(each, s.Max))
+	keep, add := minOnDemand(0), minOnDemand(min(perSite, s.Max))
 	out := p.spreadOnDemand(s, sites, keep, add)
 	for _, d := range sites {
 		c := out[d.DataCentre]
 		c.OnDemand = min(c.OnDemand+d.Limited.OnDemand, s.Max)
-		c.Reclaimable = min(max(each, s.Min-c.OnDemand)+d.Limited.Reclaimable, s.Max-c.OnDemand)
+		c.Reclaimable = min(max(perSite, s.Min-c.OnDemand)+d.Limited.Reclaimable, s.Max-c.OnDemand)
 		out[d.DataCentre] = c
 	}
 	return out
 }
 
-// totalReclaimable is how many reclaimable endpoints serve. While they can be had, coming is how
-// many each data centre has soon, if it does not yet.
-func totalReclaimable(sites []Site, coming int) int {
+// totalReclaimable returns how many reclaimable endpoints carry load in all data centres.
+// Starting is how many each data centre will have soon.
+func totalReclaimable(sites []Site, starting int) int {
 	n := 0
 	for i := range sites {
-		n += sites[i].usableReclaimable(coming)
+		n += sites[i].usableReclaimable(starting)
 	}
 	return n
 }
 
-// survivors is how many of those remain when the data centres that have most of them
-// lose theirs.
-func (p Policy) survivors(sites []Site, coming int) int {
-	lost := p.ToleratedLosses
+// survivors returns how many reclaimable endpoints remain after the tolerated losses, in the
+// worst case: the data centres with most of them lose theirs.
+func (p Policy) survivors(sites []Site, starting int) int {
+	losses := p.ToleratedLosses
 	if p.reclaimedRecently(sites) {
-		lost = p.LossesAfterReclaim
+		losses = p.LossesAfterReclaim
 	}
-	have := make([]int, 0, len(sites))
+	usable := make([]int, 0, len(sites))
 	for i := range sites {
-		have = append(have, sites[i].usableReclaimable(coming))
+		usable = append(usable, sites[i].usableReclaimable(starting))
 	}
-	slices.Sort(have)
+	slices.Sort(usable)
 	n := 0
-	for _, h := range have[:max(len(have)-lost, 0)] {
+	for _, h := range usable[:max(len(usable)-losses, 0)] {
 		n += h
 	}
 	return n
 }
 
-// reclaimedRecently reports whether reclaimable endpoints were taken lately anywhere.
+// reclaimedRecently reports whether a reclaim in any data centre began within ReclaimWindow.
 func (p Policy) reclaimedRecently(sites []Site) bool {
 	return slices.ContainsFunc(sites, func(d Site) bool { return d.SinceReclaim < p.ReclaimWindow })
 }
 
-// spreadOnDemand spreads the endpoints on demand, of which there are as many as keep for
-// those that serve and as add with others. Those that serve are kept, the cheapest
-// first; others are added where that is cheapest and there is room beside the
-// reclaimable ones.
+// spreadOnDemand distributes the on-demand endpoints over the data centres. It keeps up to
+// keep endpoints that serve already, the cheapest first, and raises the total to add with
+// new ones in the cheapest data centres that have room beside their reclaimable endpoints.
 func (p Policy) spreadOnDemand(s *catalog.Scaling, sites []Site, keep, add int) map[string]Count {
 	out := map[string]Count{}
 	total := 0
@@ -213,20 +221,20 @@
 
 func ceil(f float64) int { return int(math.Ceil(f)) }
 
-// endpointsFor is how many endpoints a load takes.
+// endpointsFor returns how many endpoints a load needs if each sustains b.
 func endpointsFor(d Demand, b estimate.Bearable) int {
 	return ceil(max(d.Tokens/max(b.Tokens, 1), d.Running/max(b.Running, 1)))
 }
 
-// DataCentres returns where a service can be ordered: the priced ones, the
-// cheapest first.
+// DataCentres returns the data centres in which a service can be ordered, which are those
+// that have a price, the cheapest first.
 func DataCentres(s *catalog.Scaling) []string {
 	return slices.SortedFunc(maps.Keys(s.Prices), func(a, b string) int {
 		return cmp.Or(cmp.Compare(s.Prices[a], s.Prices[b]), cmp.Compare(a, b))
 	})
 }
 
-// CountEndpoints counts the endpoints of one data centre that take work.
+// CountEndpoints returns how many of the endpoints es are in the data centre dc, by kind.
 func CountEndpoints(es []endpoint.Endpoint, dc string) Count {
 	var c Count
 	for i := range es {
--- a/scaling/plan_test.go
+++ b/scaling/plan_test.go
@@ -13,16 +13,18 @@
 
 var service = &catalog.Scaling{Min: 1, Max: 6, ReclaimablePrice: 0.2, Prices: map[string]float64{"a": 0.85, "b": 1.2, "c": 1}}
 
-// capacity is what an endpoint bears of a load of 30,000 tokens a second in each data
-// centre: five carry it.
+// capacity is such that five endpoints carry 30,000 tokens per second in each of three data
+// centres.
 var capacity = equalCapacity(20_000)
 
+// equalCapacity returns the same capacity for both kinds of endpoints.
 func equalCapacity(tokens float64) scaling.Capacity {
 	b := estimate.Bearable{Tokens: tokens, Running: 40}
 	return scaling.Capacity{Reclaimable: b, OnDemand: b}
 }
 
-// sites returns three data centres with the same demand each.
+// sites returns three data centres that each have the same demand, one on-demand endpoint
+// and the given number of reclaimable ones.
 func sites(tokens float64, reclaimable int) []scaling.Site {
 	dcs := scaling.DataCentres(service)
 	out := make([]scaling.Site, 0, len(dcs))
@@ -46,9 +48,9 @@
 	require.Equal(t, []string{"a", "c", "b"}, scaling.DataCentres(service))
 }
 
-// While reclaimable endpoints serve and none was taken lately, the fleet keeps its
-// base on demand, where that is cheapest, and there are enough reclaimable ones
-// without those of any one data centre.
+// While reclaimable endpoints serve and there was no recent reclaim, only the base share is
+// on demand, in the cheapest data centre, and there are enough reclaimable endpoints to lose
+// those of any one data centre.
 func TestReclaimableEndpointsCarryLoad(t *testing.T) {
 	p := scaling.Default.Plan(service, sites(30000, 4), capacity)
 	d, r := total(p)
@@ -57,8 +59,8 @@
 	require.Equal(t, 12, r)
 }
 
-// Those that are ordered and on their way are counted on while they can be had, so
-// that nothing is added to what serves on demand.
+// Starting endpoints count as capacity unless the cloud has no more reclaimable ones, so
+// that fewer on-demand endpoints are added while they start.
 func TestStartingEndpointsCount(t *testing.T) {
 	d, _ := total(scaling.Default.Plan(service, sites(30000, 0), capacity))
 	require.Equal(t, 3, d)
@@ -70,8 +72,8 @@
 	require.Equal(t, 5, d)
 }
 
-// Endpoints on demand that serve are kept until reclaimable ones serve in their
-// place, the cheapest last.
+// On-demand endpoints that serve are kept until reclaimable ones serve in their place. The
+// cheapest are given up last.
 func TestOnDemandKeptUntilReplaced(t *testing.T) {
 	s := sites(30000, 0)
 	for i := range s {
@@ -88,8 +90,8 @@
 	require.Equal(t, 1, d)
 }
 
-// When reclaimable endpoints are gone, what the load needs is ordered on demand,
-// where that is cheapest and there is room.
+// After a reclaim, the endpoints that the load needs are ordered on demand, in the cheapest
+// data centres that have room.
 func TestReclaimedReplacedOnDemand(t *testing.T) {
 	s := sites(40000, 0)
 	for i := range s {
@@ -102,27 +104,27 @@
 	require.Equal(t, 4, p["a"].OnDemand)
 }
 
-// Slower endpoints bear less, so there are more of them.
+// The fleet has more endpoints if each has a smaller capacity.
 func TestSlowerEndpoints(t *testing.T) {
 	_, fast := total(scaling.Default.Plan(service, sites(30000, 4), equalCapacity(20_000)))
 	_, slow := total(scaling.Default.Plan(service, sites(30000, 4), equalCapacity(14_000)))
 	require.Greater(t, slow, fast)
 }
 
-// Endpoints on demand cost several times as much, and are given more to do.
+// A larger capacity of on-demand endpoints leads to fewer of them.
 func TestOnDemandCapacity(t *testing.T) {
 	s := sites(40000, 0)
 	for i := range s {
 		s[i].SinceReclaim = time.Second
 	}
-	even, _ := total(scaling.Default.Plan(service, s, capacity))
+	equal, _ := total(scaling.Default.Plan(service, s, capacity))
 	b := capacity
 	b.OnDemand.Tokens *= 1.4
 	fewer, _ := total(scaling.Default.Plan(service, s, b))
-	require.Less(t, fewer, even)
+	require.Less(t, fewer, equal)
 }
 
-// What runs counts as well as what is read.
+// Running requests count as load even if there are no prompt tokens to read.
 func TestRunningRequestsCount(t *testing.T) {
 	s := sites(0, 3)
 	for i := range s {
@@ -132,7 +134,7 @@
 	require.GreaterOrEqual(t, r, 12)
 }
 
-// After a reclaim anywhere, that of another data centre is provided for.
+// After a reclaim in one data centre, the fleet is sized for another one elsewhere.
 func TestRecentReclaim(t *testing.T) {
 	s := sites(50000, 3)
 	before, _ := total(scaling.Default.Plan(service, s, capacity))
@@ -141,10 +143,10 @@
 	require.Greater(t, after, before)
 }
 
-// While enough reclaimable endpoints serve, on demand is had the part that is insured of
-// what the next losses would leave missing; when they do not, all that is missing is.
+// While enough reclaimable endpoints serve, on-demand ones cover the insured share of the
+// load after the tolerated losses. If too few serve, on-demand ones cover all of the rest.
 func TestInsuredShare(t *testing.T) {
-	s := sites(60000, 3) // nine endpoints carry the load, of which six are insured
+	s := sites(60000, 3) // nine endpoints carry the load, six of them insured
 	s[0].SinceReclaim = time.Second
 	d, _ := total(scaling.Default.Plan(service, s, capacity))
 	require.Equal(t, 3, d)
@@ -156,14 +158,15 @@
 	require.Equal(t, 8, d)
 }
 
-// The less choices know of others' prompts, the less an endpoint is given.
+// The share of late requests allowed to an estimate falls with the fraction of prompts that
+// routing does not see.
 func TestLateShare(t *testing.T) {
 	require.InDelta(t, 0.2, scaling.LateShareFor(0), 1e-9)
 	require.InDelta(t, 0.08, scaling.LateShareFor(1), 1e-9)
 	require.Less(t, scaling.LateShareFor(0.7), scaling.LateShareFor(0.3))
 }
 
-// Whatever the load, the bounds of each data centre hold.
+// The counts of each data centre stay within its bounds whatever the load.
 func TestBounds(t *testing.T) {
 	for _, tokens := range []float64{0, 1e4, 1e5, 1e6, 1e9} {
 		for have := range 6 {
@@ -176,7 +179,7 @@
 	}
 }
 
-// A burst orders reclaimable endpoints beyond the usual number.
+// A burst of demand raises the number of reclaimable endpoints.
 func TestBurst(t *testing.T) {
 	_, usual := total(scaling.Default.Plan(service, sites(10000, 3), capacity))
 	_, burst := total(scaling.Default.Plan(service, sites(80000, 3), capacity))
