--- a/orders/orders.go
+++ b/orders/orders.go
@@ -1,5 +1,6 @@
-// Package orders has the fleet's size changed at the cloud, by the box that
-// holds the duty.
+// Package orders scales the fleet. The box that holds the lease computes how many
+// endpoints each service should have, with package scaling, and orders changes of
+// these counts from the cloud.
 package orders
 
 import (
@@ -24,57 +25,70 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// Name is the name of the service.
+// Name is the name of the service in the kernel.
 const Name = "orders"
 
-// The times of the orders. What was refused for want of supply is asked for
-// again after dryPause; what is ordered but does not come is ordered again after
-// again, since the answer of an order may be lost with the order.
 const (
-	pollInterval      = 400 * time.Millisecond
-	supplyRetryDelay  = 2 * time.Second
-	reorderDelay      = 8 * time.Second
+	// pollInterval is the time between two computations of the counts.
+	pollInterval = 400 * time.Millisecond
+
+	// supplyRetryDelay is the time before a retry of an order that was refused for lack of
+	// supply.
+	supplyRetryDelay = 2 * time.Second
+
+	// reorderDelay is the time before a retry of an accepted order whose endpoints do not
+	// appear. An order can be lost together with its answer.
+	reorderDelay = 8 * time.Second
+
+	// observationPeriod is for how long there must have been demand before it determines
+	// the counts.
 	observationPeriod = 3 * time.Second
 )
 
-// A smaller count is ordered when it has been wanted for so long. Reclaimable
-// endpoints cost a fifth, and each that comes back has to read its prompts anew. With
-// smaller counts at once, 0.10 to 0.13 of a day's worth is lost.
+// A smaller count is ordered after it has been wanted for one of these delays. Reclaimable
+// endpoints have the longer one, since they cost a fifth of the price on demand and every
+// replacement has to read its prompts again. Without delays the score of a day is lower by
+// 0.10 to 0.13.
 const (
 	scaleDownDelayOnDemand    = 1500 * time.Millisecond
 	scaleDownDelayReclaimable = 12 * time.Second
 )
 
-// Of more than surplusKept times the reclaimable endpoints that are wanted the rest is given up
-// after settleSurplus: so many stand in for a load that doubles while others start. wanted counts
-// that differ by sameCount are the same: where hundreds are wanted, the count never stands still.
+// If there are more than surplusFactor times as many reclaimable endpoints as wanted, those
+// beyond that are given up after surplusDelay. The remaining ones cover a load that doubles
+// while others start. Wanted counts that differ by less than countTolerance, as a fraction,
+// are taken for equal, since a count of hundreds never stands still.
 const (
 	surplusFactor  = 2
 	surplusDelay   = scaleDownDelayOnDemand
 	countTolerance = 0.1
 )
 
-// partitionTimeout is for how long a data centre that is not heard is taken to be cut off: the
-// users' cuts last up to 12 s.
+// partitionTimeout is for how long a data centre that does not report its demand is taken
+// to be partitioned. Partitions last up to 12 s.
 const partitionTimeout = 20 * time.Second
 
-// maxLoggedAge stands in the log for a reclaim that was not seen.
+// maxLoggedAge is the largest time since a reclaim that is logged. It stands for no reclaim
+// at all.
 const maxLoggedAge = time.Hour
 
-// Orders is the service of one box. Demand returns what each data centre's
-// boxes carry for a service.
+// Orders is the scaling service of one box. It orders only while the box holds the lease.
+// Its exported fields must be set before it starts.
 type Orders struct {
 	Box      string
 	Cloud    cloudapi.Cloud
 	Election *election.Election
 	Policy   scaling.Policy
-	Demand   func(service string) map[string]demand.Figure
 
-	// Limited reports whether an endpoint takes a bounded rate of requests.
+	// Demand returns the load of a service by data centre. Data centres that do not report
+	// their load are missing.
+	Demand func(service string) map[string]demand.Figure
+
+	// Limited reports whether an endpoint accepts a bounded rate of requests.
 	Limited func(endpoint.Endpoint) bool
 
-	// Capacity returns what one endpoint of a service bears, by its slots and by the
-	// longest pause between events that the service's routes allow.
+	// Capacity returns the sustainable load of one endpoint of a service that has the given
+	// slots and must not pause between events of a stream for longer than pause.
 	Capacity func(service string, slots int, pause time.Duration) scaling.Capacity
 
 	log    zerolog.Logger
@@ -84,54 +98,56 @@
 
 	fence        uint64
 	lastOrders   map[pool]lastOrder
-	reclaimStart map[string]time.Time // by data centre, when it last began
-	demandSince  map[string]time.Time // by service, when there was demand first
-	initialCount map[string]int       // by service, how many endpoints there were at first
+	reclaimStart map[string]time.Time // by data centre, the start of the last reclaim
+	demandSince  map[string]time.Time // by service, the first time at which there was demand
+	initialCount map[string]int       // by service, the on-demand endpoints found at the start
 	scaleDowns   map[pool]scaleDown
-	lastReport   map[serviceSite]time.Time // when its boxes' demand was last told
+	lastReport   map[serviceSite]time.Time // when its boxes last reported their demand
 }
 
 // serviceSite is a service in a data centre.
 type serviceSite struct{ service, dataCentre string }
 
-// pool is one kind of endpoint of a service in a data centre.
+// pool is the set of endpoints of one kind of a service in a data centre.
 type pool struct {
 	service, dataCentre string
 	reclaimable         bool
 }
 
-// lastOrder is the last order of a subject.
+// lastOrder is the last order for a pool.
 type lastOrder struct {
 	count       int
 	at          time.Time
 	accepted    bool
-	outOfSupply bool
+	outOfSupply bool // the cloud refused it for lack of supply
 
-	// maxServing is the most of them that have served, and taken says that they are
-	// being reclaimed.
+	// maxServing is the largest number of the ordered endpoints that have served at once.
+	// Reclaiming is set while they are being reclaimed.
 	maxServing int
 	reclaiming bool
 }
 
-// scaleDown is a smaller count that has been wanted since a time, at most.
+// scaleDown is a smaller count that has been wanted since a point in time.
 type scaleDown struct {
 	first   int
-	highest int // the most since
+	highest int // the largest count wanted since then
 	since   time.Time
 }
 
-// New returns the service; its exported fields are to be set before it starts.
+// New returns a service whose exported fields have yet to be set. Limited has a default:
+// no endpoint is limited.
 func New(log zerolog.Logger) *Orders {
 	return &Orders{
 		log: log, Limited: func(endpoint.Endpoint) bool { return false },
-		reclaimStart: map[string]time.Time{}, demandSince: map[string]time.Time{}, initialCount: map[string]int{}, scaleDowns: map[pool]scaleDown{}, lastReport: map[serviceSite]time.Time{},
+		reclaimStart: map[string]time.Time{}, demandSince: map[string]time.Time{}, initialCount: map[string]int{},
+		scaleDowns: map[pool]scaleDown{}, lastReport: map[serviceSite]time.Time{},
 	}
 }
 
-// Name returns the service's name.
+// Name returns [Name].
 func (o *Orders) Name() string { return Name }
 
-// Start begins to order.
+// Start binds the services that Orders needs from k and begins to scale the fleet.
 func (o *Orders) Start(_ context.Context, k *kernel.Kernel) error {
 	if err := kernel.Bind(k, known.Name, &o.known); err != nil {
 		return err
@@ -142,7 +158,7 @@
 	return nil
 }
 
-// Stop ends the orders.
+// Stop ends the scaling and waits until an order under way has ended.
 func (o *Orders) Stop(context.Context) error {
 	o.cancel()
 	o.group.Wait()
@@ -169,7 +185,7 @@
 	}
 }
 
-// scaleService orders what one service lacks or has too much of.
+// scaleService computes the counts of one service and orders those that differ.
 func (o *Orders) scaleService(c context.Context, s *catalog.Service) {
 	now := boottime.Now()
 	all := o.known.Roster.All()
@@ -178,141 +194,144 @@
 	limited := slices.DeleteFunc(slices.Clone(serving), func(e endpoint.Endpoint) bool { return !o.Limited(e) })
 	dcs := scaling.DataCentres(s.Scaling)
 	sites := make([]scaling.Site, 0, len(dcs))
-	cut := map[string]bool{}
+	partitioned := map[string]bool{}
 	for _, dc := range dcs {
-		f, told := load[dc]
-		cut[dc] = o.isPartitioned(serviceSite{s.Name, dc}, told, now)
+		f, reported := load[dc]
+		partitioned[dc] = o.isPartitioned(serviceSite{s.Name, dc}, reported, now)
 		site := scaling.Site{
 			DataCentre: dc, Demand: scaling.Demand{Tokens: f.Tokens, Running: f.Running},
 			Have: scaling.CountEndpoints(serving, dc), Limited: scaling.CountEndpoints(limited, dc),
 			OutOfSupply: o.lastOrders[pool{s.Name, dc, true}].outOfSupply,
 		}
-		if !cut[dc] {
+		if !partitioned[dc] {
 			o.detectReclaim(all, s.Name, site, now)
 		}
 		site.SinceReclaim = now.Sub(o.reclaimStart[dc])
 		sites = append(sites, site)
 	}
 	policy := o.Policy
-	replacing := false // what was found, while its load is not known
+	replacing := false // the initial fleet is being replaced while its load is unknown
 	if !o.demandKnown(s.Name, load, now) {
-		// What was found carries the load, as far as is known: no more is ordered than
-		// stands in for it.
-		found := o.initialSize(s.Name, sites)
-		policy.MinEndpoints, policy.Surplus = max(policy.MinEndpoints, found), 1
-		replacing = found > 0
+		// The initial fleet is assumed to carry the load, so only its replacement is ordered.
+		initial := o.initialSize(s.Name, sites)
+		policy.MinEndpoints, policy.Surplus = max(policy.MinEndpoints, initial), 1
+		replacing = initial > 0
 	}
 	if replacing {
-		// In the first second the load is known, and nothing yet of the endpoints' speed:
-		// 33 endpoints too many were ordered for 12 s.
+		// The load may be known before the speed of the endpoints. Using it in the first
+		// second orders 33 endpoints too many for 12 s.
 		for i := range sites {
 			sites[i].Demand = scaling.Demand{}
 		}
 	}
-	bears := o.Capacity(s.Name, minSlots(all, s), estimate.PauseTarget(o.known.Table().Document, s.Name))
-	plan := policy.Plan(s.Scaling, sites, bears)
+	capacity := o.Capacity(s.Name, minSlots(all, s), estimate.PauseTarget(o.known.Table().Document, s.Name))
+	plan := policy.Plan(s.Scaling, sites, capacity)
 	for _, site := range sites {
-		if cut[site.DataCentre] {
+		if partitioned[site.DataCentre] {
 			continue
 		}
-		p := plan[site.DataCentre]
-		o.adjust(c, pool{s.Name, site.DataCentre, true}, p.Reclaimable, site, bears, false)
-		o.adjust(c, pool{s.Name, site.DataCentre, false}, p.OnDemand, site, bears, replacing)
+		counts := plan[site.DataCentre]
+		o.adjust(c, pool{s.Name, site.DataCentre, true}, counts.Reclaimable, site, capacity, false)
+		o.adjust(c, pool{s.Name, site.DataCentre, false}, counts.OnDemand, site, capacity, replacing)
 	}
 }
 
-// adjust orders a count, if it is another than the last. A smaller one is ordered when it
-// has been wanted for a while, or at once: no load swings while what was found is replaced.
-func (o *Orders) adjust(c context.Context, s pool, n int, site scaling.Site, bears scaling.Capacity, atOnce bool) {
+// adjust orders a count for a pool if it differs from the last order. A smaller count is
+// ordered after it has been wanted for some time, or at once if atOnce is set, as the load
+// cannot swing while the initial fleet is replaced.
+func (o *Orders) adjust(c context.Context, p pool, n int, site scaling.Site, capacity scaling.Capacity, atOnce bool) {
 	now := boottime.Now()
-	p, had := o.lastOrders[s]
+	last, ordered := o.lastOrders[p]
 	have := site.Have.OnDemand
-	if s.reclaimable {
+	if p.reclaimable {
 		have = site.Have.Reclaimable
 	}
-	lower := n < max(p.count, have)
+	lower := n < max(last.count, have)
 	if !lower {
-		delete(o.scaleDowns, s)
+		delete(o.scaleDowns, p)
 	}
 	switch {
-	case had && p.outOfSupply && now.Sub(p.at) < supplyRetryDelay:
+	case ordered && last.outOfSupply && now.Sub(last.at) < supplyRetryDelay:
 		return
-	case had && p.accepted && p.count == n && (have >= n || now.Sub(p.at) < reorderDelay):
+	case ordered && last.accepted && last.count == n && (have >= n || now.Sub(last.at) < reorderDelay):
 		return
 	}
-	// Those that were ordered and cannot be had now are given up at once: the order
-	// would keep their places from others.
-	none := s.reclaimable && have == 0 && (p.outOfSupply || p.reclaiming)
-	if lower && !none && !atOnce && !o.isScaleDownDue(s, n, now) {
+	// An order for endpoints that are not available now is lowered at once, since it would
+	// reserve room that other endpoints can use.
+	unavailable := p.reclaimable && have == 0 && (last.outOfSupply || last.reclaiming)
+	if lower && !unavailable && !atOnce && !o.isScaleDownDue(p, n, now) {
 		n *= surplusFactor
-		if !s.reclaimable || n >= max(p.count, have) || !o.scaleDownPendingFor(s, surplusDelay, now) {
+		if !p.reclaimable || n >= max(last.count, have) || !o.scaleDownPendingFor(p, surplusDelay, now) {
 			return
 		}
 	}
-	o.order(c, s, n, site, bears)
+	o.order(c, p, n, site, capacity)
 }
 
-// scaleDownPendingFor reports whether a smaller count has been wanted for some time.
-func (o *Orders) scaleDownPendingFor(s pool, d time.Duration, now time.Time) bool {
-	l, ok := o.scaleDowns[s]
+// scaleDownPendingFor reports whether a smaller count has been wanted for at least d.
+func (o *Orders) scaleDownPendingFor(p pool, d time.Duration, now time.Time) bool {
+	l, ok := o.scaleDowns[p]
 	return ok && now.Sub(l.since) >= d
 }
 
-// isScaleDownDue reports whether a smaller count has been wanted for long enough.
-func (o *Orders) isScaleDownDue(s pool, n int, now time.Time) bool {
-	settle := scaleDownDelayOnDemand
-	if s.reclaimable {
-		settle = scaleDownDelayReclaimable
+// isScaleDownDue records that the smaller count n is wanted and reports whether about that
+// count has been wanted for the delay of the kind of endpoint. The delay starts anew if the
+// count has grown by more than countTolerance, or after twice the delay.
+func (o *Orders) isScaleDownDue(p pool, n int, now time.Time) bool {
+	delay := scaleDownDelayOnDemand
+	if p.reclaimable {
+		delay = scaleDownDelayReclaimable
 	}
-	l, ok := o.scaleDowns[s]
-	if !ok || n > l.highest && float64(n) > (1+countTolerance)*float64(l.first) || now.Sub(l.since) > 2*settle {
-		o.scaleDowns[s] = scaleDown{n, n, now}
+	l, ok := o.scaleDowns[p]
+	if !ok || n > l.highest && float64(n) > (1+countTolerance)*float64(l.first) || now.Sub(l.since) > 2*delay {
+		o.scaleDowns[p] = scaleDown{n, n, now}
 		return false
 	}
 	l.highest = max(l.highest, n)
-	o.scaleDowns[s] = l
-	return now.Sub(l.since) >= settle
+	o.scaleDowns[p] = l
+	return now.Sub(l.since) >= delay
 }
 
-func (o *Orders) order(c context.Context, s pool, n int, site scaling.Site, bears scaling.Capacity) {
+// order orders a count for a pool from the cloud, records the result and logs it.
+func (o *Orders) order(c context.Context, p pool, n int, site scaling.Site, capacity scaling.Capacity) {
 	fence, ok := o.Election.Act()
 	if !ok || fence != o.fence {
 		return
 	}
-	delete(o.scaleDowns, s)
+	delete(o.scaleDowns, p)
 	err := o.Cloud.Order(c, cloudapi.Duty{Holder: o.Box, Fence: fence}, cloudapi.Order{
-		Service: s.service, DataCentre: s.dataCentre, Reclaimable: s.reclaimable, Count: n,
+		Service: p.service, DataCentre: p.dataCentre, Reclaimable: p.reclaimable, Count: n,
 	})
-	old := o.lastOrders[s]
-	p := lastOrder{count: n, at: boottime.Now(), accepted: err == nil, maxServing: min(old.maxServing, n), reclaiming: old.reclaiming}
+	previous := o.lastOrders[p]
+	last := lastOrder{count: n, at: boottime.Now(), accepted: err == nil, maxServing: min(previous.maxServing, n), reclaiming: previous.reclaiming}
 	if errors.Is(err, cloudapi.ErrFenced) {
-		p.outOfSupply = s.reclaimable
-		if !s.reclaimable {
+		last.outOfSupply = p.reclaimable
+		if !p.reclaimable {
 			o.Election.Drop(fence)
 		}
 	}
-	o.lastOrders[s] = p
-	o.log.Info().Str("event", "order").Str("service", s.service).Str("data_centre", s.dataCentre).Bool("reclaimable", s.reclaimable).
+	o.lastOrders[p] = last
+	o.log.Info().Str("event", "order").Str("service", p.service).Str("data_centre", p.dataCentre).Bool("reclaimable", p.reclaimable).
 		Int("count", n).Uint64("fence", fence).
-		Float64("bears_tokens_per_s", bears.Reclaimable.Tokens).Float64("on_demand_bears", bears.OnDemand.Tokens).
-		Float64("bears_running", bears.OnDemand.Running).
+		Float64("bears_tokens_per_s", capacity.Reclaimable.Tokens).Float64("on_demand_bears", capacity.OnDemand.Tokens).
+		Float64("bears_running", capacity.OnDemand.Running).
 		Float64("tokens_per_s", site.Demand.Tokens).Float64("running", site.Demand.Running).
 		Int("have_on_demand", site.Have.OnDemand).Int("have_reclaimable", site.Have.Reclaimable).
 		Int("limited", site.Limited.OnDemand+site.Limited.Reclaimable).
-		Dur("since_reclaim", min(site.SinceReclaim, maxLoggedAge)).Bool("dry", site.OutOfSupply).Str("outcome", outcome(s, err)).Err(err).Msg("decision")
+		Dur("since_reclaim", min(site.SinceReclaim, maxLoggedAge)).Bool("dry", site.OutOfSupply).Str("outcome", outcome(p, err)).Err(err).Msg("decision")
 }
 
-// outcome says what came of an order. The cloud refuses with one status both an old fence
-// and reclaimable endpoints of which there are none.
-func outcome(s pool, err error) string {
+// outcome describes the result of an order in the log. The cloud has one status for a stale
+// fence and for a lack of reclaimable endpoints.
+func outcome(p pool, err error) string {
 	switch {
 	case err == nil:
 		return "ordered"
-	case errors.Is(err, cloudapi.ErrFenced) && s.reclaimable:
-		return "none can be had now; asked for again later"
+	case errors.Is(err, cloudapi.ErrFenced) && p.reclaimable:
+		return "none available now; will retry"
 	case errors.Is(err, cloudapi.ErrFenced):
 		return "another box holds the duty"
 	default:
-		return "not known; ordered again later"
+		return "unknown; will retry"
 	}
 }
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -29,7 +29,7 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// startDelay is how long an endpoint takes from its order until it serves.
+// startDelay is the time from the order of an endpoint until it serves.
 const startDelay = 4 * time.Second
 
 // kind is one kind of endpoint in a data centre.
@@ -38,7 +38,8 @@
 	reclaimable bool
 }
 
-// cloud carries orders out: it enters endpoints into the store and has them drain.
+// cloud is a cloud that enters ordered endpoints into the store and marks surplus ones as
+// draining.
 type cloud struct {
 	store *memstore.Memory
 
@@ -46,7 +47,7 @@
 	next        int
 	have        map[kind][]string
 	starting    map[kind]int
-	outOfSupply bool // no reclaimable endpoint can be had
+	outOfSupply bool // no reclaimable endpoints are available
 }
 
 func (l *cloud) Report(context.Context, cloudapi.Duty, int64, map[string]int) error { return nil }
@@ -92,8 +93,8 @@
 	l.put(id, k, true)
 }
 
-// reclaim takes all reclaimable endpoints of a data centre: each says that it
-// drains, and no more than that.
+// reclaim reclaims all reclaimable endpoints of a data centre. Their records only say that
+// they drain.
 func (l *cloud) reclaim(dc string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,7 +104,7 @@
 	}
 }
 
-// count returns how many endpoints serve or are on their way.
+// count returns how many endpoints of a kind serve or are starting.
 func (l *cloud) count(reclaimable bool) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,31 +118,30 @@
 
 var dataCentres = []string{"a", "b", "c"}
 
-// fleet is a service with its orders. Tokens is what each data centre's boxes
-// have to have read a second.
+// fleet is a service whose size is controlled by orders.Orders.
 type fleet struct {
 	*cloud
 	t *testing.T
 
 	mu          sync.Mutex
-	tokens      float64
-	partitioned string   // the data centre that is not heard
-	limited     []string // endpoints that take a bounded rate
+	tokens      float64  // demand in each data centre, in prompt tokens per second
+	partitioned string   // the data centre that does not report its demand
+	limited     []string // endpoints that accept a bounded rate of requests
 }
 
-// start begins with endpoints on demand in each data centre; found says how many
-// of them are listed at once, and the others follow a second later.
-func start(t *testing.T, onDemand, found int) *fleet {
+// start returns a fleet with a number of on-demand endpoints in each data centre. Listed is
+// how many of them are in the store at once; the others follow a second later.
+func start(t *testing.T, onDemand, listed int) *fleet {
 	t.Helper()
-	return startWithMax(t, onDemand, found, 12)
+	return startWithMax(t, onDemand, listed, 12)
 }
 
-// startWithMax is start where a data centre may have so many endpoints.
-func startWithMax(t *testing.T, onDemand, found, most int) *fleet {
+// startWithMax is start with at most maxPerSite endpoints in each data centre.
+func startWithMax(t *testing.T, onDemand, listed, maxPerSite int) *fleet {
 	t.Helper()
 	m := &memstore.Memory{}
 	text, err := json.Marshal(catalog.Document{Version: 1, Services: []catalog.Service{{
-		Name: "s", Scaling: &catalog.Scaling{Min: 1, Max: most, Prices: map[string]float64{"a": 0.8, "b": 1, "c": 1.2}},
+		Name: "s", Scaling: &catalog.Scaling{Min: 1, Max: maxPerSite, Prices: map[string]float64{"a": 0.8, "b": 1, "c": 1.2}},
 	}}})
 	require.NoError(t, err)
 	m.Set("config", string(text))
@@ -155,8 +155,8 @@
 			}
 		}
 	}
-	list(found)
-	time.AfterFunc(time.Second, func() { list(onDemand - found) })
+	list(listed)
+	time.AfterFunc(time.Second, func() { list(onDemand - listed) })
 	s := session.New(m, zerolog.Nop())
 	k := known.New(known.Source{
 		ConfigKey: "config", EndpointsPrefix: "e/",
@@ -211,6 +211,7 @@
 	})
 }
 
+// setDemand sets the demand of each data centre in prompt tokens per second.
 func (f *fleet) setDemand(tokens float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -219,8 +220,8 @@
 
 func (f *fleet) advance(d time.Duration) { wait.For(f.t.Context(), d) }
 
-// A fleet that is found on demand is replaced by reclaimable endpoints, and is not
-// given up before those serve. Endpoints that are listed late count as well.
+// An initial fleet on demand is replaced by reclaimable endpoints, and is not given up
+// before these serve. Endpoints that are listed late belong to it as well.
 func TestInitialFleetReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t, 4, 1)
@@ -232,8 +233,8 @@
 	})
 }
 
-// What was found is given up as soon as what replaces it serves, while there are no
-// callers whose load could swing.
+// Without callers the load cannot swing, so the initial fleet is given up as soon as its
+// replacement serves.
 func TestIdleFleetScalesDownAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t, 4, 4)
@@ -245,8 +246,8 @@
 	})
 }
 
-// The first callers order nothing, as nothing is known of the endpoints' speed yet; after
-// some seconds their load does.
+// The first demand orders nothing, since the speed of the endpoints is unknown. After some
+// seconds it does.
 func TestFirstDemandIsObserved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t, 4, 4)
@@ -260,9 +261,9 @@
 	})
 }
 
-// When a data centre's reclaimable endpoints are taken, which they tell by
-// draining only, the insured part of what another such loss would leave missing is
-// ordered on demand at once; it is given up when reclaimable ones serve again.
+// When the reclaimable endpoints of a data centre are reclaimed, of which draining is the
+// only sign, the insured share of the load after another such loss is ordered on demand at
+// once. These endpoints are given up when reclaimable ones serve again.
 func TestReclaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t, 3, 3)
@@ -281,10 +282,10 @@
 	})
 }
 
-// Endpoints that took one request a second each were counted as if they carried their part of the
-// load, and nothing was ordered for them: two others carried all, with up to 72 requests under way,
-// and one stream in thirty failed, most at their deadline.
-// Endpoints that take a bounded rate are stood in for, and no longer once they take any rate.
+// Endpoints that accept a bounded rate are replaced, and their replacements are given up
+// once they accept any rate again. If endpoints that accept one request per second counted
+// as capacity, nothing would be ordered, the few others would carry all of the load, and
+// streams would miss their deadlines.
 func TestLimitedEndpointsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t, 3, 3)
@@ -300,22 +301,22 @@
 	})
 }
 
-// setLimited lets some endpoints take a bounded rate, and the others any.
+// setLimited sets which endpoints accept a bounded rate of requests only.
 func (f *fleet) setLimited(ids []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.limited = ids
 }
 
-// reclaimableIDs returns some reclaimable endpoints of one data centre.
+// reclaimableIDs returns n reclaimable endpoints of one data centre.
 func (f *fleet) reclaimableIDs(n int) []string {
 	f.cloud.mu.Lock()
 	defer f.cloud.mu.Unlock()
 	return slices.Clone(f.have[kind{"a", true}][:n])
 }
 
-// A data centre that is cut off, whose endpoints' records lapse, has not lost them:
-// what is ordered there stays.
+// The records of the endpoints of a partitioned data centre expire, but the endpoints still
+// serve, so the orders there remain unchanged.
 func TestPartitionIsNoReclaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t, 3, 3)
@@ -328,7 +329,8 @@
 	})
 }
 
-// partition cuts a data centre off.
+// partition makes a data centre unreachable: its demand is not reported, and the records of
+// its endpoints expire.
 func (f *fleet) partition(dc string) {
 	f.mu.Lock()
 	f.partitioned = dc
@@ -342,8 +344,7 @@
 	}
 }
 
-// A load that swings within the time in which a smaller count settles changes
-// nothing.
+// A load that swings faster than the scale-down delay starts no endpoints.
 func TestDemandSwings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := start(t, 3, 3)
@@ -360,26 +361,25 @@
 	})
 }
 
-// 9,695 endpoints that were found stood in for each other, 27 times what the load needed, for all
-// of a day: the count that was wanted went up and down by a few with the load, which began the time
-// anew after which a smaller one is ordered. Most of a large surplus goes within seconds, and the
-// rest when the count has been about the same for as long as before.
+// Most of a large surplus is given up within seconds, and the rest once the wanted count has
+// stayed about the same for the scale-down delay. If every small change of the wanted count
+// restarted the delay, an initial fleet of many times the needed size would never shrink.
 func TestSurplusScaledDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startWithMax(t, 400, 400, 1000)
 		f.advance(15 * time.Second)
 		require.GreaterOrEqual(t, f.count(true), 1200)
-		wave := func(d time.Duration) {
+		oscillate := func(d time.Duration) {
 			for i := range int(d / (400 * time.Millisecond)) {
 				f.setDemand(float64(600_000 + 20_000*(i%3)))
 				f.advance(400 * time.Millisecond)
 			}
 		}
-		// Three data centres ask for 1.8 to 1.9 million tokens a second: 93 endpoints bear them.
-		wave(8 * time.Second)
+		// Three data centres need 1.8 to 1.9 million tokens per second, which is 93 endpoints.
+		oscillate(8 * time.Second)
 		require.LessOrEqual(t, f.count(true), 3*2*73)
 		require.GreaterOrEqual(t, f.count(true), 3*70)
-		wave(24 * time.Second)
+		oscillate(24 * time.Second)
 		require.LessOrEqual(t, f.count(true), 3*80)
 		require.GreaterOrEqual(t, f.count(true), 3*68)
 	})
--- a/orders/outcome_test.go
+++ b/orders/outcome_test.go
@@ -10,11 +10,12 @@
 	"birchlink.dev/birchlink/cloudapi"
 )
 
-// Want of supply does not read as if another box held the duty.
+// A refusal for lack of supply is not logged as a loss of the lease, although the cloud has
+// one status for both.
 func TestOutcome(t *testing.T) {
 	fenced := fmt.Errorf("%w: 409", cloudapi.ErrFenced)
 	require.Equal(t, "ordered", outcome(pool{}, nil))
-	require.Contains(t, outcome(pool{reclaimable: true}, fenced), "none can be had")
+	require.Contains(t, outcome(pool{reclaimable: true}, fenced), "none available")
 	require.Contains(t, outcome(pool{}, fenced), "holds the duty")
-	require.Contains(t, outcome(pool{}, errors.New("no answer")), "not known")
+	require.Contains(t, outcome(pool{}, errors.New("no answer")), "unknown")
 }
--- a/orders/watch.go
+++ b/orders/watch.go
@@ -10,23 +10,25 @@
 	"birchlink.dev/birchlink/scaling"
 )
 
-// isPartitioned reports whether a data centre's boxes were heard until a while ago and are not
-// now. Its endpoints' records lapse then, though they serve: that is no reclaim, and
-// what is ordered there stays.
-func (o *Orders) isPartitioned(p serviceSite, told bool, now time.Time) bool {
-	if told {
-		o.lastReport[p] = now
+// isPartitioned reports whether a data centre does not report its demand now but did so
+// within partitionTimeout. The records of its endpoints expire meanwhile although they
+// serve, which is not a reclaim, so the orders there remain unchanged.
+func (o *Orders) isPartitioned(s serviceSite, reported bool, now time.Time) bool {
+	if reported {
+		o.lastReport[s] = now
 		return false
 	}
-	return now.Sub(o.lastReport[p]) < partitionTimeout
+	return now.Sub(o.lastReport[s]) < partitionTimeout
 }
 
-// initialSize returns how many endpoints a service is taken to need while its demand
-// is not known, by those that it was found with: the most that there were, since
-// they are learnt of one after the other. Where there are reclaimable ones, an
-// earlier holder of the duty has ordered the fleet, and it says nothing of that.
-// Nothing ordered before the demand is known costs 0.04 of a day's worth: endpoints on
-// demand then stay until reclaimable ones have started, with callers waiting.
+// initialSize returns how many endpoints a service is assumed to need while its demand is
+// unknown. This is the largest number of on-demand endpoints seen so far, since their
+// records arrive one after the other. It is 0 if there were reclaimable endpoints at the
+// start: then an earlier holder of the lease ordered the fleet, and its size says nothing
+// about the demand.
+//
+// Ordering nothing until the demand is known lowers the score of a day by 0.04, because
+// on-demand endpoints then stay until reclaimable ones have started, with callers waiting.
 func (o *Orders) initialSize(service string, sites []scaling.Site) int {
 	n := 0
 	for _, s := range sites {
@@ -39,8 +41,9 @@
 	return o.initialCount[service]
 }
 
-// demandKnown reports whether a service's demand has been seen for long enough to judge
-// it. Before that the fleet keeps the size that it was found with.
+// demandKnown reports whether the demand for a service can be relied on: it began at least
+// observationPeriod ago, or there was some earlier and there is none now. Before that the
+// fleet keeps its initial size.
 func (o *Orders) demandKnown(service string, load map[string]demand.Figure, now time.Time) bool {
 	busy := false
 	for _, f := range load {
@@ -55,40 +58,40 @@
 	return now.Sub(o.demandSince[service]) >= observationPeriod
 }
 
-// detectReclaim notes when a data centre's reclaimable endpoints begin to be taken:
-// fewer than half of those that were ordered and have served still serve. A new
-// holder of the duty, which has ordered none, goes by those that drain with none
-// left that serves.
+// detectReclaim records when a reclaim begins in a data centre, which is when fewer than
+// half of the ordered endpoints that have served still serve. A new holder of the lease has
+// no orders to compare with. For it, a reclaim is under way if reclaimable endpoints drain
+// and none serves.
 func (o *Orders) detectReclaim(all []endpoint.Endpoint, service string, site scaling.Site, now time.Time) {
-	s := pool{service, site.DataCentre, true}
+	p := pool{service, site.DataCentre, true}
 	have := site.Have.Reclaimable
-	p, ordered := o.lastOrders[s]
+	last, ordered := o.lastOrders[p]
 	if !ordered {
 		if have == 0 && hasDraining(all, service, site.DataCentre) {
 			o.reclaimStart[site.DataCentre] = now
 		}
 		return
 	}
-	p.maxServing = min(max(p.maxServing, have), p.count)
-	taken := 2*have < p.maxServing
-	if taken && !p.reclaiming {
+	last.maxServing = min(max(last.maxServing, have), last.count)
+	reclaiming := 2*have < last.maxServing
+	if reclaiming && !last.reclaiming {
 		o.reclaimStart[site.DataCentre] = now
 		o.log.Info().Str("event", "reclaim").Str("service", service).Str("data_centre", site.DataCentre).
-			Int("served", p.maxServing).Int("have", have).Msg("reclaimable endpoints are being taken")
+			Int("served", last.maxServing).Int("have", have).Msg("reclaim of endpoints began")
 	}
-	p.reclaiming = taken
-	o.lastOrders[s] = p
+	last.reclaiming = reclaiming
+	o.lastOrders[p] = last
 }
 
-// hasDraining reports whether a reclaimable endpoint of a data centre drains.
+// hasDraining reports whether a reclaimable endpoint of a service drains in a data centre.
 func hasDraining(all []endpoint.Endpoint, service, dc string) bool {
 	return slices.ContainsFunc(all, func(e endpoint.Endpoint) bool {
 		return e.Service == service && e.DataCentre == dc && e.Reclaimable && e.Draining
 	})
 }
 
-// minSlots returns the slots of a service's endpoints: the least that one has, else what
-// the configuration says.
+// minSlots returns the smallest number of slots that an endpoint of a service reports, or
+// the configured number if none reports any.
 func minSlots(all []endpoint.Endpoint, s *catalog.Service) int {
 	n := 0
 	for i := range all {
--- a/placement/input.go
+++ b/placement/input.go
@@ -55,7 +55,7 @@
 
 // Plan is the result of a [Planner]. Start lists the boxes to start, one entry
 // for each, and Stop names the boxes to stop. Cost is the price per hour of the
-// present boxes and of those in Start.
+// usable engines and of the boxes in Start.
 type Plan struct {
 	Assignments []Assignment  `json:"assignments"`
 	Start       []cloud.Start `json:"start,omitempty"`
--- a/placement/sticky.go
+++ b/placement/sticky.go
@@ -184,7 +184,7 @@
 	p.assigned[w] = append(p.assigned[w], e)
 }
 
-// remove undoes add. It allocates new slices, since callers may be ranging over the old ones.
+// remove removes a workload from the plan of an engine.
 func (p *planner) remove(w string, e *engine) {
 	e.planned = slices.DeleteFunc(slices.Clone(e.planned), func(v string) bool { return v == w })
 	p.assigned[w] = slices.DeleteFunc(p.assigned[w], func(o *engine) bool { return o == e })
