--- a/placement/hold.go
+++ b/placement/hold.go
@@ -96,7 +96,7 @@
 	wanted := p.wantedSlots()
 	slots, onDemand := p.slots()
 	p.addCost()
-	// At minimum one slot that cannot be reclaimed is held whatever the demand.
+	// At least one box that is not reclaimable is held whatever the demand.
 	if minimum := max(wanted*p.onDemandShare(), 1); onDemand < minimum {
 		started := p.startBoxes(minimum-onDemand, func(q cloud.Price) bool { return !q.Reclaimable })
 		slots += started
