--- a/balance/backlog.go
+++ b/balance/backlog.go
@@ -34,9 +34,9 @@
 func (b *Book) Hear(e endpoint.Endpoint, tokens int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	v := b.model(e.Service).View(now)
+	v := b.model(e.Service).Predict(now)
 	h := &b.page(e.ID).heard
-	h.tokens = h.left(v.Pace(), now) + float64(tokens)
+	h.tokens = h.left(v.PrefillRate(), now) + float64(tokens)
 	h.at = now
 }
 
--- a/balance/book_test.go
+++ b/balance/book_test.go
@@ -242,7 +242,7 @@
 	for near, told := range []int{8000, 6000, 4000, 2000, 0} {
 		b.Peers(near, 0)
 		c, _ := b.Choose(es, q, time.Now())
-		require.Equal(t, told, c.Load.Told)
+		require.Equal(t, told, c.Load.RemoteQueued)
 	}
 }
 
@@ -280,8 +280,8 @@
 	var b balance.Book
 	for i := range 100 {
 		// An endpoint reads 100,000 tokens a second.
-		l := estimate.Load{Read: 100 * i, Told: 50 * (i % 30)}
-		d := 30*time.Millisecond + time.Duration(l.Read+l.Told)*10*time.Microsecond
+		l := estimate.Load{Prefill: 100 * i, RemoteQueued: 50 * (i % 30)}
+		d := 30*time.Millisecond + time.Duration(l.Prefill+l.RemoteQueued)*10*time.Microsecond
 		b.Model("s").Observe(l, d, time.Second, time.Now())
 	}
 	load := map[string]balance.Load{}
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -116,7 +116,7 @@
 	if len(es) == 0 {
 		return Choice{}, false
 	}
-	s := search{book: b, query: &q, now: now, out: b.out(&q, now), view: b.model(es[0].Service).View(now)}
+	s := search{book: b, query: &q, now: now, out: b.out(&q, now), view: b.model(es[0].Service).Predict(now)}
 	home := q.Home.ID
 	if home == "" {
 		home = homeOf(es, &q, s.out)
@@ -157,7 +157,7 @@
 	query *Query
 	now   time.Time
 	out   func(*endpoint.Endpoint) bool
-	view  estimate.View
+	view  estimate.Prediction
 
 	best  Choice
 	cost  time.Duration
@@ -188,7 +188,7 @@
 }
 
 // judge estimates the time to the first event at one endpoint.
-func (b *Book) judge(e *endpoint.Endpoint, q Query, home bool, v *estimate.View, now time.Time) Choice {
+func (b *Book) judge(e *endpoint.Endpoint, q Query, home bool, v *estimate.Prediction, now time.Time) Choice {
 	p := b.peek(e.ID)
 	c := Choice{
 		Endpoint: *e, Parts: q.Parts, Objective: q.Objective, Running: p.running + p.told.running,
@@ -202,16 +202,16 @@
 		}
 		c.Tokens = max(q.Prompt-held, 0)
 		c.Again = max(shared(q)-held, 0)
-		told := p.heard.left(v.Pace(), now) + b.blind()*float64(p.told.tokens)
-		c.Load.Read, c.Load.Ahead, c.Load.Told = c.Tokens, p.tokens, int(told)
+		told := p.heard.left(v.PrefillRate(), now) + b.blind()*float64(p.told.tokens)
+		c.Load.Prefill, c.Load.LocalQueued, c.Load.RemoteQueued = c.Tokens, p.tokens, int(told)
 	}
-	c.Expected = v.Expect(c.Load)
+	c.Expected = v.FirstEvent(c.Load)
 	whole := c.Load
-	whole.Read = q.Prompt
-	c.Usual, c.Pause = v.Expect(whole), v.Pause(c.Running)
+	whole.Prefill = q.Prompt
+	c.Usual, c.Pause = v.FirstEvent(whole), v.Pause(c.Running)
 	if over := c.Running + 1 - e.Slots; over > 0 {
 		// A slot comes free for each part of the time that an answer holds one.
-		c.Expected += v.Held * time.Duration(over) / time.Duration(max(e.Slots, 1))
+		c.Expected += v.SlotTime * time.Duration(over) / time.Duration(max(e.Slots, 1))
 	}
 	if p.slowness > slow {
 		c.Expected = time.Duration(p.slowness * float64(c.Expected))
@@ -220,13 +220,13 @@
 }
 
 // penalty is what counts against a choice besides its expected time.
-func (b *Book) penalty(c *Choice, q Query, v *estimate.View, now time.Time) time.Duration {
+func (b *Book) penalty(c *Choice, q Query, v *estimate.Prediction, now time.Time) time.Duration {
 	e := &c.Endpoint
 	p := b.peek(e.ID)
 	f := p.failing(now)
 	d := time.Duration(f*f*float64(failurePenalty)) + time.Duration(coldPart*float64(e.Cold))
 	if c.Again > 0 {
-		d += again * v.Reading(c.Again)
+		d += again * v.PrefillTime(c.Again)
 	}
 	switch {
 	case e.DataCentre == q.DataCentre:
--- a/balance/entry.go
+++ b/balance/entry.go
@@ -110,7 +110,7 @@
 		n.page.trying--
 	}
 	if !failed && n.events > 0 {
-		n.model.ObserveRun(now.Sub(n.began), now)
+		n.model.ObserveSlotTime(now.Sub(n.began), now)
 	}
 	v := 0.0
 	if failed {
--- a/balance/reach.go
+++ b/balance/reach.go
@@ -38,8 +38,8 @@
 	if tokens <= 0 {
 		return ToNone
 	}
-	v := b.model(service).View(now)
-	d := v.Reading(tokens)
+	v := b.model(service).Predict(now)
+	d := v.PrefillTime(tokens)
 	b.sent.add(float64(tokens), d >= veryLongPrompt, now)
 	b.told.add(float64(tokens), d >= b.long(), now)
 	switch {
--- a/balance/reach_test.go
+++ b/balance/reach_test.go
@@ -15,8 +15,8 @@
 	b := &balance.Book{}
 	now := time.Unix(1000, 0)
 	for i := range 300 {
-		l := estimate.Load{Read: 100 * (i % 200), Told: 50 * (i % 30)}
-		b.Model("s").Observe(l, 30*time.Millisecond+time.Duration(l.Read+l.Told)*10*time.Microsecond, time.Second, now)
+		l := estimate.Load{Prefill: 100 * (i % 200), RemoteQueued: 50 * (i % 30)}
+		b.Model("s").Observe(l, 30*time.Millisecond+time.Duration(l.Prefill+l.RemoteQueued)*10*time.Microsecond, time.Second, now)
 	}
 	return b, now
 }
--- a/balance/speeds.go
+++ b/balance/speeds.go
@@ -30,7 +30,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for n, s := range speeds {
-		b.model(n).Recall(s, now)
+		b.model(n).Restore(s, now)
 	}
 }
 
@@ -40,7 +40,7 @@
 	defer b.mu.Unlock()
 	out := map[string]estimate.Stats{}
 	for n, m := range b.models {
-		out[n] = m.Own(now)
+		out[n] = m.Local(now)
 	}
 	return out
 }
@@ -61,6 +61,6 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for n, s := range sum {
-		b.model(n).Tell(s)
+		b.model(n).SetRemote(s)
 	}
 }
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -114,7 +114,7 @@
 	gossip   *gossip.Gossip
 	hints    *hint.Hints
 	reporter *reporter.Reporter // nil without that duty
-	rollouts *rollout.Holder
+	rollouts *rollout.Controller
 
 	boxes atomic.Int64 // that this box hears, itself included
 
@@ -147,7 +147,7 @@
 		Document: platform.Document, Endpoint: platform.Endpoint, Order: platform.Order,
 	}, st, log)
 	p.known.OnOrders = p.gossip.Ordered
-	p.gossip.Rollouts.Chance = rand.Float64
+	p.gossip.Rollouts.Random = rand.Float64
 	p.known.Told = true
 	p.known.Roster.Box, p.known.Roster.DataCentre = s.Box, s.DataCentre
 	p.quota.Incarnation = p.incarnation
@@ -239,8 +239,8 @@
 		o.Bears = func(service string, slots int, pause time.Duration) scaling.Bears {
 			m := p.book.Model(service)
 			return scaling.Bears{
-				Reclaimable: m.Bear(scaling.Late(p.book.Blind()), slots, pause),
-				OnDemand:    m.Bear(scaling.LateOnDemand, slots, pause),
+				Reclaimable: m.EndpointCapacity(scaling.Late(p.book.Blind()), slots, pause),
+				OnDemand:    m.EndpointCapacity(scaling.LateOnDemand, slots, pause),
 			}
 		}
 		ss = append(ss, o)
@@ -249,10 +249,10 @@
 }
 
 // holder returns the service that decides on roll-outs.
-func (p *entryParts) holder(e *election.Election, log zerolog.Logger) *rollout.Holder {
-	p.rollouts = &rollout.Holder{
-		Gate: p.gossip.Rollouts, Store: p.store, Key: rolloutKey, Status: platform.Status, Act: e.Act, Tell: p.gossip.Decided,
-		Others: p.seen, Now: p.clock.Now, MaxShare: p.settings.RolloutShare, Log: log,
+func (p *entryParts) holder(e *election.Election, log zerolog.Logger) *rollout.Controller {
+	p.rollouts = &rollout.Controller{
+		Gate: p.gossip.Rollouts, Store: p.store, Key: rolloutKey, Status: platform.Status, Fence: e.Act, Broadcast: p.gossip.Decided,
+		RemoteEvidence: p.seen, Now: p.clock.Now, MaxShare: p.settings.RolloutShare, Log: log,
 	}
 	return p.rollouts
 }
--- a/daemon/tell.go
+++ b/daemon/tell.go
@@ -30,7 +30,7 @@
 		}
 		return gossip.Status{
 			Box: s.Box, DataCentre: s.DataCentre, Address: s.Peers, Version: v,
-			Words: p.rollouts.Words(), Evidence: p.gossip.Rollouts.Evidence(),
+			Words: p.rollouts.CurrentProgress(), Evidence: p.gossip.Rollouts.Evidence(),
 			Load: p.book.Own(), Failing: p.book.Failing(now), Demand: d, Speeds: p.book.Speeds(now),
 			Usage: []tally.Part{p.tally.Recent(s.Box+"."+p.incarnation, p.tally.Number(p.clock.At(now))-toldWindows)},
 		}
--- a/estimate/stats.go
+++ b/estimate/stats.go
@@ -21,8 +21,8 @@
 	// Classes are the same answers by their objective in milliseconds.
 	Classes map[int]Class
 
-	Runs float64 // that ended
-	Held float64 // seconds that they took in all
+	Completed   float64 // that ended
+	SlotSeconds float64 // seconds that they took in all
 }
 
 // Class is the answers with one objective, and sums of the tokens read for each, in
@@ -36,8 +36,8 @@
 // maxClasses bounds the objectives that are told apart. One of which less than forgotten
 // of an answer is left, by its age, gives its place to others.
 const (
-	maxClasses = 16
-	forgotten  = 0.001
+	maxClasses    = 16
+	minClassCount = 0.001
 )
 
 // Sums are those of a least squares fit: products of features with each other, as the
@@ -51,7 +51,7 @@
 }
 
 // count takes in how much was read for an answer with an objective.
-func (s *Stats) count(tokens int, objective time.Duration) {
+func (s *Stats) countAnswer(tokens int, objective time.Duration) {
 	t := float64(tokens) / thousand
 	power := 1.0
 	for i := range s.Moments {
@@ -83,8 +83,8 @@
 		c := s.Classes[k]
 		s.Classes[k] = Class{Count: c.Count + v.Count, Tokens: c.Tokens + v.Tokens, Squares: c.Squares + v.Squares}
 	}
-	s.Runs += o.Runs
-	s.Held += o.Held
+	s.Completed += o.Completed
+	s.SlotSeconds += o.SlotSeconds
 }
 
 // Without returns what is left of sums without those of one of the boxes that are in them.
@@ -98,10 +98,10 @@
 	for i := range taken.Moments {
 		taken.Moments[i] *= -1
 	}
-	taken.Runs, taken.Held = -taken.Runs, -taken.Held
+	taken.Completed, taken.SlotSeconds = -taken.Completed, -taken.SlotSeconds
 	left.Add(taken)
 	for k, c := range left.Classes {
-		if c.Count < forgotten {
+		if c.Count < minClassCount {
 			delete(left.Classes, k)
 		}
 	}
@@ -109,7 +109,7 @@
 }
 
 // Part returns a part of what was observed, as one of several boxes takes it over.
-func (s *Stats) Part(x float64) Stats {
+func (s *Stats) Scaled(x float64) Stats {
 	c := s.clone()
 	c.scale(x)
 	return c
@@ -130,14 +130,14 @@
 		s.Moments[i] *= x
 	}
 	for k, c := range s.Classes {
-		if c.Count*x < forgotten {
+		if c.Count*x < minClassCount {
 			delete(s.Classes, k)
 			continue
 		}
 		s.Classes[k] = Class{Count: c.Count * x, Tokens: c.Tokens * x, Squares: c.Squares * x}
 	}
-	s.Runs *= x
-	s.Held *= x
+	s.Completed *= x
+	s.SlotSeconds *= x
 }
 
 // add takes one observation, weighed by the inverse of its square.
@@ -147,7 +147,7 @@
 		s.Products, s.Observed = make([]float64, n*(n+1)/2), make([]float64, n)
 	}
 	s.Count++
-	w := 1 / max(observed*observed, tiny)
+	w := 1 / max(observed*observed, epsilon)
 	k := 0
 	for i := range n {
 		for j := i; j < n; j++ {
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -187,13 +187,13 @@
 		s.f.Roster.Put(e)
 	case "order": // of a version
 		s.order = rollout.Order{Service: "s", Version: words[1], Duration: time.Minute, Revision: s.order.Revision + 1}
-		s.f.Rollouts.TakeOrders(rollout.Orders{Revision: s.order.Revision, List: []rollout.Order{s.order}})
+		s.f.Rollouts.SetOrders(rollout.Orders{Revision: s.order.Revision, List: []rollout.Order{s.order}})
 	case "stage": // of the order, and the share of the requests that may go to the version
 		share, err := strconv.ParseFloat(words[2], 64)
 		require.NoError(s.t, err, at)
 		s.words++
-		w := rollout.Word{Order: s.order, Stage: stages[words[1]], Share: share, Count: s.words}
-		s.f.Rollouts.Hear(map[string]rollout.Word{"s": w}, boottime.Now())
+		w := rollout.Progress{Order: s.order, Stage: stages[words[1]], Share: share, Count: s.words}
+		s.f.Rollouts.UpdateProgress(map[string]rollout.Progress{"s": w}, boottime.Now())
 	case "budget":
 		s.f.Budget = budget.New(budget.Terms{Window: time.Minute})
 	case "call":
--- a/forward/rollout.go
+++ b/forward/rollout.go
@@ -20,16 +20,16 @@
 // findFor chooses among the endpoints of the versions to which a request may go. One that is to
 // go to the new version goes to the others if that has no endpoint that takes it; where no other
 // version has any endpoint left, the new one takes all, unless it was found to be bad.
-func (f *Forwarder) findFor(service string, q balance.Query, p rollout.Pass) (ch balance.Choice, some, ok bool) {
-	if p.Any() {
+func (f *Forwarder) findFor(service string, q balance.Query, p rollout.VersionFilter) (ch balance.Choice, some, ok bool) {
+	if p.AllowsAny() {
 		return f.find(service, q)
 	}
-	q.Takes = func(e *endpoint.Endpoint) bool { return p.Takes(e.Version) }
+	q.Takes = func(e *endpoint.Endpoint) bool { return p.Allows(e.Version) }
 	if ch, some, ok = f.find(service, q); ok {
 		return ch, some, ok
 	}
 	version, stage := f.Rollouts.Stage(service, boottime.Now())
-	if p.Not != "" && (stage == rollout.Reverted || f.serve(service, rollout.Pass{Not: version})) {
+	if p.Except != "" && (stage == rollout.Reverted || f.serve(service, rollout.VersionFilter{Except: version})) {
 		return ch, some, false
 	}
 	q.Takes = nil
@@ -37,9 +37,9 @@
 }
 
 // serve reports whether a service has an endpoint of some versions that takes work.
-func (f *Forwarder) serve(service string, p rollout.Pass) bool {
+func (f *Forwarder) serve(service string, p rollout.VersionFilter) bool {
 	for _, e := range f.Roster.Serving(service) {
-		if p.Takes(e.Version) {
+		if p.Allows(e.Version) {
 			return true
 		}
 	}
@@ -52,7 +52,7 @@
 	if !out.done && !out.answered {
 		return
 	}
-	r.f.Rollouts.Saw(r.q.Service.Name, r.q.Route.Name, ch.Endpoint.Version, out.answered, slow(ch, out, sent))
+	r.f.Rollouts.RecordAnswer(r.q.Service.Name, r.q.Route.Name, ch.Endpoint.Version, out.answered, slow(ch, out, sent))
 }
 
 // slow reports whether an answer took far longer than is usual, to its first event or between
--- a/forward/run.go
+++ b/forward/run.go
@@ -231,7 +231,7 @@
 func (r *run) choose(c context.Context) (balance.Choice, bool) {
 	q := r.query()
 	p := permits{began: boottime.Now()}
-	pass := r.f.Rollouts.Admit(r.q.Service.Name, len(r.sent)+r.dials+r.refusals > 0, boottime.Now())
+	pass := r.f.Rollouts.PickVersion(r.q.Service.Name, len(r.sent)+r.dials+r.refusals > 0, boottime.Now())
 	end := boottime.Now().Add(noneWait)
 	for {
 		ch, some, ok := r.f.findFor(r.q.Service.Name, q, pass)
--- a/gossip/before.go
+++ b/gossip/before.go
@@ -87,7 +87,7 @@
 	}
 	g.Expect(p.Before)
 	for n, v := range p.Speeds {
-		p.Speeds[n] = v.Part(1 / float64(max(p.Boxes, 1)))
+		p.Speeds[n] = v.Scaled(1 / float64(max(p.Boxes, 1)))
 	}
 	g.Recall(p.Speeds)
 }
--- a/gossip/news.go
+++ b/gossip/news.go
@@ -35,9 +35,9 @@
 	Ended    []string // endpoints
 	Leaving  []string // endpoints that said in an answer that they leave
 	Suspects []quarantine.Suspect
-	Rates    []stated.Word           // limits that endpoints named, lowered or ended
-	Orders   rollout.Orders          // of roll-outs, if they are news
-	Words    map[string]rollout.Word // on a new stage of one
+	Rates    []stated.Word               // limits that endpoints named, lowered or ended
+	Orders   rollout.Orders              // of roll-outs, if they are news
+	Words    map[string]rollout.Progress // on a new stage of one
 }
 
 func (n *news) empty() bool {
@@ -100,7 +100,7 @@
 	g.news.Leaving = append(g.news.Leaving, n.Leaving...)
 	g.news.Suspects = append(g.news.Suspects, n.Suspects...)
 	g.news.Rates = append(g.news.Rates, n.Rates...)
-	g.news.Words = rollout.AddWords(g.news.Words, n.Words, 0)
+	g.news.Words = rollout.MergeProgress(g.news.Words, n.Words, 0)
 	if n.Orders.Revision > g.news.Orders.Revision {
 		g.news.Orders = n.Orders
 	}
@@ -147,10 +147,10 @@
 	if suspected {
 		fresh.Suspects = in.Suspects
 	}
-	if g.Rollouts.TakeOrders(in.Orders) {
+	if g.Rollouts.SetOrders(in.Orders) {
 		fresh.Orders = in.Orders
 	}
-	fresh.Words = g.Rollouts.Hear(in.Words, boottime.Now())
+	fresh.Words = g.Rollouts.UpdateProgress(in.Words, boottime.Now())
 	switch {
 	case fresh.empty() || !g.holds():
 	case in.Relay:
--- a/gossip/relay.go
+++ b/gossip/relay.go
@@ -26,7 +26,7 @@
 	s := empty(g.Box, g.DataCentre, g.Address)
 	self := g.self()
 	s.add(self)
-	s.Words = rollout.AddWords(nil, self.Words, 0)
+	s.Words = rollout.MergeProgress(nil, self.Words, 0)
 	s.Leaving = g.leaves()
 	s.Revision, s.Silent = g.known.Revision(), g.session.Silent()
 	g.mu.Lock()
@@ -80,7 +80,7 @@
 	g.Quarantine.Hear(in.Suspects, now)
 	g.hearLeavers(in.Leavers)
 	g.hearRates(in.Rates.Words)
-	g.Rollouts.Hear(in.Words, now)
+	g.Rollouts.UpdateProgress(in.Words, now)
 	in.Suspects, in.Leavers.Incarnations, in.Rates.Words = nil, nil, nil
 	relay := g.holds()
 	counted := relay && in.Relay == g.Box
--- a/gossip/rollouts_test.go
+++ b/gossip/rollouts_test.go
@@ -33,14 +33,14 @@
 	relay.Ordered(rollout.Orders{Revision: 6, List: []rollout.Order{o}})
 	await(t, func() bool { return count(bs, func(b *box) bool { return stage(b) == rollout.Closed }) == 7 })
 	b := member(bs)
-	b.Rollouts.Saw("s", "r", "v2", true, false)
-	bs[0].Rollouts.Saw("s", "r", "v1", false, true)
+	b.Rollouts.RecordAnswer("s", "r", "v2", true, false)
+	bs[0].Rollouts.RecordAnswer("s", "r", "v1", false, true)
 	await(t, func() bool {
 		e := rollout.AddEvidence(b.Rollouts.Evidence(), b.sum().Evidence)["s"].Routes["r"]
 		f := rollout.AddEvidence(relay.Rollouts.Evidence(), relay.sum().Evidence)["s"].Routes["r"]
 		return e.New.Failed == 1 && f.New.Failed == 1 && f.Old.Slow == 1
 	})
-	b.Decided(map[string]rollout.Word{"s": {Order: o, Stage: rollout.Reverted, Fence: 1, Count: 1}})
+	b.Decided(map[string]rollout.Progress{"s": {Order: o, Stage: rollout.Reverted, Fence: 1, Count: 1}})
 	await(t, func() bool { return count(bs, func(b *box) bool { return stage(b) == rollout.Reverted }) == 7 })
 	late := start(t, m, "late", "dc1")
 	await(t, func() bool { return stage(late) == rollout.Closed })
--- a/gossip/status.go
+++ b/gossip/status.go
@@ -39,15 +39,15 @@
 	Works      Works                               // the endpoints whose load a member is told
 	Demand     map[string]map[string]demand.Figure // by service and data centre
 	Usage      []tally.Part
-	Speeds     map[string]estimate.Stats // by service, what was observed of its endpoints; none means as last told
-	Members    []string                  // addresses of the boxes that a relay counts
-	Suspects   []quarantine.Suspect      // what was lately learnt of contents under which endpoints end
-	Judged     uint64                    // the sum of the verdicts on them that a member was last told
-	Failing    map[string]balance.Calls  // at endpoints that fail some, by the boxes of this data centre
-	Leavers    endpoint.Leavers          // the endpoints that leave ahead of their records
-	Rates      stated.Report             // what endpoints take from all boxes together
-	Orders     rollout.Orders            // of roll-outs, as a relay knows them
-	Words      map[string]rollout.Word   // on how far these are, by service
+	Speeds     map[string]estimate.Stats   // by service, what was observed of its endpoints; none means as last told
+	Members    []string                    // addresses of the boxes that a relay counts
+	Suspects   []quarantine.Suspect        // what was lately learnt of contents under which endpoints end
+	Judged     uint64                      // the sum of the verdicts on them that a member was last told
+	Failing    map[string]balance.Calls    // at endpoints that fail some, by the boxes of this data centre
+	Leavers    endpoint.Leavers            // the endpoints that leave ahead of their records
+	Rates      stated.Report               // what endpoints take from all boxes together
+	Orders     rollout.Orders              // of roll-outs, as a relay knows them
+	Words      map[string]rollout.Progress // on how far these are, by service
 	Evidence   map[string]rollout.Evidence
 }
 
@@ -126,7 +126,7 @@
 
 // addWords takes in words on roll-outs, which have aged since they came.
 func (s *Status) addWords(h heard, now time.Time) {
-	s.Words = rollout.AddWords(s.Words, h.Words, now.Sub(h.at))
+	s.Words = rollout.MergeProgress(s.Words, h.Words, now.Sub(h.at))
 }
 
 // addFailing sums up calls at endpoints that fail some.
--- a/gossip/sums.go
+++ b/gossip/sums.go
@@ -56,7 +56,7 @@
 	}
 	self := g.self()
 	s.all.add(self)
-	s.all.Words = rollout.AddWords(nil, self.Words, 0)
+	s.all.Words = rollout.MergeProgress(nil, self.Words, 0)
 	g.mu.Lock()
 	for n, h := range g.members {
 		if now.Sub(h.at) < lost {
@@ -97,7 +97,7 @@
 	}
 	s.Load = t.loads(p, member.Works)
 	s.Failing = t.failing(p)
-	s.Words = rollout.AddWords(nil, t.all.Words, boottime.Since(t.at))
+	s.Words = rollout.MergeProgress(nil, t.all.Words, boottime.Since(t.at))
 	s.Demand = t.demand(p)
 	if member.Speeds != nil {
 		s.Speeds = t.speeds(p)
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -294,7 +294,7 @@
 	o.placed[s] = p
 	o.log.Info().Str("event", "order").Str("service", s.service).Str("data_centre", s.dataCentre).Bool("reclaimable", s.reclaimable).
 		Int("count", n).Uint64("fence", fence).
-		Float64("bears_tokens_per_s", bears.Reclaimable.Tokens).Float64("on_demand_bears", bears.OnDemand.Tokens).
+		Float64("bears_tokens_per_s", bears.Reclaimable.TokensPerSecond).Float64("on_demand_bears", bears.OnDemand.TokensPerSecond).
 		Float64("bears_running", bears.OnDemand.Running).
 		Float64("tokens_per_s", site.Demand.Tokens).Float64("running", site.Demand.Running).
 		Int("have_on_demand", site.Have.OnDemand).Int("have_reclaimable", site.Have.Reclaimable).
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -189,7 +189,7 @@
 		return slices.Contains(f.slow, e.ID)
 	}
 	o.Bears = func(string, int, time.Duration) scaling.Bears {
-		b := estimate.Bearable{Tokens: 20_000, Running: 40}
+		b := estimate.Capacity{TokensPerSecond: 20_000, Running: 40}
 		return scaling.Bears{Reclaimable: b, OnDemand: b}
 	}
 	n := &kernel.Kernel{}
--- a/rollout/any_test.go
+++ b/rollout/any_test.go
@@ -13,21 +13,21 @@
 )
 
 // course plays one order, with some trouble in its first half, and returns the fleet.
-func course(t *testing.T, seed uint64, boxes, troubles int, holder bool, bad badness) (f *fleet) {
+func simulate(t *testing.T, seed uint64, boxes, troubles int, holder bool, bad versionDefect) (f *fleet) {
 	synctest.Test(t, func(t *testing.T) {
 		f = newFleet(t, boxes, seed, bad)
 		for range 100 {
 			f.step(100)
 		}
-		f.give("v2")
-		for n := range int((length + 6*time.Second) / tick) {
+		f.placeOrder("v2")
+		for n := range int((orderDuration + 6*time.Second) / tick) {
 			f.step(100)
-			if at := time.Duration(n) * tick; troubles > 0 && at < length/2 && f.chance.IntN(int(length/2/tick)) < troubles {
+			if at := time.Duration(n) * tick; troubles > 0 && at < orderDuration/2 && f.chance.IntN(int(orderDuration/2/tick)) < troubles {
 				kind := f.chance.IntN(6)
 				if !holder {
 					kind = 1 + f.chance.IntN(5)
 				}
-				f.trouble(kind)
+				f.injectFault(kind)
 			}
 		}
 		for f.pending.Len() > 0 {
@@ -39,8 +39,8 @@
 }
 
 // An order's states follow each other, and an end stays.
-func requireStates(t *testing.T, f *fleet, what string) {
-	for _, seen := range f.stage {
+func requireFinalStateLast(t *testing.T, f *fleet, what string) {
+	for _, seen := range f.states {
 		for i, s := range seen {
 			if s == "complete" || s == "reverted" {
 				require.Equal(t, len(seen)-1, i, "%s: %v", what, seen)
@@ -53,17 +53,17 @@
 // tenth of the requests and 50, none later than 5 s after it was sent back, and is sent back in 99
 // of 100 courses.
 func TestAnyBadVersion(t *testing.T) {
-	for _, bad := range kinds {
+	for _, bad := range versionDefects {
 		played, reverted := 0, 0
-		for seed := range uint64(seedsOf(20)) {
+		for seed := range uint64(seedCount(20)) {
 			boxes := []int{3, 12, 40, 100}[seed%4]
-			f := course(t, seed, boxes, int(seed%3), true, bad)
+			f := simulate(t, seed, boxes, int(seed%3), true, bad)
 			what := fmt.Sprintf("%s, seed %d, %d boxes", bad.name, seed, boxes)
-			require.LessOrEqual(t, f.got, f.sent/10+50, what)
-			require.Zero(t, f.late, what)
-			requireStates(t, f, what)
+			require.LessOrEqual(t, f.sentToNew, f.sent/10+50, what)
+			require.Zero(t, f.sentAfterRevert, what)
+			requireFinalStateLast(t, f, what)
 			played++
-			if f.end() == "reverted" {
+			if f.finalState() == "reverted" {
 				reverted++
 			}
 		}
@@ -77,17 +77,17 @@
 func TestAnyGoodVersion(t *testing.T) {
 	for _, holder := range []bool{false, true} {
 		played, complete := 0, 0
-		for seed := range uint64(seedsOf(50)) {
+		for seed := range uint64(seedCount(50)) {
 			boxes := []int{3, 12, 40, 100}[seed%4]
-			f := course(t, seed, boxes, int(seed%3), holder, badness{})
+			f := simulate(t, seed, boxes, int(seed%3), holder, versionDefect{})
 			what := fmt.Sprintf("seed %d, %d boxes, holder dies: %v", seed, boxes, holder)
-			requireStates(t, f, what)
+			requireFinalStateLast(t, f, what)
 			played++
-			if f.end() == "complete" {
+			if f.finalState() == "complete" {
 				complete++
-				require.Zero(t, f.cutOff, what)
+				require.Zero(t, f.interrupted, what)
 			} else {
-				t.Log(what, f.stage)
+				t.Log(what, f.states)
 			}
 		}
 		t.Log(complete, "of", played)
@@ -99,7 +99,7 @@
 
 // seedsOf is how many courses a test plays: ROLLOUT_SEEDS of them where that is set, for the long
 // runs that are started by hand.
-func seedsOf(usual int) int {
+func seedCount(usual int) int {
 	if n, err := strconv.Atoi(os.Getenv("ROLLOUT_SEEDS")); err == nil {
 		return n
 	}
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -19,7 +19,7 @@
 }
 
 // Pair is what became of one route's requests at the other versions and at the new one.
-type Pair struct {
+type RouteCounts struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Old Counts
@@ -31,7 +31,7 @@
 type Evidence struct {
 	Revision uint64 // of the order
 	Busy     float64
-	Routes   map[string]Pair
+	Routes   map[string]RouteCounts
 }
 
 // plus returns the evidence of more boxes. That for another order than the newer one is left out.
@@ -42,13 +42,13 @@
 	case o.Revision < e.Revision:
 		return e
 	}
-	sum := Evidence{Revision: e.Revision, Busy: e.Busy + o.Busy, Routes: map[string]Pair{}}
+	sum := Evidence{Revision: e.Revision, Busy: e.Busy + o.Busy, Routes: map[string]RouteCounts{}}
 	for n, p := range e.Routes {
 		sum.Routes[n] = p
 	}
 	for n, p := range o.Routes {
 		q := sum.Routes[n]
-		sum.Routes[n] = Pair{Old: q.Old.plus(p.Old), New: q.New.plus(p.New)}
+		sum.Routes[n] = RouteCounts{Old: q.Old.plus(p.Old), New: q.New.plus(p.New)}
 	}
 	return sum
 }
@@ -65,7 +65,7 @@
 }
 
 // answers returns how many answers of the new version there are.
-func (e Evidence) answers() float64 {
+func (e Evidence) newAnswers() float64 {
 	n := 0.0
 	for _, p := range e.Routes {
 		n += p.New.Answers
--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -12,18 +12,18 @@
 // heard it, or that was suspended, sends nothing to the new version. A canary goes on for
 // canaryStale, until a successor has the duty: its part is one that a bad version may get.
 const (
-	stale       = 3 * time.Second
-	canaryStale = 4500 * time.Millisecond
+	progressTimeout = 3 * time.Second
+	canaryTimeout   = 4500 * time.Millisecond
 )
 
 // doneAfter is how long after its completion an order says nothing more: the versions before have
 // stopped by then, and a later one may come without an order.
-const doneAfter = 10 * time.Second
+const completeFilterFor = 10 * time.Second
 
 // Gate is what one box knows of roll-outs: which of its requests may go to which version, and
 // what became of them. Its zero value knows of none. Chance returns numbers from 0 to 1.
 type Gate struct {
-	Chance func() float64
+	Random func() float64
 
 	mu       sync.Mutex
 	orders   Orders
@@ -32,27 +32,27 @@
 
 // service is one service with an order.
 type service struct {
-	order    Order
-	word     Word
-	heard    time.Time // when the word was said
-	due      float64   // the part of a request that the new version is owed
-	running  map[string]int
-	evidence Evidence
+	order      Order
+	progress   Progress
+	reportedAt time.Time // when the word was said
+	credit     float64   // the part of a request that the new version is owed
+	running    map[string]int
+	evidence   Evidence
 }
 
 // Pass says which version a request may go to. The zero value is any.
-type Pass struct {
-	Only string // this version; empty for any
-	Not  string // any but this one; empty for any
+type VersionFilter struct {
+	Only   string // this version; empty for any
+	Except string // any but this one; empty for any
 }
 
 // Takes reports whether an endpoint's version is one that the request may go to.
-func (p Pass) Takes(version string) bool {
-	return (p.Only == "" || version == p.Only) && (p.Not == "" || version != p.Not)
+func (p VersionFilter) Allows(version string) bool {
+	return (p.Only == "" || version == p.Only) && (p.Except == "" || version != p.Except)
 }
 
 // Any reports whether the request may go to all versions.
-func (p Pass) Any() bool { return p == Pass{} }
+func (p VersionFilter) AllowsAny() bool { return p == VersionFilter{} }
 
 func (g *Gate) service(name string) *service {
 	if g.services == nil {
@@ -68,7 +68,7 @@
 
 // TakeOrders takes all orders that stand, unless newer ones are known. It reports whether they are
 // news.
-func (g *Gate) TakeOrders(o Orders) bool {
+func (g *Gate) SetOrders(o Orders) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if o.Revision <= g.orders.Revision {
@@ -82,15 +82,15 @@
 		if s.order.Revision == x.Revision {
 			continue
 		}
-		s.order, s.due = x, 0
-		if g.Chance != nil {
-			s.due = g.Chance() // so that the boxes do not all send their first one at once
+		s.order, s.credit = x, 0
+		if g.Random != nil {
+			s.credit = g.Random() // so that the boxes do not all send their first one at once
 		}
-		s.evidence = Evidence{Revision: x.Revision, Routes: map[string]Pair{}}
+		s.evidence = Evidence{Revision: x.Revision, Routes: map[string]RouteCounts{}}
 	}
 	for n, s := range g.services {
 		if !standing[n] {
-			s.order, s.word = Order{}, Word{}
+			s.order, s.progress = Order{}, Progress{}
 		}
 	}
 	return true
@@ -104,34 +104,34 @@
 }
 
 // Hear takes in words, and returns those that are news of a stage.
-func (g *Gate) Hear(words map[string]Word, now time.Time) map[string]Word {
+func (g *Gate) UpdateProgress(words map[string]Progress, now time.Time) map[string]Progress {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var news map[string]Word
+	var news map[string]Progress
 	for n, w := range words {
 		s := g.service(n)
-		if !w.newer(s.word) || s.word.Revision == w.Revision && s.word.Stage.Final() {
+		if !w.supersedes(s.progress) || s.progress.Revision == w.Revision && s.progress.Stage.Final() {
 			continue
 		}
-		if s.word.Revision != w.Revision || s.word.Stage != w.Stage {
-			news = AddWords(news, map[string]Word{n: w}, 0)
+		if s.progress.Revision != w.Revision || s.progress.Stage != w.Stage {
+			news = MergeProgress(news, map[string]Progress{n: w}, 0)
 		}
-		s.word, s.heard = w, now.Add(-w.Age)
+		s.progress, s.reportedAt = w, now.Add(-w.Age)
 	}
 	return news
 }
 
 // stage returns the stage and the share of an order, as far as this box knows them.
 func (s *service) stage(now time.Time) (Stage, float64) {
-	w := s.word
+	w := s.progress
 	if w.Revision != s.order.Revision {
 		return Closed, 0
 	}
-	limit := stale
+	limit := progressTimeout
 	if w.Stage == Canary {
-		limit = canaryStale
+		limit = canaryTimeout
 	}
-	if !w.Stage.Final() && now.Sub(s.heard) > limit {
+	if !w.Stage.Final() && now.Sub(s.reportedAt) > limit {
 		return Closed, 0
 	}
 	return w.Stage, w.Share
@@ -140,28 +140,28 @@
 // Admit says which version a request may go to. A request that has been sent to an endpoint before
 // goes to the other versions while the order is under way: one that a bad version failed is
 // served, and the version gets no more than its share.
-func (g *Gate) Admit(name string, repeat bool, now time.Time) Pass {
+func (g *Gate) PickVersion(name string, repeat bool, now time.Time) VersionFilter {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.services[name]
 	if s == nil || s.order.Revision == 0 {
-		return Pass{}
+		return VersionFilter{}
 	}
 	stage, share := s.stage(now)
 	v := s.order.Version
 	switch {
-	case stage == Complete && now.Sub(s.heard) > doneAfter:
-		return Pass{}
+	case stage == Complete && now.Sub(s.reportedAt) > completeFilterFor:
+		return VersionFilter{}
 	case stage == Complete || stage == Whole:
-		return Pass{Only: v}
+		return VersionFilter{Only: v}
 	case repeat || share <= 0:
-		return Pass{Not: v}
+		return VersionFilter{Except: v}
 	}
-	if s.due += share; s.due >= 1 {
-		s.due--
-		return Pass{Only: v}
+	if s.credit += share; s.credit >= 1 {
+		s.credit--
+		return VersionFilter{Only: v}
 	}
-	return Pass{Not: v}
+	return VersionFilter{Except: v}
 }
 
 // Stage returns how far a service's order has been carried out, as far as this box knows, and its
@@ -194,11 +194,11 @@
 }
 
 // Saw notes an answer of an endpoint: whether it was a failure, and whether it was slow.
-func (g *Gate) Saw(name, route, version string, failed, slow bool) {
+func (g *Gate) RecordAnswer(name, route, version string, failed, slow bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.services[name]
-	if s == nil || s.order.Revision == 0 || s.word.Revision == s.order.Revision && s.word.Stage.Final() {
+	if s == nil || s.order.Revision == 0 || s.progress.Revision == s.order.Revision && s.progress.Stage.Final() {
 		return
 	}
 	c := Counts{Answers: 1}
@@ -223,7 +223,7 @@
 	defer g.mu.Unlock()
 	var out map[string]Evidence
 	for n, s := range g.services {
-		if s.order.Revision == 0 || s.word.Revision == s.order.Revision && s.word.Stage.Final() {
+		if s.order.Revision == 0 || s.progress.Revision == s.order.Revision && s.progress.Stage.Final() {
 			continue
 		}
 		e := Evidence{Revision: s.evidence.Revision, Routes: maps.Clone(s.evidence.Routes)}
--- a/rollout/holder.go
+++ b/rollout/holder.go
@@ -20,14 +20,14 @@
 const Name = "rollout"
 
 // step is the time between two decisions.
-const step = 250 * time.Millisecond
+const decideInterval = 250 * time.Millisecond
 
 // actedFor is how long after the last decision this box still speaks as the holder of the duty.
-const actedFor = time.Second
+const progressLifetime = time.Second
 
 // Holder is the service that decides on orders while its box holds the duty. Its exported fields
 // are set before it starts.
-type Holder struct {
+type Controller struct {
 	Gate  *Gate
 	Store store.Store
 
@@ -38,11 +38,11 @@
 	Status func(o Order, s Stage) (store.Put, error)
 
 	// Act returns the fence and true if this box may decide now.
-	Act func() (uint64, bool)
+	Fence func() (uint64, bool)
 
 	// Others returns what the other boxes have seen, and Tell tells them a new stage at once.
-	Others func() map[string]Evidence
-	Tell   func(map[string]Word)
+	RemoteEvidence func() map[string]Evidence
+	Broadcast      func(map[string]Progress)
 
 	// Now returns the time of day of the fleet, by which successors know how old an order is.
 	Now func() time.Time
@@ -53,15 +53,15 @@
 	cancel context.CancelFunc
 	group  sync.WaitGroup
 
-	fence    uint64
-	read     bool   // what stands at Key is known
-	revision uint64 // of Key
-	states   map[string]state
-	policies map[string]*Policy
+	fence        uint64
+	statesLoaded bool   // what stands at Key is known
+	revision     uint64 // of Key
+	states       map[string]state
+	policies     map[string]*Policy
 
-	mu    sync.Mutex
-	words map[string]Word
-	acted time.Time
+	mu        sync.Mutex
+	progress  map[string]Progress
+	decidedAt time.Time
 }
 
 // state is how far an order is. Began and Since are when it came and when the stage began.
@@ -73,15 +73,15 @@
 }
 
 // Name returns the service's name.
-func (h *Holder) Name() string { return Name }
+func (h *Controller) Name() string { return Name }
 
 // Start begins to decide.
-func (h *Holder) Start(context.Context, *kernel.Kernel) error {
+func (h *Controller) Start(context.Context, *kernel.Kernel) error {
 	c, cancel := context.WithCancel(context.Background())
 	h.cancel = cancel
 	h.group.Go(func() {
 		for c.Err() == nil {
-			wait.For(c, step)
+			wait.For(c, decideInterval)
 			h.Step(c)
 		}
 	})
@@ -89,21 +89,21 @@
 }
 
 // Stop ends it.
-func (h *Holder) Stop(context.Context) error {
+func (h *Controller) Stop(context.Context) error {
 	h.cancel()
 	h.group.Wait()
 	return nil
 }
 
 // Words returns what this box says as the holder of the duty; none if it does not hold it.
-func (h *Holder) Words() map[string]Word {
+func (h *Controller) CurrentProgress() map[string]Progress {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	age := boottime.Since(h.acted)
-	if age > actedFor {
+	age := boottime.Since(h.decidedAt)
+	if age > progressLifetime {
 		return nil
 	}
-	out := maps.Clone(h.words)
+	out := maps.Clone(h.progress)
 	for s, w := range out {
 		w.Age = age
 		out[s] = w
@@ -112,42 +112,42 @@
 }
 
 // Step decides once on each order that stands.
-func (h *Holder) Step(c context.Context) {
+func (h *Controller) Step(c context.Context) {
 	orders := h.Gate.Orders().List
 	if len(orders) == 0 {
 		return
 	}
-	fence, ok := h.Act()
+	fence, ok := h.Fence()
 	if !ok {
 		return
 	}
 	if fence != h.fence {
-		h.fence, h.read, h.policies = fence, false, map[string]*Policy{}
+		h.fence, h.statesLoaded, h.policies = fence, false, map[string]*Policy{}
 	}
-	if !h.read && h.readStates(c) != nil {
+	if !h.statesLoaded && h.loadStates(c) != nil {
 		return
 	}
-	sum := AddEvidence(AddEvidence(nil, h.Gate.Evidence()), h.Others())
+	sum := AddEvidence(AddEvidence(nil, h.Gate.Evidence()), h.RemoteEvidence())
 	changed := map[string]state{}
 	for _, o := range orders {
 		if s, news := h.decide(o, sum[o.Service]); news {
 			changed[o.Service] = s
 		}
 	}
-	h.speak(orders) // first: what is found to be bad gets nothing more, whatever the store says
+	h.publish(orders) // first: what is found to be bad gets nothing more, whatever the store says
 	for _, o := range orders {
 		if s, ok := changed[o.Service]; ok {
-			err := h.write(c, o, s)
+			err := h.writeState(c, o, s)
 			h.Log.Info().Str("event", "rollout").Str("service", o.Service).Str("version", o.Version).Uint64("order", o.Revision).
 				Uint64("fence", h.fence).Dur("ago", h.Now().Sub(s.Began)).Stringer("stage", s.Stage).
 				Interface("evidence", sum[o.Service]).Err(err).Msg("decision")
 		}
 	}
-	h.speak(orders)
+	h.publish(orders)
 }
 
 // readStates learns how far the holder before came.
-func (h *Holder) readStates(c context.Context) error {
+func (h *Controller) loadStates(c context.Context) error {
 	i, err := h.Store.Get(c, h.Key)
 	if err != nil {
 		return err
@@ -159,12 +159,12 @@
 			h.states = map[string]state{}
 		}
 	}
-	h.read = true
+	h.statesLoaded = true
 	return nil
 }
 
 // decide returns the stage that an order is to enter, and false if it stays where it is.
-func (h *Holder) decide(o Order, e Evidence) (state, bool) {
+func (h *Controller) decide(o Order, e Evidence) (state, bool) {
 	now := h.Now()
 	s, had := h.states[o.Service]
 	if !had || s.Revision != o.Revision {
@@ -187,7 +187,7 @@
 }
 
 // write keeps how far an order is, together with the operator's status.
-func (h *Holder) write(c context.Context, o Order, s state) error {
+func (h *Controller) writeState(c context.Context, o Order, s state) error {
 	states := maps.Clone(h.states)
 	states[o.Service] = s
 	value, err := json.Marshal(states)
@@ -205,7 +205,7 @@
 	if err != nil {
 		// Another may have written, or this change taken effect: it is read again.
 		if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrUnknown) {
-			h.read = false
+			h.statesLoaded = false
 		}
 		return err
 	}
@@ -215,28 +215,28 @@
 
 // speak says how far each order is: as it is written, or sent back if that is decided. A stage
 // that is news is told at once.
-func (h *Holder) speak(orders []Order) {
-	words, news := map[string]Word{}, map[string]Word{}
+func (h *Controller) publish(orders []Order) {
+	words, news := map[string]Progress{}, map[string]Progress{}
 	h.mu.Lock()
 	for _, o := range orders {
 		s, stands := h.states[o.Service]
 		stage := s.Stage
 		switch p := h.policies[o.Service]; {
-		case p != nil && p.order == o.Revision && p.condemned:
+		case p != nil && p.order == o.Revision && p.rejected:
 			stage = Reverted
 		case !stands || s.Revision != o.Revision:
 			continue
 		}
-		old := h.words[o.Service]
-		w := Word{Order: o, Stage: stage, Share: Share(stage, h.MaxShare), Fence: h.fence, Count: old.Count + 1}
+		old := h.progress[o.Service]
+		w := Progress{Order: o, Stage: stage, Share: Share(stage, h.MaxShare), Fence: h.fence, Count: old.Count + 1}
 		if old.Revision != o.Revision || old.Stage != stage {
 			news[o.Service] = w
 		}
 		words[o.Service] = w
 	}
-	h.words, h.acted = words, boottime.Now()
+	h.progress, h.decidedAt = words, boottime.Now()
 	h.mu.Unlock()
 	if len(news) > 0 {
-		h.Tell(news)
+		h.Broadcast(news)
 	}
 }
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -51,7 +51,7 @@
 
 // Word is what the holder of the duty says of an order. Of two words that with the newer order
 // holds, then that with the higher fence, then the later one.
-type Word struct {
+type Progress struct {
 	Order
 	Stage Stage
 	Share float64 // of the service's requests that may go to the version
@@ -61,7 +61,7 @@
 }
 
 // newer reports whether a word holds in place of another.
-func (w Word) newer(o Word) bool {
+func (w Progress) supersedes(o Progress) bool {
 	switch {
 	case w.Revision != o.Revision:
 		return w.Revision > o.Revision
@@ -73,14 +73,14 @@
 }
 
 // AddWords takes words into those known, and keeps of each service the one that holds.
-func AddWords(known map[string]Word, more map[string]Word, aged time.Duration) map[string]Word {
+func MergeProgress(known map[string]Progress, more map[string]Progress, aged time.Duration) map[string]Progress {
 	for s, w := range more {
 		w.Age += aged
-		if old, had := known[s]; had && !w.newer(old) {
+		if old, had := known[s]; had && !w.supersedes(old) {
 			continue
 		}
 		if known == nil {
-			known = map[string]Word{}
+			known = map[string]Progress{}
 		}
 		known[s] = w
 	}
--- a/rollout/policy_test.go
+++ b/rollout/policy_test.go
@@ -12,11 +12,11 @@
 
 // play decides on an order of 12 s from what becomes of 100 requests a second, and returns its
 // stages, when each began, and how many requests the version got.
-func play(seed uint64, bad func(at time.Duration, share float64) (failed, slow float64)) (stages []rollout.Stage, at []time.Duration, got int) {
+func simulatePolicy(seed uint64, bad func(at time.Duration, share float64) (failed, slow float64)) (stages []rollout.Stage, at []time.Duration, got int) {
 	chance := rand.New(rand.NewPCG(seed, 0))
 	p := rollout.Policy{MaxShare: 0.1}
 	o := rollout.Order{Service: "s", Version: "v2", Duration: 12 * time.Second, Revision: 1}
-	e := rollout.Evidence{Revision: 1, Routes: map[string]rollout.Pair{}}
+	e := rollout.Evidence{Revision: 1, Routes: map[string]rollout.RouteCounts{}}
 	stage, since := rollout.Closed, time.Duration(0)
 	count := func(c *rollout.Counts, failed, slow float64) {
 		c.Answers++
@@ -51,10 +51,10 @@
 }
 
 // A good version passes through all stages, and is complete in time, in 98 of 100 courses or more.
-func TestGoodVersions(t *testing.T) {
+func TestGoodVersionsComplete(t *testing.T) {
 	complete := 0
 	for seed := range uint64(300) {
-		stages, at, _ := play(seed, func(time.Duration, float64) (float64, float64) { return 0.01, 0.03 })
+		stages, at, _ := simulatePolicy(seed, func(time.Duration, float64) (float64, float64) { return 0.01, 0.03 })
 		if stages[len(stages)-1] == rollout.Complete {
 			complete++
 			require.Equal(t, []rollout.Stage{rollout.Canary, rollout.Ramp, rollout.Whole, rollout.Complete}, stages)
@@ -66,20 +66,20 @@
 
 // A bad version is sent back in 99 of 100 courses or more, and gets no more than a tenth of the
 // requests and 50.
-func TestBadVersions(t *testing.T) {
+func TestBadVersionsReverted(t *testing.T) {
 	for name, bad := range map[string]func(at time.Duration, share float64) (float64, float64){
 		"fails 20 in 100":        func(time.Duration, float64) (float64, float64) { return 0.2, 0.03 },
 		"fails all":              func(time.Duration, float64) (float64, float64) { return 1, 0 },
 		"is several times slow":  func(time.Duration, float64) (float64, float64) { return 0.01, 0.9 },
-		"turns bad after 6 s":    func(at time.Duration, _ float64) (float64, float64) { return turned(at > 6*time.Second), 0.03 },
-		"turns bad under load":   func(_ time.Duration, share float64) (float64, float64) { return turned(share > 0.1), 0.03 },
-		"turns slow under load":  func(_ time.Duration, share float64) (float64, float64) { return 0.01, turned(share > 0.1) * 4 },
-		"turns bad in the ramp":  func(at time.Duration, _ float64) (float64, float64) { return turned(at > 7*time.Second), 0.03 },
+		"turns bad after 6 s":    func(at time.Duration, _ float64) (float64, float64) { return failureRate(at > 6*time.Second), 0.03 },
+		"turns bad under load":   func(_ time.Duration, share float64) (float64, float64) { return failureRate(share > 0.1), 0.03 },
+		"turns slow under load":  func(_ time.Duration, share float64) (float64, float64) { return 0.01, failureRate(share > 0.1) * 4 },
+		"turns bad in the ramp":  func(at time.Duration, _ float64) (float64, float64) { return failureRate(at > 7*time.Second), 0.03 },
 		"is slow and also fails": func(time.Duration, float64) (float64, float64) { return 0.15, 0.5 },
 	} {
 		reverted := 0
 		for seed := range uint64(300) {
-			stages, _, got := play(seed, bad)
+			stages, _, got := simulatePolicy(seed, bad)
 			if stages[len(stages)-1] == rollout.Reverted {
 				reverted++
 			}
@@ -89,7 +89,7 @@
 	}
 }
 
-func turned(bad bool) float64 {
+func failureRate(bad bool) float64 {
 	if bad {
 		return 0.2
 	}
@@ -97,10 +97,10 @@
 }
 
 // A service that always fails a part of its calls on one route does not condemn a good version.
-func TestUsualFailures(t *testing.T) {
+func TestBaselineFailuresIgnored(t *testing.T) {
 	p := rollout.Policy{MaxShare: 0.1}
 	o := rollout.Order{Service: "s", Version: "v2", Duration: 12 * time.Second, Revision: 1}
-	e := rollout.Evidence{Revision: 1, Routes: map[string]rollout.Pair{
+	e := rollout.Evidence{Revision: 1, Routes: map[string]rollout.RouteCounts{
 		"tick":  {Old: rollout.Counts{Answers: 1000, Failed: 140}, New: rollout.Counts{Answers: 100, Failed: 17}},
 		"alert": {Old: rollout.Counts{Answers: 1000, Failed: 4}, New: rollout.Counts{Answers: 100, Failed: 1}},
 	}}
@@ -111,7 +111,7 @@
 func TestTooFewAnswers(t *testing.T) {
 	p := rollout.Policy{MaxShare: 0.1}
 	o := rollout.Order{Service: "s", Version: "v2", Duration: 12 * time.Second, Revision: 1}
-	few := rollout.Evidence{Revision: 1, Routes: map[string]rollout.Pair{"r": {New: rollout.Counts{Answers: 5}}}}
+	few := rollout.Evidence{Revision: 1, Routes: map[string]rollout.RouteCounts{"r": {New: rollout.Counts{Answers: 5}}}}
 	require.Equal(t, rollout.Canary, p.Next(o, rollout.Canary, time.Second, 8*time.Second, few))
 	require.Equal(t, rollout.Reverted, p.Next(o, rollout.Canary, time.Second, 11500*time.Millisecond, few))
 	require.Equal(t, rollout.Complete, p.Next(o, rollout.Complete, time.Second, time.Hour, few))
--- a/scaling/plan.go
+++ b/scaling/plan.go
@@ -80,8 +80,8 @@
 // Bears is what one endpoint bears, where reclaimable endpoints carry the load and
 // where it takes others.
 type Bears struct {
-	Reclaimable estimate.Bearable
-	OnDemand    estimate.Bearable
+	Reclaimable estimate.Capacity
+	OnDemand    estimate.Capacity
 }
 
 // Site is what is known of a service in one data centre.
@@ -214,8 +214,8 @@
 func ceil(f float64) int { return int(math.Ceil(f)) }
 
 // need is how many endpoints a load takes.
-func need(d Demand, b estimate.Bearable) int {
-	return ceil(max(d.Tokens/max(b.Tokens, 1), d.Running/max(b.Running, 1)))
+func need(d Demand, b estimate.Capacity) int {
+	return ceil(max(d.Tokens/max(b.TokensPerSecond, 1), d.Running/max(b.Running, 1)))
 }
 
 // DataCentres returns where a service can be ordered: the priced ones, the
--- a/scaling/plan_test.go
+++ b/scaling/plan_test.go
@@ -18,7 +18,7 @@
 var bears = both(20_000)
 
 func both(tokens float64) scaling.Bears {
-	b := estimate.Bearable{Tokens: tokens, Running: 40}
+	b := estimate.Capacity{TokensPerSecond: tokens, Running: 40}
 	return scaling.Bears{Reclaimable: b, OnDemand: b}
 }
 
@@ -117,7 +117,7 @@
 	}
 	even, _ := total(scaling.Default.Plan(service, s, bears))
 	b := bears
-	b.OnDemand.Tokens *= 1.4
+	b.OnDemand.TokensPerSecond *= 1.4
 	fewer, _ := total(scaling.Default.Plan(service, s, b))
 	require.Less(t, fewer, even)
 }
