--- a/estimate/fit.go
+++ b/estimate/fit.go
@@ -6,11 +6,11 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// tiny keeps divisions in bounds; it is below any time in seconds that is observed.
+// epsilon is a lower bound for divisors. It is shorter than any time in seconds that is observed.
 const epsilon = 1e-9
 
-// The features of the time to the first event, in this order. Tokens are in thousands
-// and requests in tens, so that the sums are of one size.
+// The indices of the features that the time to the first event is fitted by. Tokens are counted in
+// thousands and requests in tens, so that the sums have similar magnitudes.
 const (
 	fixed = iota
 	perPrefill
@@ -27,21 +27,22 @@
 )
 
 func (l Load) features() []float64 {
-	r := float64(l.Prefill) / thousand
-	return []float64{1, r, float64(l.LocalQueued) / thousand, float64(l.RemoteQueued) / thousand, float64(l.Running) / ten, r * r / ten}
+	p := float64(l.Prefill) / thousand
+	return []float64{1, p, float64(l.LocalQueued) / thousand, float64(l.RemoteQueued) / thousand, float64(l.Running) / ten, p * p / ten}
 }
 
-// fit is the coefficients in seconds by feature, and those of the pauses.
+// fit holds the coefficients of the time to the first event by feature, and those of the pause
+// between events: a constant and one per running request. All are in seconds.
 type fit struct {
 	firstEvent [numFeatures]float64
 	pause      [2]float64
 }
 
-// prior is what a service is taken to be before anything is known: endpoints slower
-// than any in use, so that the first requests spread widely. Since errors count by their
-// part of the time seen, what is faster is believed within a few answers, and what is
-// slow finds no rows to outweigh. Each of its rows counts as one answer at
-// first, and as half of one when priorFades answers are known.
+// prior holds the assumed observations of a service without answers. They describe endpoints slower
+// than any in use, so that the first requests spread widely. Because the fit minimizes relative
+// errors, a few answers of a faster endpoint outweigh the prior, and those of a slow endpoint do
+// not contradict it. Each row counts as one answer at first, and as half of one once priorHalvedAt
+// answers are known.
 var prior = []struct {
 	Load
 	seconds float64
@@ -57,11 +58,11 @@
 
 const priorHalvedAt = 5
 
-// priorPauses are the same for the pauses between events.
+// priorPauses holds the assumed observations of the pauses between events.
 var priorPauses = []struct{ running, seconds float64 }{{0, 0.2}, {20, 0.4}}
 
-// solve returns the coefficients that fit best. None is negative: more to do never
-// takes less time.
+// fitStats returns the coefficients of the best fit. None is negative: a higher load never takes
+// less time.
 func fitStats(s Stats) fit {
 	first, pauses := Sums{}, Sums{}
 	for _, p := range prior {
@@ -76,8 +77,8 @@
 	return f
 }
 
-// with solves sums together with a prior, s, that fades with what is known. Where what
-// is known cannot be solved, the prior alone is.
+// solveWithPrior solves the known sums together with the prior s, whose weight falls with the
+// number of known observations. If that system has no solution, it solves the prior alone.
 func (s *Sums) solveWithPrior(known Sums) []float64 {
 	all := Sums{}
 	all.merge(*s)
@@ -89,13 +90,14 @@
 	return s.solveNonNegative()
 }
 
-// solve returns the coefficients with the least squares of errors of which none is
-// negative: the most negative one is left out until there is none.
+// solveNonNegative returns the least squares coefficients under the constraint that none is
+// negative. It repeatedly excludes the feature with the most negative coefficient. It returns nil
+// if the sums cannot be solved.
 func (s *Sums) solveNonNegative() []float64 {
 	n := len(s.Observed)
-	out := make([]bool, n)
+	excluded := make([]bool, n)
 	for {
-		x := s.solveExcluding(out)
+		x := s.solveExcluding(excluded)
 		worst := -1
 		for i, v := range x {
 			if v < 0 && (worst < 0 || v < x[worst]) {
@@ -105,24 +107,24 @@
 		if worst < 0 {
 			return x
 		}
-		out[worst] = true
+		excluded[worst] = true
 	}
 }
 
-// without solves the normal equations without some of the features, whose coefficients
-// are zero. Nil stands for sums that cannot be solved.
-func (s *Sums) solveExcluding(out []bool) []float64 {
+// solveExcluding solves the normal equations without the excluded features, whose coefficients are
+// zero. It returns nil if the sums cannot be solved.
+func (s *Sums) solveExcluding(excluded []bool) []float64 {
 	n := len(s.Observed)
 	a, b := mat.NewSymDense(n, nil), mat.NewVecDense(n, nil)
 	k := 0
 	for i := range n {
 		for j := i; j < n; j++ {
-			if !out[i] && !out[j] {
+			if !excluded[i] && !excluded[j] {
 				a.SetSym(i, j, s.Products[k])
 			}
 			k++
 		}
-		if out[i] {
+		if excluded[i] {
 			a.SetSym(i, i, 1)
 		} else {
 			b.SetVec(i, s.Observed[i])
@@ -136,26 +138,28 @@
 	return x.RawVector().Data
 }
 
-// first is the expected time to the first event, in seconds.
+// firstEventSeconds returns the expected time to the first event.
 func (f *fit) firstEventSeconds(l Load) float64 {
-	r := float64(l.Prefill) / thousand
-	return f.firstEvent[fixed] + f.firstEvent[perPrefill]*r + f.firstEvent[perLocalQueued]*float64(l.LocalQueued)/thousand + f.firstEvent[perRemoteQueued]*float64(l.RemoteQueued)/thousand +
-		f.firstEvent[perRunning]*float64(l.Running)/ten + f.firstEvent[perPrefillSquare]*r*r/ten
+	p := float64(l.Prefill) / thousand
+	return f.firstEvent[fixed] + f.firstEvent[perPrefill]*p + f.firstEvent[perLocalQueued]*float64(l.LocalQueued)/thousand +
+		f.firstEvent[perRemoteQueued]*float64(l.RemoteQueued)/thousand + f.firstEvent[perRunning]*float64(l.Running)/ten +
+		f.firstEvent[perPrefillSquare]*p*p/ten
 }
 
-// reading is the time that an endpoint takes to read prompts of so many thousand
-// tokens in all, whose squares add up to so much, in seconds.
+// prefillSeconds returns the time to prefill prompts, given the sum of their lengths and the sum of
+// the squares of their lengths, both in thousands of tokens.
 func (f *fit) prefillSeconds(tokens, squares float64) float64 {
 	return f.firstEvent[perPrefill]*tokens + f.firstEvent[perPrefillSquare]*squares/ten
 }
 
-// readingSquared is the sum of the squares of those times.
-func (f *fit) sumSquaredPrefillSeconds(m *[5]float64) float64 {
+// sumSquaredPrefillSeconds returns the sum of the squared prefill times of the prompts whose length
+// moments are given.
+func (f *fit) sumSquaredPrefillSeconds(moments *[5]float64) float64 {
 	b, q := f.firstEvent[perPrefill], f.firstEvent[perPrefillSquare]/ten
-	return b*b*m[2] + 2*b*q*m[3] + q*q*m[4]
+	return b*b*moments[2] + 2*b*q*moments[3] + q*q*moments[4]
 }
 
-// perToken is the mean time for each token of the prompts that were read, in seconds.
+// prefillSecondsPerToken returns the mean prefill time per token over the observed prompts.
 func (f *fit) prefillSecondsPerToken(s *Stats) float64 {
 	if s.Moments[1] <= 0 {
 		return f.firstEvent[perPrefill] / thousand
@@ -163,7 +167,8 @@
 	return f.prefillSeconds(s.Moments[1], s.Moments[2]) / s.Moments[1] / thousand
 }
 
-// running is how many requests may run at once for a mean pause, in seconds.
+// concurrencyForPause returns the number of running requests at which the mean pause has the given
+// length in seconds.
 func (f *fit) concurrencyForPause(pause float64) float64 {
 	if f.pause[1] <= epsilon {
 		return math.Inf(1)
--- a/estimate/model.go
+++ b/estimate/model.go
@@ -1,5 +1,6 @@
-// Package estimate learns from answers how fast the endpoints of a service are, and
-// how much load one of them bears. It does no I/O.
+// Package estimate predicts how long the endpoints of a service take to answer and how much load
+// one endpoint sustains. It fits a linear model to the answers that this box and the other boxes
+// observe. It does no I/O.
 package estimate
 
 import (
@@ -10,38 +11,39 @@
 	"birchlink.dev/birchlink/catalog"
 )
 
-// Load is what an endpoint has to do when a request reaches it, as far as the box
-// that chooses knows. Tokens are those of prompts that are still to be read.
+// Load is the work of an endpoint when a request reaches it, as known to the box that chooses the
+// endpoint. Token counts are prompt tokens that still need prefill.
 type Load struct {
-	Prefill      int // of this request
-	LocalQueued  int // of this box's other requests
-	RemoteQueued int // of other boxes' requests, as they last told
-	Running      int // requests, all boxes together
+	Prefill      int // tokens of this request
+	LocalQueued  int // tokens of this box's other requests
+	RemoteQueued int // tokens of other boxes' requests, as last reported
+	Running      int // running requests of all boxes
 }
 
-// Model is what one box knows of the endpoints of one service: a weighted least
-// squares fit of the time to the first event by load, and of the pauses after it by
-// the requests that run. Errors count by their part of the time observed: one that is
-// ten times too long weighs no more than one twice too short, so that a slow endpoint
-// among others bends the fit little. Its zero value is ready.
+// Model predicts the performance of the endpoints of one service. It is a weighted least squares
+// fit of the time to the first event by load, and of the pauses between events by the number of
+// running requests. The fit minimizes relative errors: an observation ten times as long as
+// predicted weighs no more than one half as long, so that one slow endpoint affects the fit little.
+// The zero value is ready to use. A Model is safe for concurrent use.
 type Model struct {
 	mu        sync.Mutex
 	local     Stats
-	decayedAt time.Time // until when own has been weighed down
+	decayedAt time.Time // when local was last decayed
 	remote    Stats
 	fit       fit
 	fittedAt  time.Time
 }
 
-// half is the half-life of what was observed: long enough for some hundred answers on
-// the smallest fleets, short against a change of the endpoints' kind.
+// halfLife is the half-life of an observation's weight. It is long enough to collect about a
+// hundred answers in the smallest fleets, and short compared with the time in which the kind of the
+// endpoints changes.
 const halfLife = 20 * time.Second
 
-// solveEvery is the time between two fits.
+// fitInterval is the minimum time between two fits.
 const fitInterval = 250 * time.Millisecond
 
-// Observe takes an answer in: what the endpoint had to do, the time to the first
-// event, and the objective for that.
+// Observe records an answer: the load of its endpoint, the time to its first event, and the
+// objective for that time. An objective of zero stands for none.
 func (m *Model) Observe(l Load, first, objective time.Duration, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -50,8 +52,8 @@
 	m.local.countAnswer(l.Prefill, objective)
 }
 
-// ObservePause takes the mean pause between an answer's events in, and the requests
-// that ran beside it.
+// ObservePause records the mean pause between the events of an answer, and the number of requests
+// that ran on the endpoint at the same time.
 func (m *Model) ObservePause(running int, pause time.Duration, now time.Time) {
 	if pause <= 0 {
 		return
@@ -62,7 +64,8 @@
 	m.local.Pause.add([]float64{1, float64(running)}, pause.Seconds())
 }
 
-// ObserveRun takes in how long an answer held its slot, from its sending to its end.
+// ObserveSlotTime records how long an answer held its slot, from the sending of the request to the
+// end of the answer.
 func (m *Model) ObserveSlotTime(held time.Duration, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -71,7 +74,7 @@
 	m.local.SlotSeconds += held.Seconds()
 }
 
-// View returns what the model expects at a moment.
+// Predict returns the predictions of the model as of now.
 func (m *Model) Predict(now time.Time) Prediction {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -82,7 +85,7 @@
 	return v
 }
 
-// Own returns what this box has observed, to be told to others.
+// Local returns the observations of this box, to be reported to other boxes.
 func (m *Model) Local(now time.Time) Stats {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -90,7 +93,7 @@
 	return m.local.clone()
 }
 
-// All returns what all boxes have observed.
+// All returns the observations of all boxes.
 func (m *Model) All(now time.Time) Stats {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -98,14 +101,13 @@
 	return m.all()
 }
 
-// all returns this box's sums with the others'.
 func (m *Model) all() Stats {
 	s := m.local.clone()
 	s.Add(m.remote)
 	return s
 }
 
-// Recall takes in what was observed before this process started.
+// Restore adds observations made before this process started.
 func (m *Model) Restore(s Stats, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -113,21 +115,21 @@
 	m.local.Add(s)
 }
 
-// Tell replaces what the other boxes have observed together.
+// SetRemote replaces the observations of all other boxes.
 func (m *Model) SetRemote(s Stats) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.remote = s
 }
 
-// Samples returns how many answers the fit rests on.
+// Samples returns the number of answers behind the fit, each weighted by its age.
 func (m *Model) Samples() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.local.Moments[0] + m.remote.Moments[0]
 }
 
-// weighDown lets what was observed earlier count for less.
+// decay reduces the weight of the local observations by the time since the last call.
 func (m *Model) decay(now time.Time) {
 	if !m.decayedAt.IsZero() {
 		m.local.scale(math.Exp2(-float64(now.Sub(m.decayedAt)) / float64(halfLife)))
@@ -135,7 +137,7 @@
 	m.decayedAt = now
 }
 
-// current returns the fit, which is made anew now and then.
+// currentFit returns the fit and recomputes it at most once per fitInterval.
 func (m *Model) currentFit(now time.Time) *fit {
 	if m.fittedAt.IsZero() || now.Sub(m.fittedAt) >= fitInterval {
 		m.fit = fitStats(m.all())
@@ -144,39 +146,43 @@
 	return &m.fit
 }
 
+// seconds converts a number of seconds to a Duration.
 func seconds(f float64) time.Duration { return time.Duration(f * float64(time.Second)) }
 
-// Bearable is how much load one endpoint bears.
+// Capacity is the load that one endpoint sustains.
 type Capacity struct {
-	TokensPerSecond float64 // prompt tokens to read a second
-	Running         float64 // requests at once
+	TokensPerSecond float64 // prompt tokens to prefill per second
+	Running         float64 // concurrent requests
 }
 
-// Bear returns how much load an endpoint bears so that no more than late of the
-// requests miss their objective for having waited, and that pauses stay within
-// the target, if there is one.
-func (m *Model) EndpointCapacity(late float64, slots int, pause time.Duration) Capacity {
+// EndpointCapacity returns the load at which at most the fraction maxLate of the requests miss
+// their objective because of queueing, and the pauses between events stay within pauseTarget. A
+// pauseTarget of zero stands for none. slots is the number of slots of the endpoint.
+func (m *Model) EndpointCapacity(maxLate float64, slots int, pauseTarget time.Duration) Capacity {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := m.all()
 	f := fitStats(s)
-	b := Capacity{TokensPerSecond: f.maxPrefillUtilization(&s, late) / max(f.prefillSecondsPerToken(&s), epsilon), Running: slotShare * float64(max(slots, 1))}
-	if pause > 0 {
-		b.Running = min(b.Running, max(f.concurrencyForPause(meanPauseShare*pause.Seconds()), 1))
+	b := Capacity{
+		TokensPerSecond: f.maxPrefillUtilization(&s, maxLate) / max(f.prefillSecondsPerToken(&s), epsilon),
+		Running:         slotShare * float64(max(slots, 1)),
+	}
+	if pauseTarget > 0 {
+		b.Running = min(b.Running, max(f.concurrencyForPause(meanPauseShare*pauseTarget.Seconds()), 1))
 	}
 	return b
 }
 
-// slotPart is the part of an endpoint's slots that the load may take on average: the
-// rest is for what comes together. pausePart is the part of the longest pause allowed
-// that the mean may take: prompts that are read lengthen single pauses.
+// slotShare is the fraction of an endpoint's slots that may be in use on average; the other slots
+// absorb bursts. meanPauseShare is the ratio of the mean pause to the longest pause allowed, since
+// the prefill of other prompts lengthens single pauses.
 const (
 	slotShare      = 0.75
 	meanPauseShare = 0.5
 )
 
-// PauseTarget returns the shortest pause that the routes to a service ask for, zero
-// for none.
+// PauseTarget returns the shortest gap target of the routes to a service, or zero if none of them
+// has one.
 func PauseTarget(d *catalog.Document, service string) time.Duration {
 	t := time.Duration(0)
 	for i := range d.Routes {
--- a/estimate/model_test.go
+++ b/estimate/model_test.go
@@ -20,7 +20,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// engine is one kind of engine; times are in milliseconds.
+// engine describes the performance of one kind of engine. Times are in milliseconds.
 type engine struct {
 	name                                       string
 	fixed, tokensPerMs, longPrompt, perRunning float64
@@ -44,13 +44,13 @@
 	return out
 }
 
-// first is the time to the first event of a request on its way.
+// firstEvent returns a random time to the first event under a load.
 func (e engine) firstEvent(l estimate.Load, r *rand.Rand) time.Duration {
-	read := float64(l.Prefill)
-	ms := e.fixed + (read+float64(l.LocalQueued))/e.tokensPerMs + e.longPrompt*read*read/1e8 + e.perRunning*float64(l.Running)
+	tokens := float64(l.Prefill)
+	ms := e.fixed + (tokens+float64(l.LocalQueued))/e.tokensPerMs + e.longPrompt*tokens*tokens/1e8 + e.perRunning*float64(l.Running)
 	ms *= 1 + 0.1*r.Float64()
 	if r.Float64() < 0.1 {
-		ms *= 1 + 3*r.Float64() // it waited for what nobody here knew
+		ms *= 1 + 3*r.Float64() // queued behind load that the model does not see
 	}
 	return time.Duration(ms * float64(time.Millisecond))
 }
@@ -68,7 +68,7 @@
 	return v.FirstEvent(l)
 }
 
-// observe lets a model see a minute of answers, ten a second, from engines in turn.
+// observe records a minute of answers, ten per second, which come from the engines in turn.
 func observe(m *estimate.Model, es []engine, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 0))
 	for i := range 600 {
@@ -77,25 +77,25 @@
 	}
 }
 
-// answers is how many the errors are taken over.
+// sampleCount is the number of predictions that a median error is taken over.
 const sampleCount = 200
 
-// off is the median of the errors of what is expected, as a part of what is seen.
+// medianError returns the median relative error of the predictions.
 func medianError(m *estimate.Model, es []engine) float64 {
 	r := rand.New(rand.NewPCG(99, 0))
 	errs := make([]float64, 0, sampleCount)
 	for i := range sampleCount {
 		l := randomLoad(r)
-		saw := es[i%len(es)].firstEvent(l, r)
+		actual := es[i%len(es)].firstEvent(l, r)
 		expected := predictFirstEvent(m, l, start.Add(time.Minute+time.Duration(i)*time.Second))
-		errs = append(errs, math.Abs(float64(expected-saw))/float64(saw))
+		errs = append(errs, math.Abs(float64(expected-actual))/float64(actual))
 	}
 	slices.Sort(errs)
 	return errs[len(errs)/2]
 }
 
-// After a minute what is expected is within a third of what is seen, for engines of
-// any speed, though a tenth of the answers waited for what nobody knew.
+// After a minute of answers the median error is below a third for engines of any speed, although a
+// tenth of the answers are delayed by load that the model does not see.
 func TestFitConverges(t *testing.T) {
 	for _, e := range readEngines(t) {
 		t.Run(e.name, func(t *testing.T) {
@@ -106,8 +106,9 @@
 	}
 }
 
-// table is the other way to learn: the median of what was seen at prompts of about a
-// length, with about as much ahead; the median of all where that was not seen.
+// medianTable is an alternative to the fit. It predicts the median of the observations with a
+// similar prompt length and a similar number of queued tokens, or the median of all observations if
+// there are none.
 type medianTable map[[2]int][]float64
 
 func bucketOf(l estimate.Load) [2]int {
@@ -115,39 +116,39 @@
 }
 
 func (t medianTable) predictFirstEvent(l estimate.Load) time.Duration {
-	seen := t[bucketOf(l)]
-	if len(seen) == 0 {
+	observed := t[bucketOf(l)]
+	if len(observed) == 0 {
 		for _, v := range t {
-			seen = append(seen, v...)
+			observed = append(observed, v...)
 		}
 	}
-	seen = slices.Sorted(slices.Values(seen))
-	return time.Duration(seen[len(seen)/2])
+	observed = slices.Sorted(slices.Values(observed))
+	return time.Duration(observed[len(observed)/2])
 }
 
-// Within the first few seconds a fit expects better than a table of medians does, and
-// much better than the prior alone, for engines of every speed.
+// After 40 answers, four seconds of traffic, the fit predicts better than a table of medians and
+// better than the prior alone, for engines of every speed.
 func TestFitBeatsMedianTable(t *testing.T) {
-	const seen = 40
+	const observed = 40
 	for _, e := range readEngines(t) {
 		r := rand.New(rand.NewPCG(7, 0))
 		var m, none estimate.Model
-		by := medianTable{}
-		for i := range seen {
+		table := medianTable{}
+		for i := range observed {
 			l := randomLoad(r)
 			d := e.firstEvent(l, r)
 			m.Observe(l, d, time.Second, start.Add(time.Duration(i)*100*time.Millisecond))
-			by[bucketOf(l)] = append(by[bucketOf(l)], float64(d))
+			table[bucketOf(l)] = append(table[bucketOf(l)], float64(d))
 		}
 		fit, medians, prior := make([]float64, 0, sampleCount), make([]float64, 0, sampleCount), make([]float64, 0, sampleCount)
 		for range sampleCount {
 			l := randomLoad(r)
-			saw := float64(e.firstEvent(l, r))
-			miss := func(d time.Duration) float64 { return math.Abs(float64(d)-saw) / saw }
+			actual := float64(e.firstEvent(l, r))
+			relativeError := func(d time.Duration) float64 { return math.Abs(float64(d)-actual) / actual }
 			now := start.Add(5 * time.Second)
-			fit = append(fit, miss(predictFirstEvent(&m, l, now)))
-			medians = append(medians, miss(by.predictFirstEvent(l)))
-			prior = append(prior, miss(predictFirstEvent(&none, l, now)))
+			fit = append(fit, relativeError(predictFirstEvent(&m, l, now)))
+			medians = append(medians, relativeError(table.predictFirstEvent(l)))
+			prior = append(prior, relativeError(predictFirstEvent(&none, l, now)))
 		}
 		for _, v := range [][]float64{fit, medians, prior} {
 			slices.Sort(v)
@@ -158,8 +159,8 @@
 	}
 }
 
-// A tenth of answers that take a hundred times as long, as of an endpoint that fails
-// slowly, hardly change what is expected of the others.
+// Outliers, such as the answers of an endpoint that fails slowly, have little effect on the fit:
+// here a tenth of the answers take a hundred times as long.
 func TestOutliers(t *testing.T) {
 	e := readEngines(t)[0]
 	var m estimate.Model
@@ -175,7 +176,7 @@
 	require.Less(t, medianError(&m, []engine{e}), 1.0/3)
 }
 
-// What several boxes observed adds up to what one would have that saw it all.
+// The sums of two boxes give the same predictions as one box that observes all answers.
 func TestRemoteStatsAddUp(t *testing.T) {
 	e := readEngines(t)[1]
 	var one, two, all estimate.Model
@@ -198,7 +199,7 @@
 	require.InDelta(t, 100, one.Samples(), 3)
 }
 
-// Sums over other features, as a box of another version may tell, are left out.
+// Sums over another number of features, which a box of another version may report, are ignored.
 func TestIncompatibleStatsIgnored(t *testing.T) {
 	var m estimate.Model
 	observe(&m, readEngines(t)[:1], 5)
@@ -208,7 +209,7 @@
 	require.Equal(t, before, predictFirstEvent(&m, l, start.Add(2*time.Minute)))
 }
 
-// Objectives that no route has any more give their places to new ones.
+// Objectives that no route uses any more are removed, so that new ones still fit into the limit.
 func TestUnusedObjectivesEvicted(t *testing.T) {
 	var m estimate.Model
 	for i := range 100 {
@@ -218,7 +219,7 @@
 	}
 }
 
-// Sums that cannot be solved leave the prior.
+// If the sums cannot be solved, the predictions are those of the prior.
 func TestUnsolvableSumsUsePrior(t *testing.T) {
 	var m, none estimate.Model
 	m.Observe(estimate.Load{Prefill: 100}, time.Second, time.Second, start)
@@ -229,7 +230,7 @@
 	require.Equal(t, predictFirstEvent(&none, l, start), predictFirstEvent(&m, l, start.Add(time.Second)))
 }
 
-// More to do is never expected to take less time, whatever was observed.
+// A longer prompt is never predicted to take less time, even if the observations suggest so.
 func TestMonotonicInPromptLength(t *testing.T) {
 	var m estimate.Model
 	for i := range 200 {
@@ -244,7 +245,8 @@
 	}
 }
 
-// An engine bears load in proportion to its speed, and more where more may be late.
+// The capacity of an engine is proportional to its speed, and grows with the fraction of requests
+// that may be late.
 func TestCapacityFollowsSpeed(t *testing.T) {
 	tokens := map[string]float64{}
 	for _, e := range readEngines(t) {
@@ -264,7 +266,7 @@
 	require.InEpsilon(t, 10, tokens["first_sites"]/tokens["ten_times_slow"], 0.3)
 }
 
-// Running requests are bound by the slots, and by the pauses that the routes allow.
+// The number of running requests is limited by the slots and by the pauses that the routes allow.
 func TestConcurrencyBounds(t *testing.T) {
 	var m estimate.Model
 	require.InDelta(t, 18, m.EndpointCapacity(0.1, 24, time.Minute).Running, 0.1)
@@ -272,7 +274,7 @@
 		n := i % 30
 		m.ObservePause(n, time.Duration(50+10*n)*time.Millisecond, start.Add(time.Duration(i)*time.Second/10))
 	}
-	// A mean pause of 150 ms comes with 10 requests.
+	// The mean pause may be half of 300 ms, which 10 running requests cause.
 	require.InDelta(t, 10, m.EndpointCapacity(0.1, 24, 300*time.Millisecond).Running, 1.5)
 }
 
--- a/estimate/stats.go
+++ b/estimate/stats.go
@@ -6,51 +6,52 @@
 	"time"
 )
 
-// Stats are sums over observations, each weighed down by its age. Those of several
-// boxes add up to what all observed.
+// Stats holds sums over observations, each weighted by its age. The Stats of several boxes can be
+// added.
 type Stats struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
-	First Sums // by the features of Load
-	Pause Sums // by a constant and the requests that run
+	First Sums // fit of the time to the first event by the features of Load
+	Pause Sums // fit of the pause between events by a constant and the running requests
 
-	// Moments are the answers, and sums of the tokens read for each, in thousands, up
-	// to their fourth power.
+	// Moments holds the sums of the zeroth to fourth powers of the number of tokens, in thousands,
+	// prefilled for each answer. Moments[0] is the number of answers.
 	Moments [5]float64
 
-	// Classes are the same answers by their objective in milliseconds.
+	// Classes holds sums over the same answers by their objective in milliseconds.
 	Classes map[int]Class
 
-	Completed   float64 // that ended
-	SlotSeconds float64 // seconds that they took in all
+	Completed   float64 // answers that ended
+	SlotSeconds float64 // total time for which those answers held a slot
 }
 
-// Class is the answers with one objective, and sums of the tokens read for each, in
-// thousands, and of their squares.
+// Class holds the number of answers with one objective, and the sums of the tokens, in thousands,
+// prefilled for each and of their squares.
 type Class struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Count, Tokens, Squares float64
 }
 
-// maxClasses bounds the objectives that are told apart. One of which less than forgotten
-// of an answer is left, by its age, gives its place to others.
+// maxClasses bounds the number of distinct objectives. A class whose weighted number of answers
+// falls below minClassCount is removed to make room for others.
 const (
 	maxClasses    = 16
 	minClassCount = 0.001
 )
 
-// Sums are those of a least squares fit: products of features with each other, as the
-// upper triangle row by row, and with what is to be fitted.
+// Sums holds the normal equations of a least squares fit. Products is the upper triangle, row by
+// row, of the products of the features with each other. Observed holds the products of the features
+// with the observed value.
 type Sums struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Count    float64 // of the observations
+	Count    float64 // number of observations
 	Products []float64
 	Observed []float64
 }
 
-// count takes in how much was read for an answer with an objective.
+// countAnswer records the tokens prefilled for an answer and its objective.
 func (s *Stats) countAnswer(tokens int, objective time.Duration) {
 	t := float64(tokens) / thousand
 	power := 1.0
@@ -69,7 +70,7 @@
 	s.Classes[k] = Class{Count: c.Count + 1, Tokens: c.Tokens + t, Squares: c.Squares + t*t}
 }
 
-// Add adds what another box observed.
+// Add adds the observations of another box.
 func (s *Stats) Add(o Stats) {
 	s.First.merge(o.First)
 	s.Pause.merge(o.Pause)
@@ -87,19 +88,19 @@
 	s.SlotSeconds += o.SlotSeconds
 }
 
-// Without returns what is left of sums without those of one of the boxes that are in them.
+// Without returns s without the observations of one box, which are part of s.
 func (s *Stats) Without(o Stats) Stats {
-	left, taken := s.clone(), o.clone()
-	for k, c := range taken.Classes {
-		taken.Classes[k] = Class{Count: -c.Count, Tokens: -c.Tokens, Squares: -c.Squares}
+	left, negated := s.clone(), o.clone()
+	for k, c := range negated.Classes {
+		negated.Classes[k] = Class{Count: -c.Count, Tokens: -c.Tokens, Squares: -c.Squares}
 	}
-	taken.First.scale(-1)
-	taken.Pause.scale(-1)
-	for i := range taken.Moments {
-		taken.Moments[i] *= -1
+	negated.First.scale(-1)
+	negated.Pause.scale(-1)
+	for i := range negated.Moments {
+		negated.Moments[i] *= -1
 	}
-	taken.Completed, taken.SlotSeconds = -taken.Completed, -taken.SlotSeconds
-	left.Add(taken)
+	negated.Completed, negated.SlotSeconds = -negated.Completed, -negated.SlotSeconds
+	left.Add(negated)
 	for k, c := range left.Classes {
 		if c.Count < minClassCount {
 			delete(left.Classes, k)
@@ -108,13 +109,15 @@
 	return left
 }
 
-// Part returns a part of what was observed, as one of several boxes takes it over.
-func (s *Stats) Scaled(x float64) Stats {
+// Scaled returns the observations with their weights multiplied by factor. When several boxes take
+// over the same observations, each takes its share.
+func (s *Stats) Scaled(factor float64) Stats {
 	c := s.clone()
-	c.scale(x)
+	c.scale(factor)
 	return c
 }
 
+// clone returns a deep copy.
 func (s *Stats) clone() Stats {
 	c := *s
 	c.First.Products, c.First.Observed = slices.Clone(s.First.Products), slices.Clone(s.First.Observed)
@@ -140,7 +143,8 @@
 	s.SlotSeconds *= x
 }
 
-// add takes one observation, weighed by the inverse of its square.
+// add adds one observation with the features x. Its weight is the inverse of its square, so that
+// the fit minimizes relative errors.
 func (s *Sums) add(x []float64, observed float64) {
 	n := len(x)
 	if s.Products == nil {
@@ -168,8 +172,8 @@
 	}
 }
 
-// merge adds sums over the same features. Those of another number of features come
-// from a box that runs another version, and are left out.
+// merge adds sums over the same features. Sums over another number of features come from a box that
+// runs another version of this program and are ignored.
 func (s *Sums) merge(o Sums) {
 	if s.Products == nil {
 		s.Count, s.Products, s.Observed = o.Count, slices.Clone(o.Products), slices.Clone(o.Observed)
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -1,7 +1,7 @@
 package rollout
 
-// Counts are answers, and how many of them were failures that the endpoint itself answered, and
-// how many came late for what they had to read.
+// Counts holds the number of answers, of answers in which the endpoint itself reported a failure,
+// and of answers that were slow for the number of tokens to prefill.
 type Counts struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -18,7 +18,7 @@
 	return Counts{Answers: max(c.Answers-o.Answers, 0), Failed: max(c.Failed-o.Failed, 0), Slow: max(c.Slow-o.Slow, 0)}
 }
 
-// Pair is what became of one route's requests at the other versions and at the new one.
+// RouteCounts holds the counts of one route for the other versions and for the new one.
 type RouteCounts struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -26,15 +26,15 @@
 	New Counts
 }
 
-// Evidence is what boxes have seen since an order came, by route. Busy is the requests under way
-// at the other versions.
+// Evidence holds the answers observed since an order was placed, by route.
 type Evidence struct {
-	Revision uint64 // of the order
-	Busy     float64
+	Revision uint64  // of the order
+	Busy     float64 // requests in flight at the other versions
 	Routes   map[string]RouteCounts
 }
 
-// plus returns the evidence of more boxes. That for another order than the newer one is left out.
+// plus returns the sum of the evidence of several boxes. Evidence for the older of two orders is
+// ignored.
 func (e Evidence) plus(o Evidence) Evidence {
 	switch {
 	case o.Revision > e.Revision:
@@ -53,7 +53,8 @@
 	return sum
 }
 
-// AddEvidence adds what another box has seen, by service.
+// AddEvidence adds the evidence of other boxes, by service, to sum and returns the result. It
+// modifies sum unless that is nil.
 func AddEvidence(sum, more map[string]Evidence) map[string]Evidence {
 	for s, e := range more {
 		if sum == nil {
@@ -64,7 +65,7 @@
 	return sum
 }
 
-// answers returns how many answers of the new version there are.
+// newAnswers returns the number of answers of the new version.
 func (e Evidence) newAnswers() float64 {
 	n := 0.0
 	for _, p := range e.Routes {
--- a/rollout/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -17,25 +17,23 @@
 	"birchlink.dev/birchlink/store"
 )
 
-// The times of the fleet: boxes tell their relay and are told each round, a holder that is gone
-// has a successor after term, and requests are under way for up to longest.
+// The times of the simulated fleet.
 const (
 	tick           = 10 * time.Millisecond
-	reportInterval = 500 * time.Millisecond
-	leaseTerm      = 3 * time.Second
-	maxRequestTime = 900 * time.Millisecond
+	reportInterval = 500 * time.Millisecond // between two exchanges of reports of a box
+	leaseTerm      = 3 * time.Second        // until a lost holder of the duty has a successor
+	maxRequestTime = 900 * time.Millisecond // in addition to 50 ms
 	orderDuration  = 12 * time.Second
 )
 
-// badness is what the new version's answers are like: how many of 100 fail, and whether they are
-// slow, from a time on, above a share of the traffic, on one route or on all.
+// versionDefect describes the defects of the new version's answers, and when they occur.
 type versionDefect struct {
 	name        string
 	failureRate float64
 	slow        bool
-	after       time.Duration
-	minShare    float64
-	route       string
+	after       time.Duration // since the order
+	minShare    float64       // the share of the requests in flight above which it occurs
+	route       string        // empty for all routes
 }
 
 var versionDefects = []versionDefect{
@@ -52,21 +50,21 @@
 	controller   *rollout.Controller
 	frozen       bool
 	dead         bool
-	partitioned  bool // reaches no other box
+	partitioned  bool // unreachable from all other boxes
 	lastRound    time.Time
-	lastEvidence map[string]rollout.Evidence // what it last told
+	lastEvidence map[string]rollout.Evidence // as last reported
 }
 
 func (n *node) isUp() bool { return !n.frozen && !n.dead }
 
-// fleet is boxes that send a service's requests to two versions of its endpoints.
+// fleet simulates boxes that send the requests of a service to two versions of its endpoints.
 type fleet struct {
 	t            *testing.T
 	chance       *rand.Rand
 	store        *memstore.Memory
 	nodes        []*node
-	holder       int       // the box with the duty; -1 for none
-	leaseExpires time.Time // when the duty is taken next
+	holder       int       // index of the box with the duty; -1 for none
+	leaseExpires time.Time // when another box may take the duty
 	fence        uint64
 	defect       versionDefect // the zero value is a good version
 	order        rollout.Order
@@ -75,11 +73,11 @@
 	timers       []timer
 
 	sent, sentToNew, sentAfterRevert, interrupted int
-	states                                        map[uint64][]string // the operator's states of each order, in turn
-	revertedAt                                    time.Time           // when boxes were told
+	states                                        map[uint64][]string // successive states in the operator's status, by order
+	revertedAt                                    time.Time           // when the status became "reverted"
 }
 
-// due is what is to be done at a time.
+// timer is a function to be called at a time.
 type timer struct {
 	at time.Time
 	do func()
@@ -95,6 +93,7 @@
 	end     func()
 }
 
+// answerHeap is a heap of pending answers, ordered by time.
 type answerHeap []answer
 
 func (a answerHeap) Len() int           { return len(a) }
@@ -108,9 +107,9 @@
 	return x
 }
 
-func newFleet(t *testing.T, boxes int, seed uint64, bad versionDefect) *fleet {
+func newFleet(t *testing.T, boxes int, seed uint64, defect versionDefect) *fleet {
 	f := &fleet{
-		t: t, chance: rand.New(rand.NewPCG(seed, 7)), store: &memstore.Memory{}, holder: -1, defect: bad, states: map[uint64][]string{},
+		t: t, chance: rand.New(rand.NewPCG(seed, 7)), store: &memstore.Memory{}, holder: -1, defect: defect, states: map[uint64][]string{},
 	}
 	for range boxes {
 		f.nodes = append(f.nodes, &node{})
@@ -121,10 +120,10 @@
 	return f
 }
 
-// begin starts a box's process anew.
+// startBox starts or restarts the process of a box.
 func (f *fleet) startBox(i int) {
 	if f.holder == i {
-		f.holder, f.leaseExpires = -1, time.Now().Add(leaseTerm) // the process before had the duty
+		f.holder, f.leaseExpires = -1, time.Now().Add(leaseTerm) // the previous process held the duty
 	}
 	n := f.nodes[i]
 	*n = node{Gate: &rollout.Gate{Random: f.chance.Float64}, lastRound: time.Now().Add(-time.Duration(f.chance.Int64N(int64(reportInterval))))}
@@ -132,10 +131,10 @@
 		Gate: n.Gate, Store: f.store, Key: "rollouts", MaxShare: 0.1, Now: time.Now, Log: zerolog.Nop(),
 		Status: f.status, Fence: func() (uint64, bool) { return f.fence, f.holder == i && n.isUp() },
 		RemoteEvidence: func() map[string]rollout.Evidence { return f.remoteEvidence(i) },
-		Broadcast: func(w map[string]rollout.Progress) {
+		Broadcast: func(reports map[string]rollout.Progress) {
 			for j := range f.nodes {
 				if f.connected(i, j) && f.chance.IntN(10) > 0 {
-					f.nodes[j].UpdateProgress(w, time.Now())
+					f.nodes[j].UpdateProgress(reports, time.Now())
 				}
 			}
 		},
@@ -147,12 +146,13 @@
 	return store.Put{Key: "status", Value: b}, err
 }
 
+// connected reports whether two boxes reach each other.
 func (f *fleet) connected(a, b int) bool {
 	x, y := f.nodes[a], f.nodes[b]
 	return a == b || x.isUp() && y.isUp() && !x.partitioned && !y.partitioned
 }
 
-// others is what the other boxes that are heard told last.
+// remoteEvidence returns the last reported evidence of the other boxes that box i reaches.
 func (f *fleet) remoteEvidence(i int) map[string]rollout.Evidence {
 	var sum map[string]rollout.Evidence
 	for j, n := range f.nodes {
@@ -163,10 +163,10 @@
 	return sum
 }
 
-// give lets the operator order a version.
+// placeOrder places an operator's order for a version.
 func (f *fleet) placeOrder(version string) {
-	at := f.store.Set("order", version)
-	f.order = rollout.Order{Service: "s", Version: version, Duration: orderDuration, Revision: at}
+	revision := f.store.Set("order", version)
+	f.order = rollout.Order{Service: "s", Version: version, Duration: orderDuration, Revision: revision}
 	f.began = time.Now()
 	f.sent, f.sentToNew, f.sentAfterRevert, f.interrupted, f.revertedAt = 0, 0, 0, 0, time.Time{}
 	for _, n := range f.nodes {
@@ -180,7 +180,8 @@
 	return rollout.Orders{Revision: f.order.Revision, List: []rollout.Order{f.order}}
 }
 
-// step lets some time pass: requests, answers, rounds, the holder.
+// step simulates one tick: it runs the timers, delivers answers, sends requests, exchanges reports,
+// and has the duty's holder decide.
 func (f *fleet) step(perSecond int) {
 	now := time.Now()
 	f.runTimers(now)
@@ -207,7 +208,8 @@
 	time.Sleep(tick)
 }
 
-// round has a box told what its relay knows, and tell what it has seen.
+// exchangeReports updates the last reported evidence of a box, and passes it the orders and the
+// progress.
 func (f *fleet) exchangeReports(i int, now time.Time) {
 	n := f.nodes[i]
 	n.lastRound, n.lastEvidence = now, n.Evidence()
@@ -220,7 +222,7 @@
 	n.UpdateProgress(rollout.MergeProgress(nil, f.nodes[f.holder].controller.CurrentProgress(), 300*time.Millisecond), now)
 }
 
-// duty passes the duty on.
+// passDuty renews the lease of the duty, or passes an expired one to a random box.
 func (f *fleet) passDuty(now time.Time) {
 	if f.holder >= 0 {
 		n := f.nodes[f.holder]
@@ -239,6 +241,7 @@
 	}
 }
 
+// send sends a request through a random box.
 func (f *fleet) send(now time.Time) {
 	i := f.chance.IntN(len(f.nodes))
 	n := f.nodes[i]
@@ -262,17 +265,18 @@
 			f.sentAfterRevert++
 		}
 	}
-	took := 50*time.Millisecond + time.Duration(f.chance.Int64N(int64(maxRequestTime)))
+	duration := 50*time.Millisecond + time.Duration(f.chance.Int64N(int64(maxRequestTime)))
 	a.failed, a.slow = f.chance.Float64() < 0.01, f.chance.Float64() < 0.04
-	if b := f.defect; a.version != "v1" && now.Sub(f.began) >= b.after && (b.route == "" || b.route == a.route) && (b.minShare == 0 || f.newVersionShare() > b.minShare) {
+	if b := f.defect; a.version != "v1" && now.Sub(f.began) >= b.after && (b.route == "" || b.route == a.route) &&
+		(b.minShare == 0 || f.newVersionShare() > b.minShare) {
 		a.failed = a.failed || f.chance.Float64() < b.failureRate
 		a.slow = a.slow || b.slow
 	}
-	a.at, a.end = now.Add(took), n.Begin("s", a.version)
+	a.at, a.end = now.Add(duration), n.Begin("s", a.version)
 	heap.Push(&f.pending, a)
 }
 
-// loaded is the part of the requests under way that the new version has.
+// newVersionShare returns the new version's share of the requests in flight.
 func (f *fleet) newVersionShare() float64 {
 	n := 0
 	for _, a := range f.pending {
@@ -283,31 +287,32 @@
 	return float64(n) / float64(max(len(f.pending), 1))
 }
 
-// look follows the operator's status.
+// recordState records a new state in the operator's status.
 func (f *fleet) recordState(now time.Time) {
 	i, err := f.store.Get(context.Background(), "status")
 	if err != nil || i.Revision == 0 {
 		return
 	}
-	var words []string
-	require.NoError(f.t, json.Unmarshal(i.Value, &words))
-	if words[0] != f.order.Version {
+	var status []string
+	require.NoError(f.t, json.Unmarshal(i.Value, &status))
+	if status[0] != f.order.Version {
 		return
 	}
-	seen := f.states[f.order.Revision]
-	if len(seen) > 0 && seen[len(seen)-1] == words[1] {
+	states := f.states[f.order.Revision]
+	if len(states) > 0 && states[len(states)-1] == status[1] {
 		return
 	}
-	f.states[f.order.Revision] = append(seen, words[1])
+	f.states[f.order.Revision] = append(states, status[1])
 	if testing.Verbose() {
-		f.t.Log(now.Sub(f.began), words[1], "holds", f.holder, "got", f.sentToNew, "of", f.sent, "pending", f.pending.Len())
+		f.t.Log(now.Sub(f.began), status[1], "holds", f.holder, "got", f.sentToNew, "of", f.sent, "pending", f.pending.Len())
 	}
-	switch words[1] {
+	switch status[1] {
 	case "reverted":
 		f.revertedAt = now
 	case "complete":
 		for _, a := range f.pending {
-			// A box that is cut off has not been told that all go to the version, and is not heard.
+			// A partitioned box does not count: it does not know of the stage, and its evidence is
+			// not received.
 			if n := f.nodes[a.box]; a.version == "v1" && n.isUp() && !n.partitioned {
 				f.interrupted++
 			}
@@ -315,12 +320,12 @@
 	}
 }
 
-// after has something done when some time has passed.
+// schedule calls do after a duration.
 func (f *fleet) schedule(d time.Duration, do func()) {
 	f.timers = append(f.timers, timer{time.Now().Add(d), do})
 }
 
-// doDue does what is due.
+// runTimers calls the functions that are due.
 func (f *fleet) runTimers(now time.Time) {
 	f.timers = slices.DeleteFunc(f.timers, func(d timer) bool {
 		if d.at.After(now) {
@@ -331,7 +336,9 @@
 	})
 }
 
-// trouble strikes now and then: a box, the store or, of kind 0, the holder of the duty.
+// injectFault injects a fault by its kind: a crash of the duty's holder (0), a crash (1),
+// suspension (2) or partition (3) of another box, an outage of the store (4), or a lost answer of
+// the store (5).
 func (f *fleet) injectFault(kind int) {
 	i := f.chance.IntN(len(f.nodes))
 	if i == f.holder && kind > 0 {
@@ -364,7 +371,7 @@
 	}
 }
 
-// ends returns the operator's last state of the order.
+// finalState returns the last state of the order in the operator's status.
 func (f *fleet) finalState() string {
 	s := f.states[f.order.Revision]
 	if len(s) == 0 {
--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -7,22 +7,26 @@
 	"time"
 )
 
-// stale is the age from which on a word of an order under way is no longer believed: the holder
-// of the duty says it anew twice a second, and tells all boxes within two. A box that has not
-// heard it, or that was suspended, sends nothing to the new version. A canary goes on for
-// canaryStale, until a successor has the duty: its part is one that a bad version may get.
+// A report on an order in progress is ignored once it is older than progressTimeout, so that a box
+// that is unreachable or was suspended sends nothing to the new version. The controller renews its
+// reports twice a second, and they reach all boxes within two seconds. The timeout of a canary is
+// longer, so that the canary continues until a successor takes over the duty. Its share is one that
+// a bad version may receive.
 const (
 	progressTimeout = 3 * time.Second
 	canaryTimeout   = 4500 * time.Millisecond
 )
 
-// doneAfter is how long after its completion an order says nothing more: the versions before have
-// stopped by then, and a later one may come without an order.
+// completeFilterFor is how long requests are restricted to the new version after its roll-out is
+// complete. The previous versions have stopped by then, and a later version may start without an
+// order.
 const completeFilterFor = 10 * time.Second
 
-// Gate is what one box knows of roll-outs: which of its requests may go to which version, and
-// what became of them. Its zero value knows of none. Chance returns numbers from 0 to 1.
+// Gate decides for one box which version of a service each request may go to, and collects evidence
+// on the answers. Its zero value has no orders. It is safe for concurrent use.
 type Gate struct {
+	// Random returns random numbers from 0 to 1. If it is nil, the first requests of all boxes may
+	// go to a new version at the same time. It is set before the Gate is used.
 	Random func() float64
 
 	mu       sync.Mutex
@@ -30,30 +34,31 @@
 	services map[string]*service
 }
 
-// service is one service with an order.
+// service is the state of one service.
 type service struct {
 	order      Order
 	progress   Progress
-	reportedAt time.Time // when the word was said
-	credit     float64   // the part of a request that the new version is owed
-	running    map[string]int
+	reportedAt time.Time      // when the controller made the report
+	credit     float64        // fraction of a request that is due to the new version
+	running    map[string]int // requests in flight, by version
 	evidence   Evidence
 }
 
-// Pass says which version a request may go to. The zero value is any.
+// VersionFilter restricts the versions that a request may go to. The zero value allows all.
 type VersionFilter struct {
-	Only   string // this version; empty for any
-	Except string // any but this one; empty for any
+	Only   string // the only version allowed, or empty
+	Except string // a version that is not allowed, or empty
 }
 
-// Takes reports whether an endpoint's version is one that the request may go to.
-func (p VersionFilter) Allows(version string) bool {
-	return (p.Only == "" || version == p.Only) && (p.Except == "" || version != p.Except)
+// Allows reports whether the request may go to endpoints of a version.
+func (f VersionFilter) Allows(version string) bool {
+	return (f.Only == "" || version == f.Only) && (f.Except == "" || version != f.Except)
 }
 
-// Any reports whether the request may go to all versions.
-func (p VersionFilter) AllowsAny() bool { return p == VersionFilter{} }
+// AllowsAny reports whether the request may go to all versions.
+func (f VersionFilter) AllowsAny() bool { return f == VersionFilter{} }
 
+// service returns the state of a service, which it creates if necessary. The caller holds g.mu.
 func (g *Gate) service(name string) *service {
 	if g.services == nil {
 		g.services = map[string]*service{}
@@ -66,8 +71,8 @@
 	return s
 }
 
-// TakeOrders takes all orders that stand, unless newer ones are known. It reports whether they are
-// news.
+// SetOrders replaces the orders, unless o is not newer than those known. It reports whether it has
+// replaced them.
 func (g *Gate) SetOrders(o Orders) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -75,72 +80,73 @@
 		return false
 	}
 	g.orders = Orders{Revision: o.Revision, List: slices.Clone(o.List)}
-	standing := map[string]bool{}
+	ordered := map[string]bool{}
 	for _, x := range o.List {
-		standing[x.Service] = true
+		ordered[x.Service] = true
 		s := g.service(x.Service)
 		if s.order.Revision == x.Revision {
 			continue
 		}
 		s.order, s.credit = x, 0
 		if g.Random != nil {
-			s.credit = g.Random() // so that the boxes do not all send their first one at once
+			s.credit = g.Random() // so that the boxes do not all send their first request at the same time
 		}
 		s.evidence = Evidence{Revision: x.Revision, Routes: map[string]RouteCounts{}}
 	}
 	for n, s := range g.services {
-		if !standing[n] {
+		if !ordered[n] {
 			s.order, s.progress = Order{}, Progress{}
 		}
 	}
 	return true
 }
 
-// Orders returns the orders that stand.
+// Orders returns the current orders.
 func (g *Gate) Orders() Orders {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return Orders{Revision: g.orders.Revision, List: slices.Clone(g.orders.List)}
 }
 
-// Hear takes in words, and returns those that are news of a stage.
-func (g *Gate) UpdateProgress(words map[string]Progress, now time.Time) map[string]Progress {
+// UpdateProgress takes in reports by service, and returns those that report a new order or stage.
+func (g *Gate) UpdateProgress(reports map[string]Progress, now time.Time) map[string]Progress {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var news map[string]Progress
-	for n, w := range words {
+	var changed map[string]Progress
+	for n, p := range reports {
 		s := g.service(n)
-		if !w.supersedes(s.progress) || s.progress.Revision == w.Revision && s.progress.Stage.Final() {
+		if !p.supersedes(s.progress) || s.progress.Revision == p.Revision && s.progress.Stage.Final() {
 			continue
 		}
-		if s.progress.Revision != w.Revision || s.progress.Stage != w.Stage {
-			news = MergeProgress(news, map[string]Progress{n: w}, 0)
+		if s.progress.Revision != p.Revision || s.progress.Stage != p.Stage {
+			changed = MergeProgress(changed, map[string]Progress{n: p}, 0)
 		}
-		s.progress, s.reportedAt = w, now.Add(-w.Age)
+		s.progress, s.reportedAt = p, now.Add(-p.Age)
 	}
-	return news
+	return changed
 }
 
-// stage returns the stage and the share of an order, as far as this box knows them.
+// stage returns the stage of the order and the share of the new version, as known to this box. They
+// are Closed and zero if there is no valid report.
 func (s *service) stage(now time.Time) (Stage, float64) {
-	w := s.progress
-	if w.Revision != s.order.Revision {
+	p := s.progress
+	if p.Revision != s.order.Revision {
 		return Closed, 0
 	}
 	limit := progressTimeout
-	if w.Stage == Canary {
+	if p.Stage == Canary {
 		limit = canaryTimeout
 	}
-	if !w.Stage.Final() && now.Sub(s.reportedAt) > limit {
+	if !p.Stage.Final() && now.Sub(s.reportedAt) > limit {
 		return Closed, 0
 	}
-	return w.Stage, w.Share
+	return p.Stage, p.Share
 }
 
-// Admit says which version a request may go to. A request that has been sent to an endpoint before
-// goes to the other versions while the order is under way: one that a bad version failed is
-// served, and the version gets no more than its share.
-func (g *Gate) PickVersion(name string, repeat bool, now time.Time) VersionFilter {
+// PickVersion returns the versions that a request to the service called name may go to. Until all
+// requests go to the new version, a retry goes to the other versions. Requests that a bad version
+// has failed are thereby served, and the new version receives no more than its share.
+func (g *Gate) PickVersion(name string, retry bool, now time.Time) VersionFilter {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.services[name]
@@ -154,7 +160,7 @@
 		return VersionFilter{}
 	case stage == Complete || stage == Whole:
 		return VersionFilter{Only: v}
-	case repeat || share <= 0:
+	case retry || share <= 0:
 		return VersionFilter{Except: v}
 	}
 	if s.credit += share; s.credit >= 1 {
@@ -164,8 +170,8 @@
 	return VersionFilter{Except: v}
 }
 
-// Stage returns how far a service's order has been carried out, as far as this box knows, and its
-// version; empty for none.
+// Stage returns the version that is ordered for a service, and the stage of the order as known to
+// this box. The version is empty if there is no order.
 func (g *Gate) Stage(name string, now time.Time) (version string, s Stage) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -177,8 +183,7 @@
 	return x.order.Version, s
 }
 
-// Begin notes that a request is under way at a version until the function that it returns is
-// called.
+// Begin counts a request as in flight at a version until the function that it returns is called.
 func (g *Gate) Begin(name, version string) (end func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -193,7 +198,7 @@
 	}
 }
 
-// Saw notes an answer of an endpoint: whether it was a failure, and whether it was slow.
+// RecordAnswer counts an answer of an endpoint as evidence if an order is in progress.
 func (g *Gate) RecordAnswer(name, route, version string, failed, slow bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -208,16 +213,16 @@
 	if slow {
 		c.Slow = 1
 	}
-	p := s.evidence.Routes[route]
+	counts := s.evidence.Routes[route]
 	if version == s.order.Version {
-		p.New = p.New.plus(c)
+		counts.New = counts.New.plus(c)
 	} else {
-		p.Old = p.Old.plus(c)
+		counts.Old = counts.Old.plus(c)
 	}
-	s.evidence.Routes[route] = p
+	s.evidence.Routes[route] = counts
 }
 
-// Evidence returns what this box has seen of the orders under way, by service.
+// Evidence returns the evidence of this box on the orders in progress, by service.
 func (g *Gate) Evidence() map[string]Evidence {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/rollout/holder.go
+++ b/rollout/holder.go
@@ -16,46 +16,50 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// Name is the name of the service.
+// Name is the name of the controller as a kernel service.
 const Name = "rollout"
 
-// step is the time between two decisions.
+// decideInterval is the time between two decisions.
 const decideInterval = 250 * time.Millisecond
 
-// actedFor is how long after the last decision this box still speaks as the holder of the duty.
+// progressLifetime is how long after its last decision the controller still reports progress.
 const progressLifetime = time.Second
 
-// Holder is the service that decides on orders while its box holds the duty. Its exported fields
-// are set before it starts.
+// Controller is the kernel service that decides on orders while its box holds the duty. Its
+// exported fields are set before it starts.
 type Controller struct {
 	Gate  *Gate
 	Store store.Store
 
-	// Key is where the holder keeps how far each order is, for its successor.
+	// Key is the store key under which the stage of each order is saved for a successor.
 	Key string
 
-	// Status returns what to write for the operator, as an order enters a stage.
+	// Status returns the status to write for the operator when an order enters a stage.
 	Status func(o Order, s Stage) (store.Put, error)
 
-	// Act returns the fence and true if this box may decide now.
+	// Fence returns the fencing token of the duty, and whether this box may decide now.
 	Fence func() (uint64, bool)
 
-	// Others returns what the other boxes have seen, and Tell tells them a new stage at once.
+	// RemoteEvidence returns the evidence of the other boxes, by service.
 	RemoteEvidence func() map[string]Evidence
-	Broadcast      func(map[string]Progress)
 
-	// Now returns the time of day of the fleet, by which successors know how old an order is.
+	// Broadcast sends reports of a new stage to the other boxes immediately.
+	Broadcast func(map[string]Progress)
+
+	// Now returns the wall time of the fleet, from which a successor computes the age of an order.
 	Now func() time.Time
 
+	// MaxShare is the fraction of a service's requests that a bad version may receive.
 	MaxShare float64
-	Log      zerolog.Logger
+
+	Log zerolog.Logger
 
 	cancel context.CancelFunc
 	group  sync.WaitGroup
 
 	fence        uint64
-	statesLoaded bool   // what stands at Key is known
-	revision     uint64 // of Key
+	statesLoaded bool   // states and revision match the store
+	revision     uint64 // store revision of Key
 	states       map[string]state
 	policies     map[string]*Policy
 
@@ -64,7 +68,8 @@
 	decidedAt time.Time
 }
 
-// state is how far an order is. Began and Since are when it came and when the stage began.
+// state is the saved state of an order. Began is when the order was first seen, and Since when its
+// stage began.
 type state struct {
 	Revision uint64
 	Stage    Stage
@@ -72,108 +77,109 @@
 	Since    time.Time
 }
 
-// Name returns the service's name.
-func (h *Controller) Name() string { return Name }
-
-// Start begins to decide.
-func (h *Controller) Start(context.Context, *kernel.Kernel) error {
-	c, cancel := context.WithCancel(context.Background())
-	h.cancel = cancel
-	h.group.Go(func() {
-		for c.Err() == nil {
-			wait.For(c, decideInterval)
-			h.Step(c)
+// Name returns the name of the kernel service.
+func (c *Controller) Name() string { return Name }
+
+// Start starts the goroutine that decides on orders.
+func (c *Controller) Start(context.Context, *kernel.Kernel) error {
+	ctx, cancel := context.WithCancel(context.Background())
+	c.cancel = cancel
+	c.group.Go(func() {
+		for ctx.Err() == nil {
+			wait.For(ctx, decideInterval)
+			c.Step(ctx)
 		}
 	})
 	return nil
 }
 
-// Stop ends it.
-func (h *Controller) Stop(context.Context) error {
-	h.cancel()
-	h.group.Wait()
+// Stop stops the goroutine and waits until it has ended.
+func (c *Controller) Stop(context.Context) error {
+	c.cancel()
+	c.group.Wait()
 	return nil
 }
 
-// Words returns what this box says as the holder of the duty; none if it does not hold it.
-func (h *Controller) CurrentProgress() map[string]Progress {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	age := boottime.Since(h.decidedAt)
+// CurrentProgress returns the reports on all orders, by service, or nil if this box has not decided
+// recently because it does not hold the duty.
+func (c *Controller) CurrentProgress() map[string]Progress {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	age := boottime.Since(c.decidedAt)
 	if age > progressLifetime {
 		return nil
 	}
-	out := maps.Clone(h.progress)
-	for s, w := range out {
-		w.Age = age
-		out[s] = w
+	out := maps.Clone(c.progress)
+	for s, p := range out {
+		p.Age = age
+		out[s] = p
 	}
 	return out
 }
 
-// Step decides once on each order that stands.
-func (h *Controller) Step(c context.Context) {
-	orders := h.Gate.Orders().List
+// Step decides once on each current order.
+func (c *Controller) Step(ctx context.Context) {
+	orders := c.Gate.Orders().List
 	if len(orders) == 0 {
 		return
 	}
-	fence, ok := h.Fence()
+	fence, ok := c.Fence()
 	if !ok {
 		return
 	}
-	if fence != h.fence {
-		h.fence, h.statesLoaded, h.policies = fence, false, map[string]*Policy{}
+	if fence != c.fence {
+		c.fence, c.statesLoaded, c.policies = fence, false, map[string]*Policy{}
 	}
-	if !h.statesLoaded && h.loadStates(c) != nil {
+	if !c.statesLoaded && c.loadStates(ctx) != nil {
 		return
 	}
-	sum := AddEvidence(AddEvidence(nil, h.Gate.Evidence()), h.RemoteEvidence())
+	sum := AddEvidence(AddEvidence(nil, c.Gate.Evidence()), c.RemoteEvidence())
 	changed := map[string]state{}
 	for _, o := range orders {
-		if s, news := h.decide(o, sum[o.Service]); news {
+		if s, entered := c.decide(o, sum[o.Service]); entered {
 			changed[o.Service] = s
 		}
 	}
-	h.publish(orders) // first: what is found to be bad gets nothing more, whatever the store says
+	c.publish(orders) // before the write, so that a bad version stops receiving requests even if the store fails
 	for _, o := range orders {
 		if s, ok := changed[o.Service]; ok {
-			err := h.writeState(c, o, s)
-			h.Log.Info().Str("event", "rollout").Str("service", o.Service).Str("version", o.Version).Uint64("order", o.Revision).
-				Uint64("fence", h.fence).Dur("ago", h.Now().Sub(s.Began)).Stringer("stage", s.Stage).
+			err := c.writeState(ctx, o, s)
+			c.Log.Info().Str("event", "rollout").Str("service", o.Service).Str("version", o.Version).Uint64("order", o.Revision).
+				Uint64("fence", c.fence).Dur("ago", c.Now().Sub(s.Began)).Stringer("stage", s.Stage).
 				Interface("evidence", sum[o.Service]).Err(err).Msg("decision")
 		}
 	}
-	h.publish(orders)
+	c.publish(orders)
 }
 
-// readStates learns how far the holder before came.
-func (h *Controller) loadStates(c context.Context) error {
-	i, err := h.Store.Get(c, h.Key)
+// loadStates reads the states that the previous controller saved.
+func (c *Controller) loadStates(ctx context.Context) error {
+	i, err := c.Store.Get(ctx, c.Key)
 	if err != nil {
 		return err
 	}
-	h.revision, h.states = i.Revision, map[string]state{}
+	c.revision, c.states = i.Revision, map[string]state{}
 	if i.Revision != 0 {
-		if err := json.Unmarshal(i.Value, &h.states); err != nil {
-			h.Log.Error().Str("event", "rollout").Str("key", h.Key).Err(err).Msg("not read; orders begin anew")
-			h.states = map[string]state{}
+		if err := json.Unmarshal(i.Value, &c.states); err != nil {
+			c.Log.Error().Str("event", "rollout").Str("key", c.Key).Err(err).Msg("decode saved states; orders restart from the first stage")
+			c.states = map[string]state{}
 		}
 	}
-	h.statesLoaded = true
+	c.statesLoaded = true
 	return nil
 }
 
-// decide returns the stage that an order is to enter, and false if it stays where it is.
-func (h *Controller) decide(o Order, e Evidence) (state, bool) {
-	now := h.Now()
-	s, had := h.states[o.Service]
-	if !had || s.Revision != o.Revision {
+// decide returns the state of an order, and whether the order enters a new stage.
+func (c *Controller) decide(o Order, e Evidence) (state, bool) {
+	now := c.Now()
+	s, ok := c.states[o.Service]
+	if !ok || s.Revision != o.Revision {
 		s = state{Revision: o.Revision, Stage: Closed, Began: now, Since: now}
 	}
-	p := h.policies[o.Service]
+	p := c.policies[o.Service]
 	if p == nil || p.order != o.Revision {
-		p = &Policy{MaxShare: h.MaxShare, order: o.Revision}
-		h.policies[o.Service] = p
+		p = &Policy{MaxShare: c.MaxShare, order: o.Revision}
+		c.policies[o.Service] = p
 	}
 	if e.Revision != o.Revision {
 		e = Evidence{}
@@ -186,57 +192,57 @@
 	return s, true
 }
 
-// write keeps how far an order is, together with the operator's status.
-func (h *Controller) writeState(c context.Context, o Order, s state) error {
-	states := maps.Clone(h.states)
+// writeState saves the state of an order and the operator's status in one transaction.
+func (c *Controller) writeState(ctx context.Context, o Order, s state) error {
+	states := maps.Clone(c.states)
 	states[o.Service] = s
 	value, err := json.Marshal(states)
 	if err != nil {
 		return err
 	}
-	status, err := h.Status(o, s.Stage)
+	status, err := c.Status(o, s.Stage)
 	if err != nil {
 		return err
 	}
-	at, err := h.Store.Commit(c, store.Change{
-		If:  []store.Condition{{Key: h.Key, Revision: h.revision}},
-		Put: []store.Put{{Key: h.Key, Value: value}, status},
+	revision, err := c.Store.Commit(ctx, store.Change{
+		If:  []store.Condition{{Key: c.Key, Revision: c.revision}},
+		Put: []store.Put{{Key: c.Key, Value: value}, status},
 	})
 	if err != nil {
-		// Another may have written, or this change taken effect: it is read again.
+		// Another box may have written the key, or this change may have taken effect.
 		if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrUnknown) {
-			h.statesLoaded = false
+			c.statesLoaded = false
 		}
 		return err
 	}
-	h.states, h.revision = states, at
+	c.states, c.revision = states, revision
 	return nil
 }
 
-// speak says how far each order is: as it is written, or sent back if that is decided. A stage
-// that is news is told at once.
-func (h *Controller) publish(orders []Order) {
-	words, news := map[string]Progress{}, map[string]Progress{}
-	h.mu.Lock()
+// publish updates the reports on all orders, and broadcasts those with a new order or stage. The
+// reported stage is the saved one, or Reverted as soon as the version is rejected.
+func (c *Controller) publish(orders []Order) {
+	all, changed := map[string]Progress{}, map[string]Progress{}
+	c.mu.Lock()
 	for _, o := range orders {
-		s, stands := h.states[o.Service]
+		s, known := c.states[o.Service]
 		stage := s.Stage
-		switch p := h.policies[o.Service]; {
+		switch p := c.policies[o.Service]; {
 		case p != nil && p.order == o.Revision && p.rejected:
 			stage = Reverted
-		case !stands || s.Revision != o.Revision:
+		case !known || s.Revision != o.Revision:
 			continue
 		}
-		old := h.progress[o.Service]
-		w := Progress{Order: o, Stage: stage, Share: Share(stage, h.MaxShare), Fence: h.fence, Count: old.Count + 1}
+		old := c.progress[o.Service]
+		r := Progress{Order: o, Stage: stage, Share: Share(stage, c.MaxShare), Fence: c.fence, Count: old.Count + 1}
 		if old.Revision != o.Revision || old.Stage != stage {
-			news[o.Service] = w
+			changed[o.Service] = r
 		}
-		words[o.Service] = w
+		all[o.Service] = r
 	}
-	h.progress, h.decidedAt = words, boottime.Now()
-	h.mu.Unlock()
-	if len(news) > 0 {
-		h.Broadcast(news)
+	c.progress, c.decidedAt = all, boottime.Now()
+	c.mu.Unlock()
+	if len(changed) > 0 {
+		c.Broadcast(changed)
 	}
 }
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -1,6 +1,6 @@
-// Package rollout moves the traffic of a service to a new version of its endpoints, and back if
-// the version is bad: a small part of the requests goes there first, and what becomes of them is
-// compared with what becomes of the others in the same seconds.
+// Package rollout moves the traffic of a service to a new version of its endpoints, and back if the
+// version is bad. A small share of the requests goes to the new version first. Its failures and
+// slow answers are compared with those of the other versions over the same period.
 package rollout
 
 import (
@@ -8,37 +8,38 @@
 	"time"
 )
 
-// Order asks to move a service's traffic to the endpoints of a version within a time.
+// Order is an operator's request to move the traffic of a service to the endpoints of a version
+// within a duration.
 type Order struct {
 	Service  string
 	Version  string
 	Duration time.Duration
-	Revision uint64 // of the store, by which an order differs from one before it
+	Revision uint64 // store revision, which distinguishes successive orders for a service
 }
 
-// Orders are all that stand, as the store had them at a revision.
+// Orders holds all current orders, as of a revision of the store.
 type Orders struct {
 	Revision uint64
 	List     []Order
 }
 
-// Stage is how far an order has been carried out.
+// Stage is the stage of an order's roll-out.
 type Stage int
 
-// The stages. From Canary to Whole an order is under way; Complete and Reverted are its ends.
+// The stages. An order is in progress from Canary to Whole. Complete and Reverted are final.
 const (
-	Closed   Stage = iota // no request goes to the version
-	Canary                // a part of the requests does, small enough for a bad version
-	Ramp                  // a larger part, to see the version under load
-	Whole                 // all new requests do, until the other versions have nothing left to do
-	Complete              // the other versions are no longer needed
+	Closed   Stage = iota // no requests go to the version
+	Canary                // a share of the requests does, small enough for a bad version
+	Ramp                  // a larger share does, to test the version under load
+	Whole                 // all new requests do, while the other versions drain
+	Complete              // the other versions are not needed any more
 	Reverted              // the version is bad
 )
 
-// The names of the stages, as logs and the store's record have them.
+// stageNames holds the names of the stages in logs and in the store.
 var stageNames = []string{"closed", "canary", "ramp", "whole", "complete", "reverted"}
 
-// String returns the name of a stage.
+// String returns the name of the stage.
 func (s Stage) String() string {
 	if s < 0 || int(s) >= len(stageNames) {
 		return fmt.Sprintf("stage(%d)", int(s))
@@ -46,43 +47,45 @@
 	return stageNames[s]
 }
 
-// Final reports whether a stage is an end.
+// Final reports whether the stage is final.
 func (s Stage) Final() bool { return s == Complete || s == Reverted }
 
-// Word is what the holder of the duty says of an order. Of two words that with the newer order
-// holds, then that with the higher fence, then the later one.
+// Progress is a controller's report on an order. Of two reports, the one with the newer order takes
+// precedence, then the one with the higher fence, then the one with the higher count.
 type Progress struct {
 	Order
 	Stage Stage
-	Share float64 // of the service's requests that may go to the version
-	Fence uint64  // of the holder
-	Count uint64  // of the holder's words
+	Share float64 // fraction of the service's requests that may go to the version
+	Fence uint64  // fencing token of the controller
+	Count uint64  // sequence number of the controller's reports
 	Age   time.Duration
 }
 
-// newer reports whether a word holds in place of another.
-func (w Progress) supersedes(o Progress) bool {
+// supersedes reports whether p takes precedence over o.
+func (p Progress) supersedes(o Progress) bool {
 	switch {
-	case w.Revision != o.Revision:
-		return w.Revision > o.Revision
-	case w.Fence != o.Fence:
-		return w.Fence > o.Fence
+	case p.Revision != o.Revision:
+		return p.Revision > o.Revision
+	case p.Fence != o.Fence:
+		return p.Fence > o.Fence
 	default:
-		return w.Count > o.Count
+		return p.Count > o.Count
 	}
 }
 
-// AddWords takes words into those known, and keeps of each service the one that holds.
-func MergeProgress(known map[string]Progress, more map[string]Progress, aged time.Duration) map[string]Progress {
-	for s, w := range more {
-		w.Age += aged
-		if old, had := known[s]; had && !w.supersedes(old) {
+// MergeProgress merges reports into the known ones, both by service, and returns the result. Of two
+// reports on a service it keeps the one that takes precedence. It adds age to the age of the new
+// reports. It modifies known unless that is nil.
+func MergeProgress(known map[string]Progress, more map[string]Progress, age time.Duration) map[string]Progress {
+	for s, p := range more {
+		p.Age += age
+		if old, ok := known[s]; ok && !p.supersedes(old) {
 			continue
 		}
 		if known == nil {
 			known = map[string]Progress{}
 		}
-		known[s] = w
+		known[s] = p
 	}
 	return known
 }
--- a/rollout/policy.go
+++ b/rollout/policy.go
@@ -5,64 +5,69 @@
 	"time"
 )
 
-// Policy decides on one order, from the evidence that is told to it again and again. It keeps no
-// time: how long ago the order came is an argument.
+// Policy decides on the stages of one order from the evidence passed to successive calls of Next.
+// It reads no clock: the age of the order is an argument.
 type Policy struct {
-	// MaxShare is the part of a service's requests that a bad version may get.
+	// MaxShare is the fraction of a service's requests that a bad version may receive.
 	MaxShare float64
 
-	order         uint64 // the revision of the order
+	order         uint64 // revision of the order
 	routes        map[string]*sequentialTest
-	rejected      bool    // the version was found to be bad
-	answersAtRamp float64 // the version's answers as the ramp began
+	rejected      bool    // whether the version was found to be bad
+	answersAtRamp float64 // number of answers of the new version when the ramp began
 }
 
-// trial is the test of one route: the evidence seen so far, and how much more likely it is under
-// a bad version than under a good one, as a logarithm, since it last spoke for a good one.
+// sequentialTest is the state of the test of one route: the evidence processed so far, and the
+// cumulative log likelihood ratios (LLR) of a bad version to a good one. They restart from zero
+// whenever they would become negative, as in the CUSUM test.
 type sequentialTest struct {
 	counts             RouteCounts
 	failedLLR, slowLLR float64
 }
 
-// The parts of an order's duration after which the next stage begins, if the evidence suffices
-// for it. A version may turn bad late or under load: so the other versions are left late, and
-// the last part is for what is still under way there.
+// The fractions of an order's duration after which the next stage begins, if the evidence suffices.
+// The other versions keep receiving requests until late, since a version may become bad after a
+// while or under load. The final phase is for the requests that are still in flight at the other
+// versions.
 const (
 	rampStart       = 0.5
 	wholeStart      = 0.65
 	finalPhaseStart = 0.92
 )
 
-// canaryPart is the part of the bound on a bad version's requests that the canary takes: the rest
-// is for the seconds between a bad answer and the last box that hears of it. rampShare is the
-// share of the ramp.
+// canaryFraction is the canary's fraction of the share that a bad version may receive. The rest
+// allows for the seconds between a bad answer and the moment when the last box learns of it.
+// rampShare is the share of the requests in the ramp.
 const (
 	canaryFraction = 0.5
 	rampShare      = 0.3
 )
 
-// enoughAnswers of the new version are needed for it to get more than the canary's part: one with
-// 20 failures in 100 passes so many without one in 0.4 of 100 cases. In the ramp enoughMore are
-// needed for it to get all, since it may have turned bad just before; it lasts rampFor at the least.
+// The new version needs minCanaryAnswers answers before the ramp: a version that fails 20% of its
+// requests gives this many answers without a failure in 0.4% of the cases. It needs another
+// minRampAnswers answers, and the ramp has to last minRampDuration, before it receives all
+// requests, since it may have become bad just before the ramp.
 const (
 	minCanaryAnswers = 25
 	minRampAnswers   = 40
 	minRampDuration  = time.Second
 )
 
-// least is how long before an order's end it is decided at the latest: the word has to be written.
+// decisionMargin is the time before the end of an order's duration when the final phase begins at
+// the latest, since the decision has to be written to the store.
 const decisionMargin = time.Second
 
-// emptyFor is how long the other versions are given at the least, once all new requests go to the
-// version: the boxes hear of it within half a second, and most requests end within a second.
+// minDrainDuration is the least time that the other versions have to drain once all new requests go
+// to the new version. Boxes learn of that within half a second, and most requests end within a
+// second.
 const minDrainDuration = 1500 * time.Millisecond
 
-// Share returns the part of the requests that may go to the version in a stage, where a bad one
-// may get the part most.
-func Share(s Stage, most float64) float64 {
+// Share returns the fraction of the requests that may go to the new version in a stage, where a bad
+// version may receive the fraction maxShare.
+func Share(s Stage, maxShare float64) float64 {
 	switch s {
 	case Canary:
-		return canaryFraction * most
+		return canaryFraction * maxShare
 	case Ramp:
 		return rampShare
 	case Whole, Complete:
@@ -72,8 +77,9 @@
 	}
 }
 
-// Next returns the stage of an order that came some time ago and has been in a stage for some.
-func (p *Policy) Next(o Order, s Stage, in, ago time.Duration, e Evidence) Stage {
+// Next returns the next stage of an order of the given age, which has been in stage s for the time
+// inStage. It returns s if the order stays in that stage.
+func (p *Policy) Next(o Order, s Stage, inStage, age time.Duration, e Evidence) Stage {
 	if s.Final() {
 		return s
 	}
@@ -81,36 +87,38 @@
 	if p.rejected {
 		return Reverted
 	}
-	part := float64(ago) / float64(max(o.Duration, 1))
-	last := part >= finalPhaseStart || o.Duration-ago <= decisionMargin
+	elapsed := float64(age) / float64(max(o.Duration, 1))
+	final := elapsed >= finalPhaseStart || o.Duration-age <= decisionMargin
 	switch {
-	case s == Whole && in >= minDrainDuration && (last || e.Busy == 0):
+	case s == Whole && inStage >= minDrainDuration && (final || e.Busy == 0):
 		return Complete
-	case last && (s != Whole || o.Duration-ago <= decisionMargin/4):
-		return Reverted // it was not seen to be good in time
+	case final && (s != Whole || o.Duration-age <= decisionMargin/4):
+		return Reverted // the version did not prove good in time
 	case s == Closed:
 		return Canary
 	case p.maxLLR() > maxAdvanceLLR:
 		return s
-	case s == Canary && part >= rampStart && e.newAnswers() >= minCanaryAnswers:
+	case s == Canary && elapsed >= rampStart && e.newAnswers() >= minCanaryAnswers:
 		p.answersAtRamp = e.newAnswers()
 		return Ramp
-	case s == Ramp && part >= wholeStart && in >= minRampDuration && e.newAnswers() >= p.answersAtRamp+minRampAnswers:
+	case s == Ramp && elapsed >= wholeStart && inStage >= minRampDuration && e.newAnswers() >= p.answersAtRamp+minRampAnswers:
 		return Whole
 	}
 	return s
 }
 
-// A version is bad if some route's evidence is e^certain times more likely under one that fails,
-// or is slow, more often by the ratio and the difference below than the other versions in the same
-// seconds. A good version is sent back once in 22,000 answers or more (e^10); one with 20 failures
-// in 100 is found by some 25 answers, one that is always slow by six.
+// rejectLLR is the log likelihood ratio from which a version counts as bad. The hypothesis of a bad
+// version is that it fails, or is slow, more often than the other versions over the same period by
+// the ratio and the excess of a defect. A good version is rejected at most once in about 22,000
+// answers (e^10). A version that fails 20% of its requests is rejected after about 25 answers, and
+// one that is always slow after six.
 const rejectLLR = 10.0
 
-// kind is one way of being bad: what part of the answers of a service is usual where few are
-// known, and what a bad version's part is at the least.
+// defect describes one way in which a version is bad. A rate is the fraction of the answers that
+// have the defect. The rate of a bad version exceeds that of the other versions by at least a ratio
+// and an excess.
 type defect struct {
-	baseline float64
+	baseline float64 // assumed rate of the other versions while few of their answers are known
 	ratio    float64
 	excess   float64
 }
@@ -120,45 +128,48 @@
 	slowness = defect{baseline: 0.05, ratio: 2, excess: 0.3}
 )
 
-// mostDoubt is up to which suspicion a version gets a larger part: a good one seldom has more.
+// maxAdvanceLLR is the largest log likelihood ratio at which a version may enter the next stage. A
+// good version seldom exceeds it.
 const maxAdvanceLLR = 0.7 * rejectLLR
 
-// doubt is the strongest suspicion against the version.
+// maxLLR returns the largest log likelihood ratio over all routes and defects.
 func (p *Policy) maxLLR() float64 {
-	most := 0.0
+	largest := 0.0
 	for _, t := range p.routes {
-		most = max(most, t.failedLLR, t.slowLLR)
+		largest = max(largest, t.failedLLR, t.slowLLR)
 	}
-	return most
+	return largest
 }
 
-// usualAnswers is how many answers the usual part counts for.
+// baselineAnswers is the number of answers that the baseline rate of a defect counts for.
 const baselineAnswers = 20
 
-// The bounds of a part of answers that is taken to be bad.
+// The bounds of the assumed rates of defects. They keep the log likelihood ratios finite.
 const (
 	minBadRate = 0.005
 	maxBadRate = 0.95
 )
 
-// bad takes in the evidence, and reports whether the version is bad.
+// testEvidence updates the tests of all routes, and reports whether the version is bad.
 func (p *Policy) testEvidence(e Evidence) bool {
 	if p.routes == nil {
 		p.routes = map[string]*sequentialTest{}
 	}
 	all := RouteCounts{}
-	found := false
-	for n, pair := range e.Routes {
-		all = RouteCounts{Old: all.Old.plus(pair.Old), New: all.New.plus(pair.New)}
-		found = p.route(n).update(pair) || found
+	bad := false
+	for n, counts := range e.Routes {
+		all = RouteCounts{Old: all.Old.plus(counts.Old), New: all.New.plus(counts.New)}
+		bad = p.route(n).update(counts) || bad
 	}
-	return p.route(allRoutes).update(all) || found
+	return p.route(allRoutes).update(all) || bad
 }
 
-// allRoutes is no route's name: a version that is bad on all is found sooner by all answers
-// together, one that is bad on one route by those of that route.
+// allRoutes is the key of the test over the answers of all routes, and not the name of a route.
+// That test detects a version that is bad on all routes sooner; the test of a single route detects
+// sooner a version that is bad on that route only.
 const allRoutes = ""
 
+// route returns the test of a route, which it creates if necessary.
 func (p *Policy) route(name string) *sequentialTest {
 	t := p.routes[name]
 	if t == nil {
@@ -168,7 +179,7 @@
 	return t
 }
 
-// take takes in what is new of a route's evidence.
+// update adds the answers since the last call, and reports whether the version is bad on the route.
 func (t *sequentialTest) update(now RouteCounts) bool {
 	more := now.New.minus(t.counts.New)
 	t.counts = now
@@ -177,12 +188,13 @@
 	return t.failedLLR >= rejectLLR || t.slowLLR >= rejectLLR
 }
 
-// weigh adds answers of the new version, some of them bad, to a sum of log likelihood ratios that
-// never falls below zero: what speaks for a version does not outweigh what it does later.
-func (k defect) updateLLR(sum, oldAnswers, oldBad, answers, bad float64) float64 {
-	good := (oldBad + k.baseline*baselineAnswers) / (oldAnswers + baselineAnswers)
-	good = min(max(good, minBadRate), maxBadRate/k.ratio)
-	worse := min(max(k.ratio*good, good+k.excess), maxBadRate)
+// updateLLR adds answers of the new version, some of them bad, to a log likelihood ratio and
+// returns the result. It is never negative, so that earlier good answers do not outweigh later bad
+// ones.
+func (d defect) updateLLR(llr, oldAnswers, oldBad, answers, bad float64) float64 {
+	goodRate := (oldBad + d.baseline*baselineAnswers) / (oldAnswers + baselineAnswers)
+	goodRate = min(max(goodRate, minBadRate), maxBadRate/d.ratio)
+	badRate := min(max(d.ratio*goodRate, goodRate+d.excess), maxBadRate)
 	bad = min(bad, answers)
-	return max(sum+bad*math.Log(worse/good)+(answers-bad)*math.Log((1-worse)/(1-good)), 0)
+	return max(llr+bad*math.Log(badRate/goodRate)+(answers-bad)*math.Log((1-badRate)/(1-goodRate)), 0)
 }
--- a/rollout/policy_test.go
+++ b/rollout/policy_test.go
@@ -10,9 +10,12 @@
 	"birchlink.dev/birchlink/rollout"
 )
 
-// play decides on an order of 12 s from what becomes of 100 requests a second, and returns its
-// stages, when each began, and how many requests the version got.
-func simulatePolicy(seed uint64, bad func(at time.Duration, share float64) (failed, slow float64)) (stages []rollout.Stage, at []time.Duration, got int) {
+// simulatePolicy simulates an order of 12 s with 100 requests per second. rates returns the rates
+// of failures and of slow answers of the new version. simulatePolicy returns the stages of the
+// order, when each began, and the number of requests sent to the new version.
+func simulatePolicy(
+	seed uint64, rates func(at time.Duration, share float64) (failed, slow float64),
+) (stages []rollout.Stage, at []time.Duration, sent int) {
 	chance := rand.New(rand.NewPCG(seed, 0))
 	p := rollout.Policy{MaxShare: 0.1}
 	o := rollout.Order{Service: "s", Version: "v2", Duration: 12 * time.Second, Revision: 1}
@@ -26,18 +29,18 @@
 			c.Slow++
 		}
 	}
-	const pause = 10 * time.Millisecond
-	for t := time.Duration(0); t < o.Duration && !stage.Final(); t += pause {
+	const interval = 10 * time.Millisecond
+	for t := time.Duration(0); t < o.Duration && !stage.Final(); t += interval {
 		share := rollout.Share(stage, p.MaxShare)
-		pair := e.Routes["r"]
+		counts := e.Routes["r"]
 		if chance.Float64() < share {
-			failed, slow := bad(t, share)
-			count(&pair.New, failed, slow)
-			got++
+			failed, slow := rates(t, share)
+			count(&counts.New, failed, slow)
+			sent++
 		} else {
-			count(&pair.Old, 0.01, 0.03)
+			count(&counts.Old, 0.01, 0.03)
 		}
-		e.Routes["r"] = pair
+		e.Routes["r"] = counts
 		e.Busy = 0
 		if t-since < 800*time.Millisecond || stage != rollout.Whole {
 			e.Busy = 5
@@ -47,10 +50,10 @@
 			stages, at = append(stages, stage), append(at, t)
 		}
 	}
-	return stages, at, got
+	return stages, at, sent
 }
 
-// A good version passes through all stages, and is complete in time, in 98 of 100 courses or more.
+// A good version passes through all stages and is complete in time in at least 98% of the runs.
 func TestGoodVersionsComplete(t *testing.T) {
 	complete := 0
 	for seed := range uint64(300) {
@@ -64,10 +67,10 @@
 	require.GreaterOrEqual(t, complete, 294)
 }
 
-// A bad version is sent back in 99 of 100 courses or more, and gets no more than a tenth of the
-// requests and 50.
+// A bad version is reverted in at least 99% of the runs, and receives at most a tenth of the
+// requests plus 50.
 func TestBadVersionsReverted(t *testing.T) {
-	for name, bad := range map[string]func(at time.Duration, share float64) (float64, float64){
+	for name, rates := range map[string]func(at time.Duration, share float64) (float64, float64){
 		"fails 20 in 100":        func(time.Duration, float64) (float64, float64) { return 0.2, 0.03 },
 		"fails all":              func(time.Duration, float64) (float64, float64) { return 1, 0 },
 		"is several times slow":  func(time.Duration, float64) (float64, float64) { return 0.01, 0.9 },
@@ -79,11 +82,11 @@
 	} {
 		reverted := 0
 		for seed := range uint64(300) {
-			stages, _, got := simulatePolicy(seed, bad)
+			stages, _, sent := simulatePolicy(seed, rates)
 			if stages[len(stages)-1] == rollout.Reverted {
 				reverted++
 			}
-			require.LessOrEqual(t, got, 170, "%s, seed %d", name, seed)
+			require.LessOrEqual(t, sent, 170, "%s, seed %d", name, seed)
 		}
 		require.GreaterOrEqual(t, reverted, 297, name)
 	}
@@ -96,7 +99,7 @@
 	return 0.01
 }
 
-// A service that always fails a part of its calls on one route does not condemn a good version.
+// A good version is not rejected when all versions fail a fraction of the requests on one route.
 func TestBaselineFailuresIgnored(t *testing.T) {
 	p := rollout.Policy{MaxShare: 0.1}
 	o := rollout.Order{Service: "s", Version: "v2", Duration: 12 * time.Second, Revision: 1}
@@ -107,7 +110,7 @@
 	require.Equal(t, rollout.Ramp, p.Next(o, rollout.Canary, time.Second, 7*time.Second, e))
 }
 
-// What was not seen to be good in time goes back; an end stays.
+// A version that does not have enough answers in time is reverted. A final stage does not change.
 func TestTooFewAnswers(t *testing.T) {
 	p := rollout.Policy{MaxShare: 0.1}
 	o := rollout.Order{Service: "s", Version: "v2", Duration: 12 * time.Second, Revision: 1}
