--- a/orders/orders.go
+++ b/orders/orders.go
@@ -313,7 +313,7 @@
 	o.lastOrders[p] = last
 	o.log.Info().Str("event", "order").Str("service", p.service).Str("data_centre", p.dataCentre).Bool("reclaimable", p.reclaimable).
 		Int("count", n).Uint64("fence", fence).
-		Float64("bears_tokens_per_s", capacity.Reclaimable.Tokens).Float64("on_demand_bears", capacity.OnDemand.Tokens).
+		Float64("bears_tokens_per_s", capacity.Reclaimable.TokensPerSecond).Float64("on_demand_bears", capacity.OnDemand.TokensPerSecond).
 		Float64("bears_running", capacity.OnDemand.Running).
 		Float64("tokens_per_s", site.Demand.Tokens).Float64("running", site.Demand.Running).
 		Int("have_on_demand", site.Have.OnDemand).Int("have_reclaimable", site.Have.Reclaimable).
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -189,7 +189,7 @@
 		return slices.Contains(f.limited, e.ID)
 	}
 	o.Capacity = func(string, int, time.Duration) scaling.Capacity {
-		b := estimate.Bearable{Tokens: 20_000, Running: 40}
+		b := estimate.Capacity{TokensPerSecond: 20_000, Running: 40}
 		return scaling.Capacity{Reclaimable: b, OnDemand: b}
 	}
 	n := &kernel.Kernel{}
--- a/scaling/plan.go
+++ b/scaling/plan.go
@@ -88,8 +88,8 @@
 // Capacity is the sustainable load of one endpoint: Reclaimable where reclaimable endpoints
 // carry the load, OnDemand where on-demand ones have to.
 type Capacity struct {
-	Reclaimable estimate.Bearable
-	OnDemand    estimate.Bearable
+	Reclaimable estimate.Capacity
+	OnDemand    estimate.Capacity
 }
 
 // Site is the state of a service in one data centre.
@@ -222,8 +222,8 @@
 func ceil(f float64) int { return int(math.Ceil(f)) }
 
 // endpointsFor returns how many endpoints a load needs if each sustains b.
-func endpointsFor(d Demand, b estimate.Bearable) int {
-	return ceil(max(d.Tokens/max(b.Tokens, 1), d.Running/max(b.Running, 1)))
+func endpointsFor(d Demand, b estimate.Capacity) int {
+	return ceil(max(d.Tokens/max(b.TokensPerSecond, 1), d.Running/max(b.Running, 1)))
 }
 
 // DataCentres returns the data centres in which a service can be ordered, which are those
--- a/scaling/plan_test.go
+++ b/scaling/plan_test.go
@@ -19,7 +19,7 @@
 
 // equalCapacity returns the same capacity for both kinds of endpoints.
 func equalCapacity(tokens float64) scaling.Capacity {
-	b := estimate.Bearable{Tokens: tokens, Running: 40}
+	b := estimate.Capacity{TokensPerSecond: tokens, Running: 40}
 	return scaling.Capacity{Reclaimable: b, OnDemand: b}
 }
 
@@ -119,7 +119,7 @@
 	}
 	equal, _ := total(scaling.Default.Plan(service, s, capacity))
 	b := capacity
-	b.OnDemand.Tokens *= 1.4
+	b.OnDemand.TokensPerSecond *= 1.4
 	fewer, _ := total(scaling.Default.Plan(service, s, b))
 	require.Less(t, fewer, equal)
 }
