--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -159,7 +159,7 @@
 	p.gossip.Rates = &p.book.Available.Rates
 	p.known.Roster.OnLeave(func(e endpoint.Endpoint) {
 		if !e.Draining {
-			q.Ended(e.Incarnation(), "its record is gone", boottime.Now())
+			q.RecordCrash(e.Incarnation(), "its record is gone", boottime.Now())
 		}
 	})
 	p.tell()
--- a/daemon/tell.go
+++ b/daemon/tell.go
@@ -32,7 +32,7 @@
 			Box: s.Box, DataCentre: s.DataCentre, Address: s.Peers, Version: v,
 			Words: p.rollouts.Words(), Evidence: p.gossip.Rollouts.Evidence(),
 			Load: p.book.Own(), Failing: p.book.Failing(now), Demand: d, Speeds: p.book.Speeds(now),
-			Usage: []tally.Part{p.tally.Recent(s.Box+"."+p.incarnation, p.tally.Number(p.clock.At(now))-toldWindows)},
+			Usage: []tally.Report{p.tally.Recent(s.Box+"."+p.incarnation, p.tally.WindowAt(p.clock.At(now))-toldWindows)},
 		}
 	}
 	g.OnChange, g.Quota, g.Clock = p.heard, p.quota, p.clock
--- a/forward/run.go
+++ b/forward/run.go
@@ -124,7 +124,7 @@
 	if len(r.sent) > 0 && !r.f.Budget.Spend(r.q.Service.Name, boottime.Now()) {
 		return r.fail(errkind.Overloaded, "the service's retries are used up")
 	}
-	r.f.Quarantine.Sent(r.q.Content, boottime.Now())
+	r.f.Quarantine.RecordSend(r.q.Content, boottime.Now())
 	out := r.attempt(c, ch)
 	if out.done {
 		return true, nil
--- a/forward/suspect.go
+++ b/forward/suspect.go
@@ -22,14 +22,14 @@
 		return
 	}
 	if errors.Is(out.err, errReplaced) {
-		r.f.Quarantine.Broke(r.trace.Content, e.Incarnation(), boottime.Now())
-		r.f.Quarantine.Ended(e.Incarnation(), "another started under its ID", boottime.Now())
+		r.f.Quarantine.RecordFailure(r.trace.Content, e.Incarnation(), boottime.Now())
+		r.f.Quarantine.RecordCrash(e.Incarnation(), "another started under its ID", boottime.Now())
 		return
 	}
 	if !r.f.serves(e) {
 		return
 	}
-	r.f.Quarantine.Broke(r.trace.Content, e.Incarnation(), boottime.Now())
+	r.f.Quarantine.RecordFailure(r.trace.Content, e.Incarnation(), boottime.Now())
 	if errors.Is(out.err, errSilent) || !r.f.Pool.Refused(c, e.Address) {
 		return
 	}
@@ -40,6 +40,6 @@
 func (r *run) ended(e endpoint.Endpoint) {
 	now := boottime.Now()
 	r.f.Book.Ended(e.ID, now)
-	r.f.Quarantine.Ended(e.Incarnation(), "it refuses connections", now)
+	r.f.Quarantine.RecordCrash(e.Incarnation(), "it refuses connections", now)
 	r.f.Ended(e)
 }
--- a/forward/take.go
+++ b/forward/take.go
@@ -114,7 +114,7 @@
 // connection, of one that ended.
 func (r *run) survived(a *exchange.Answer) {
 	if a.Status < http.StatusInternalServerError && a.Framed() {
-		r.f.Quarantine.Answered(r.trace.Content, boottime.Now())
+		r.f.Quarantine.RecordAnswer(r.trace.Content, boottime.Now())
 	}
 }
 
--- a/gossip/before.go
+++ b/gossip/before.go
@@ -80,7 +80,7 @@
 	p.Division.Version = i.Revision
 	s.stands, s.refused = p.Before, quarantine.Sum(p.Contents)
 	g.noteBefore(p.Before, "known from the store")
-	g.Quarantine.Hear(p.Contents, boottime.Now())
+	g.Quarantine.Merge(p.Contents, boottime.Now())
 	if late {
 		g.Quota.Adopt(p.Division, boottime.Now())
 		return
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -188,8 +188,8 @@
 	peer.Handle(g.node.Server, "gossip.news", g.fromNews)
 	c, cancel := context.WithCancel(context.Background())
 	g.life, g.cancel = c, cancel
-	g.Quarantine.Tries = g.tries
-	g.Quarantine.OnNews = func(s []quarantine.Suspect) { g.tellNews(news{Suspects: s}) }
+	g.Quarantine.SendsTrials = g.tries
+	g.Quarantine.OnChange = func(s []quarantine.Suspect) { g.tellNews(news{Suspects: s}) }
 	g.watch = &mirror.Mirror{Store: g.Store, Prefix: g.Prefix, Wait: watchWait, Apply: g.apply, Log: g.log, Away: g.session.Away}
 	g.session.OnReturn(g.watch.Restart)
 	g.known.OnRecords(func(r known.Records) { g.pushRecords(c, r) })
@@ -350,7 +350,7 @@
 }
 
 func (g *Gossip) heardWorld(w World) {
-	g.Quarantine.Hear(w.Verdicts, boottime.Now())
+	g.Quarantine.Merge(w.Verdicts, boottime.Now())
 	g.hearLeavers(w.Leavers)
 	g.hearRates(w.Rates.Words)
 	g.hearRollouts(w.Orders, w.Others.Words)
--- a/gossip/member.go
+++ b/gossip/member.go
@@ -123,7 +123,7 @@
 	s.Relay = g.relay.box
 	s.ForItself = boottime.Since(g.began) < selfFor+startPeriod // until the round after its last as such
 	s.Divided = g.Quota.Division().Version
-	s.Suspects = g.Quarantine.Own(boottime.Now())
+	s.Suspects = g.Quarantine.Local(boottime.Now())
 	s.Works = worksOf(g.WorksWith())
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gossip/news.go
+++ b/gossip/news.go
@@ -136,7 +136,7 @@
 
 // fromNews takes what a member or another relay has learnt.
 func (g *Gossip) fromNews(_ context.Context, in news) (bool, error) {
-	suspected := g.Quarantine.Hear(in.Suspects, boottime.Now())
+	suspected := g.Quarantine.Merge(in.Suspects, boottime.Now())
 	fresh := news{Leaving: g.hearLeavers(endpoint.Leavers{Incarnations: in.Leaving}), Rates: g.hearRates(in.Rates)}
 	for _, e := range in.Ended {
 		if g.firstWord(e) {
--- a/gossip/relay.go
+++ b/gossip/relay.go
@@ -77,7 +77,7 @@
 // around for one is counted where it was.
 func (g *Gossip) fromMember(_ context.Context, in Status) (World, error) {
 	now := boottime.Now()
-	g.Quarantine.Hear(in.Suspects, now)
+	g.Quarantine.Merge(in.Suspects, now)
 	g.hearLeavers(in.Leavers)
 	g.hearRates(in.Rates.Words)
 	g.Rollouts.Hear(in.Words, now)
@@ -137,7 +137,7 @@
 func (g *Gossip) hearRelay(in Status) {
 	now := boottime.Now()
 	g.Quota.Hear(in.Limits, now)
-	g.Quarantine.Hear(in.Suspects, now)
+	g.Quarantine.Merge(in.Suspects, now)
 	g.hearLeavers(in.Leavers)
 	g.hearRates(in.Rates.Words)
 	g.hearRollouts(in.Orders, in.Words)
--- a/gossip/status.go
+++ b/gossip/status.go
@@ -38,7 +38,7 @@
 	Load       map[string]balance.Load
 	Works      Works                               // the endpoints whose load a member is told
 	Demand     map[string]map[string]demand.Figure // by service and data centre
-	Usage      []tally.Part
+	Usage      []tally.Report
 	Speeds     map[string]estimate.Stats // by service, what was observed of its endpoints; none means as last told
 	Members    []string                  // addresses of the boxes that a relay counts
 	Suspects   []quarantine.Suspect      // what was lately learnt of contents under which endpoints end
--- a/ledger/page.go
+++ b/ledger/page.go
@@ -1,5 +1,5 @@
-// Package ledger holds the claims on keys of requests that may run at most
-// once: plain pages, each arbitrated by one compare-and-swap.
+// Package ledger encodes the claims on idempotency keys of requests that may run at most once. The
+// claims are spread over pages, and each page is updated by compare-and-swap in the store.
 package ledger
 
 import (
@@ -11,20 +11,21 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Key is the hash of an account and its key for a request.
+// Key identifies a request: the hash of an account and the key that its client chose.
 type Key [16]byte
 
-// NewKey hashes an account and a client's key.
+// NewKey returns the Key of an account and a client's key.
 func NewKey(account, key string) Key {
 	h := sha256.Sum256([]byte(account + "\x00" + key))
 	return Key(h[:16])
 }
 
-// Slot returns the page of k among n.
+// Slot returns the index of the page that holds k, among n pages.
 func (k Key) Slot(n int) int { return int(binary.BigEndian.Uint32(k[:4]) % uint32(n)) }
 
-// Claim says which process alone may run the request of a key. Nonce tells a
-// claimer its own claim after a lost answer.
+// Claim grants one process, the Holder, the exclusive right to run the request with a key. A claimer
+// recognizes its own claim by Nonce if the answer to the write was lost. At is the time of the claim
+// in Unix seconds.
 type Claim struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -34,12 +35,12 @@
 	At     int64
 }
 
-// Page is the claims of one slot.
+// Page holds the claims of one slot.
 type Page struct {
 	Claims map[Key]Claim
 }
 
-// Parse reads a page as it is stored; nothing stored is an empty page.
+// Parse decodes a stored page. Empty input yields an empty page.
 func Parse(b []byte) (*Page, error) {
 	p := &Page{Claims: map[Key]Claim{}}
 	if len(b) == 0 {
@@ -58,7 +59,7 @@
 	return p, nil
 }
 
-// Bytes returns the page as it is stored.
+// Bytes encodes the page for the store.
 func (p *Page) Bytes() ([]byte, error) {
 	cs := make([]Claim, 0, len(p.Claims))
 	for _, c := range p.Claims {
@@ -71,8 +72,8 @@
 	return b, nil
 }
 
-// Add enters a claim unless its key is claimed, and returns the claim that is
-// in force and whether the page changed.
+// Add adds c unless its key is already claimed. It returns the claim in force and whether the page
+// changed.
 func (p *Page) Add(c Claim) (Claim, bool) {
 	if old, taken := p.Claims[Key(c.Key)]; taken {
 		return old, false
@@ -81,7 +82,7 @@
 	return c, true
 }
 
-// Expire drops claims made longer ago than ttl, and returns how many.
+// Expire removes claims older than ttl and returns how many it removed.
 func (p *Page) Expire(now time.Time, ttl time.Duration) int {
 	n := 0
 	for k, c := range p.Claims {
--- a/ledger/page_test.go
+++ b/ledger/page_test.go
@@ -15,14 +15,14 @@
 	p, _ := ledger.Parse(nil)
 	k := ledger.NewKey("nbg-cargo", "draft-17")
 	p.Add(ledger.Claim{Key: k[:], Holder: "first"})
-	in, fresh := p.Add(ledger.Claim{Key: k[:], Holder: "second"})
-	fmt.Println(in.Holder, fresh)
+	inForce, added := p.Add(ledger.Claim{Key: k[:], Holder: "second"})
+	fmt.Println(inForce.Holder, added)
 	// Output: first false
 }
 
-// A claim once made stays the claim of its key until it expires, through any
-// sequence of claims, of writing and reading the page, and of expiry.
-func TestClaimsStand(t *testing.T) {
+// A claim stays in force until it expires, through any sequence of further claims, encoding and
+// decoding of the page, and expiry.
+func TestClaimsPersistUntilExpiry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, err := ledger.Parse(nil)
 		require.NoError(t, err)
@@ -33,13 +33,13 @@
 			case 0, 1:
 				k := ledger.NewKey("a", rapid.StringMatching("[a-d]").Draw(t, "key"))
 				c := ledger.Claim{Key: k[:], Holder: rapid.StringMatching("[x-z]").Draw(t, "holder"), Nonce: rapid.Uint64().Draw(t, "nonce"), At: now.Unix()}
-				in, fresh := p.Add(c)
+				inForce, added := p.Add(c)
 				old, known := made[k]
-				require.Equal(t, !known, fresh)
+				require.Equal(t, !known, added)
 				if known {
-					require.Equal(t, old, in)
+					require.Equal(t, old, inForce)
 				}
-				made[k] = in
+				made[k] = inForce
 			case 2:
 				b, err := p.Bytes()
 				require.NoError(t, err)
--- a/plain/proxy.go
+++ b/plain/proxy.go
@@ -81,7 +81,7 @@
 	decisions *decisions.Log
 	admission *admission.Admission
 	fresh     *observer.Observer
-	suspects  *suspects.Suspects
+	suspects  *suspects.Service
 	reused    *http.Client
 	single    *http.Client
 	live      atomic.Int64
@@ -148,7 +148,7 @@
 			return a, nil
 		}
 		if b == recovery.Cut && c.Err() == nil {
-			p.suspects.Broke(c, h, s.Process(), s.Address)
+			p.suspects.RecordFailure(c, h, s.Process(), s.Address)
 		}
 		if errkind.Is(err, errkind.AnswerTooLarge) {
 			return nil, err
@@ -169,7 +169,7 @@
 // call.
 func (p *Proxy) answered(h content.Hash, a *Response) {
 	if a.Status < http.StatusInternalServerError {
-		p.suspects.Answered(h)
+		p.suspects.RecordAnswer(h)
 	}
 }
 
--- a/quarantine/decide.go
+++ b/quarantine/decide.go
@@ -8,17 +8,18 @@
 	"birchlink.dev/birchlink/content"
 )
 
-// decide finds anew which contents are refused, and logs what has changed.
-func (q *Quarantine) decide(now time.Time) {
+// updateRefused drops expired records, computes the set of refused contents anew and logs the
+// changes.
+func (q *Quarantine) updateRefused(now time.Time) {
 	for h, r := range q.records {
-		if now.Sub(r.last) > forgetAfter && now.Sub(r.answered) > answeredFor {
+		if now.Sub(r.lastCrash) > recordTTL && now.Sub(r.lastAnswer) > answerProtection {
 			delete(q.records, h)
 		}
 	}
-	refused := blamed(q.records)
+	refused := selectRefused(q.records)
 	for h := range refused {
 		if !q.refused[h] {
-			q.Log.Warn().Str("event", "content").Stringer("content", h).Int("ended", len(q.records[h].ends)).Dur("hold", q.records[h].hold()).Msg("refused")
+			q.Log.Warn().Str("event", "content").Stringer("content", h).Int("ended", len(q.records[h].crashes)).Dur("hold", q.records[h].holdTime()).Msg("refused")
 		}
 	}
 	for h := range q.refused {
@@ -29,34 +30,34 @@
 	q.refused = refused
 }
 
-// blamed returns the contents under which enough endpoints ended. The content with the
-// most is taken first, and the endpoints that ended under it count for no other; those
-// that are even are taken together, until more is known.
-func blamed(records map[content.Hash]*record) map[content.Hash]bool {
-	out := map[content.Hash]bool{}
+// selectRefused returns the contents that explain the crashes. It is a greedy set cover: the content
+// with the most unexplained crashes is selected first, and its crashes no longer count for any other
+// content. Contents with equally many are selected together, until further crashes tell them apart.
+func selectRefused(records map[content.Hash]*record) map[content.Hash]bool {
+	refused := map[content.Hash]bool{}
 	explained := map[uint64]bool{}
 	for {
-		top := mostEnds(records, out, explained)
+		top := mostCrashes(records, refused, explained)
 		if len(top) == 0 {
-			prune(records, out)
-			return out
+			prune(records, refused)
+			return refused
 		}
 		for _, h := range top {
-			out[h] = true
-			for e := range records[h].ends {
+			refused[h] = true
+			for e := range records[h].crashes {
 				explained[e] = true
 			}
 		}
 	}
 }
 
-// mostEnds returns the contents, not yet blamed, that have the most ends which are not
-// explained, if these are enough.
-func mostEnds(records map[content.Hash]*record, blamed map[content.Hash]bool, explained map[uint64]bool) []content.Hash {
-	most := enough
+// mostCrashes returns the contents, not yet selected, with the most unexplained crashes. It returns
+// none if that number is below minCrashes.
+func mostCrashes(records map[content.Hash]*record, refused map[content.Hash]bool, explained map[uint64]bool) []content.Hash {
+	most := minCrashes
 	var top []content.Hash
 	for h, r := range records {
-		if blamed[h] || len(r.ends) < most {
+		if refused[h] || len(r.crashes) < most {
 			continue
 		}
 		n := r.unexplained(explained)
@@ -70,26 +71,26 @@
 	return top
 }
 
-// prune takes out the contents all of whose ends the other ones explain. One whose ends are
-// all among its own is no other one: of two with the same ends, both stay.
-func prune(records map[content.Hash]*record, blamed map[content.Hash]bool) {
-	for _, h := range slices.Sorted(maps.Keys(blamed)) {
+// prune removes the contents whose crashes are all explained by others. A content whose crashes are
+// a subset of h's does not explain any for h, so of two contents with the same crashes both stay.
+func prune(records map[content.Hash]*record, refused map[content.Hash]bool) {
+	for _, h := range slices.Sorted(maps.Keys(refused)) {
 		others := map[uint64]bool{}
-		for o := range blamed {
-			if records[o].unexplained(ends(records[h])) == 0 {
+		for o := range refused {
+			if records[o].unexplained(crashSet(records[h])) == 0 {
 				continue
 			}
-			maps.Copy(others, ends(records[o]))
+			maps.Copy(others, crashSet(records[o]))
 		}
 		if records[h].unexplained(others) == 0 {
-			delete(blamed, h)
+			delete(refused, h)
 		}
 	}
 }
 
-func ends(r *record) map[uint64]bool {
+func crashSet(r *record) map[uint64]bool {
 	out := map[uint64]bool{}
-	for e := range r.ends {
+	for e := range r.crashes {
 		out[e] = true
 	}
 	return out
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -16,30 +16,31 @@
 	"birchlink.dev/birchlink/quarantine"
 )
 
-// The times of the model.
+// Parameters of the simulation.
 const (
-	courseTime  = 40 * time.Second
-	modelRound  = 500 * time.Millisecond
-	modelHop    = 12 * time.Millisecond // from news to the next box
-	modelBoot   = 3 * time.Second       // of an endpoint that ended
-	inTouch     = 3 * time.Second       // without a fault, after which a box is bound by the rule
-	allowedMore = 3                     // times that a content is sent after that
-	attempts    = 2                     // of one request
-	unseen      = 40                    // one end in so many is not seen by a connection that is refused
+	runTime          = 40 * time.Second
+	gossipInterval   = 500 * time.Millisecond
+	hopDelay         = 12 * time.Millisecond // delivery of a notification to another box
+	bootDelay        = 3 * time.Second       // replacement of a crashed endpoint
+	settleTime       = 3 * time.Second       // fault-free time after which sends by a box count as late
+	maxLateSends     = 3                     // late sends of one content
+	maxAttempts      = 2                     // of one request
+	missedCrashOneIn = 40                    // 1 in 40 crashes is not detected by a refused connection
 )
 
-// event is something that happens at a time.
+// event is a scheduled callback. Events at the same time run in the order of serial.
 type event struct {
-	at time.Duration
-	n  int
-	do func()
+	at     time.Duration
+	serial int
+	do     func()
 }
 
+// events is a heap of events.
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].n < e[j].n
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].serial < e[j].serial
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -50,125 +51,127 @@
 	return x
 }
 
-// node is one box of the model. The first ones are relays.
+// node is a box of the simulation. The first nodes are relays.
 type node struct {
 	*quarantine.Quarantine
-	index    int
-	side     int // of a cut
-	down     bool
-	frozen   bool
-	troubled time.Duration // when its last fault ended
+	index     int
+	partition int // side of the network partition
+	down      bool
+	frozen    bool
+	lastFault time.Duration // end of the last fault that affected the box
 }
 
-// server is an endpoint: what runs there, by the box that sent it.
+// server is an endpoint with the requests that it runs.
 type server struct {
 	id      string
 	up      bool
-	running map[*run]bool
+	running map[*request]bool
 }
 
-// run is an attempt under way.
-type run struct {
-	box     *node
-	life    *quarantine.Quarantine
-	content content.Hash
-	tries   int
-	serial  int
+// request is a request at the box that received it, valid while that box runs the same process.
+type request struct {
+	box          *node
+	process      *quarantine.Quarantine
+	content      content.Hash
+	attemptsLeft int
+	serial       int
 }
 
-// model is a fleet on a fake clock.
+// model simulates a fleet on a virtual clock.
 type model struct {
-	rnd      *rand.Rand
-	now      time.Duration
-	queue    events
-	serial   int
-	nodes    []*node
-	relays   int
-	servers  []*server
-	cut      bool
-	away     bool // the store
-	stored   []quarantine.Suspect
-	storedAt time.Duration
-
-	ends    map[content.Hash]int           // endpoints ended under each content that ends them
-	third   map[content.Hash]time.Duration // when the third did
-	more    map[content.Hash]int           // sends after that which count
-	refused int                            // other requests
-	sent    int
+	rnd         *rand.Rand
+	now         time.Duration
+	queue       events
+	serial      int
+	nodes       []*node
+	relays      int
+	servers     []*server
+	partitioned bool
+	storeDown   bool
+	stored      []quarantine.Suspect
+	storedAt    time.Duration
+
+	crashes    map[content.Hash]int           // crashes caused by each crashing content
+	thirdCrash map[content.Hash]time.Duration // time of the third of these
+	lateSends  map[content.Hash]int           // sends by settled boxes more than settleTime after that
+	refused    int                            // refused requests with other contents
+	sent       int                            // attempts of requests with other contents
 }
 
 var epoch = time.Unix(1_000_000, 0)
 
 func (m *model) clock() time.Time { return epoch.Add(m.now) }
 
-func (m *model) after(d time.Duration, do func()) {
+func (m *model) schedule(d time.Duration, do func()) {
 	m.serial++
 	heap.Push(&m.queue, event{m.now + d, m.serial, do})
 }
 
-func (m *model) between(a, b time.Duration) time.Duration {
+func (m *model) randomDuration(a, b time.Duration) time.Duration {
 	return a + time.Duration(m.rnd.Int64N(int64(b-a)+1))
 }
 
-// reach reports whether two boxes can talk.
-func (m *model) reach(a, b *node) bool {
-	return !a.down && !b.down && !a.frozen && !b.frozen && (!m.cut || a.side == b.side)
+// connected reports whether two boxes can communicate.
+func (m *model) connected(a, b *node) bool {
+	return !a.down && !b.down && !a.frozen && !b.frozen && (!m.partitioned || a.partition == b.partition)
 }
 
-// relayOf returns the relay that a box tells: the first of those it reaches, from its own.
+// relayOf returns the relay to which a box reports: the first reachable one, starting from an index
+// that depends on the box.
 func (m *model) relayOf(n *node) *node {
 	for i := range m.relays {
-		if r := m.nodes[(n.index+i)%m.relays]; r != n && m.reach(n, r) {
+		if r := m.nodes[(n.index+i)%m.relays]; r != n && m.connected(n, r) {
 			return r
 		}
 	}
 	return nil
 }
 
-// tries reports whether a box is the first relay for a content, as far as it can tell.
-func (m *model) tries(n *node, h content.Hash) bool {
+// sendsTrials reports whether a box is the first reachable relay for a content.
+func (m *model) sendsTrials(n *node, h content.Hash) bool {
 	for i := range m.relays {
-		if r := m.nodes[(int(h)+i)%m.relays]; r == n || m.reach(n, r) {
+		if r := m.nodes[(int(h)+i)%m.relays]; r == n || m.connected(n, r) {
 			return r == n
 		}
 	}
 	return true
 }
 
-// begin starts the process of a box, which reads what the store has.
-func (m *model) begin(n *node) {
+// startProcess starts the process of a box, which reads the stored suspects if the store is up.
+func (m *model) startProcess(n *node) {
 	q := &quarantine.Quarantine{Log: zerolog.Nop()}
-	q.OnNews = func(s []quarantine.Suspect) { m.tell(n, s) }
-	q.Tries = func(h content.Hash) bool { return m.tries(n, h) }
+	q.OnChange = func(s []quarantine.Suspect) { m.broadcast(n, s) }
+	q.SendsTrials = func(h content.Hash) bool { return m.sendsTrials(n, h) }
 	n.Quarantine, n.down = q, false
-	if !m.away {
+	if !m.storeDown {
 		for i := range m.stored {
 			for j := range m.stored[i].Ends {
 				m.stored[i].Ends[j].Age += m.now - m.storedAt
 			}
 		}
 		m.storedAt = m.now
-		q.Hear(m.stored, m.clock())
+		q.Merge(m.stored, m.clock())
 	}
 }
 
-// tell passes news on at once: a member to its relay, relays to all others.
-func (m *model) tell(n *node, s []quarantine.Suspect) {
+// broadcast passes on changed records at once: from a member to its relay, and from a relay to the
+// other relays and its members.
+func (m *model) broadcast(n *node, s []quarantine.Suspect) {
 	if n.index >= m.relays {
 		if r := m.relayOf(n); r != nil {
-			m.deliver(n, r, s, func() { m.tell(r, s) })
+			m.deliver(n, r, s, func() { m.broadcast(r, s) })
 		}
 		return
 	}
 	for _, r := range m.nodes[:m.relays] {
 		if r != n {
-			m.deliver(n, r, s, func() { m.tellMembers(r) })
+			m.deliver(n, r, s, func() { m.notifyMembers(r) })
 		}
 	}
-	m.tellMembers(n)
+	m.notifyMembers(n)
 }
 
-func (m *model) tellMembers(r *node) {
+func (m *model) notifyMembers(r *node) {
 	refused := r.Verdicts(m.clock())
 	for _, n := range m.nodes[m.relays:] {
 		if m.relayOf(n) == r {
@@ -177,20 +180,20 @@
 	}
 }
 
-// deliver lets a box hear another after a hop; then goes on if that was news.
+// deliver delivers suspects after hopDelay and calls then if they changed anything.
 func (m *model) deliver(from, to *node, s []quarantine.Suspect, then func()) {
 	if len(s) == 0 {
 		return
 	}
-	m.after(modelHop, func() {
-		if m.reach(from, to) && to.Hear(s, m.clock()) {
+	m.schedule(hopDelay, func() {
+		if m.connected(from, to) && to.Merge(s, m.clock()) {
 			then()
 		}
 	})
 }
 
-// round is what gossip does each half second.
-func (m *model) round() {
+// gossip runs one periodic gossip round.
+func (m *model) gossip() {
 	for _, n := range m.nodes {
 		r := m.relayOf(n)
 		if n.down || n.frozen || r == nil {
@@ -198,23 +201,24 @@
 		}
 		if n.index < m.relays {
 			for _, o := range m.nodes[:m.relays] {
-				if o != n && m.reach(n, o) {
-					o.Hear(append(n.Recent(m.clock()), n.Refused(m.clock())...), m.clock())
+				if o != n && m.connected(n, o) {
+					o.Merge(append(n.Recent(m.clock()), n.Refused(m.clock())...), m.clock())
 				}
 			}
 			continue
 		}
-		r.Hear(n.Own(m.clock()), m.clock())
-		n.Hear(r.Verdicts(m.clock()), m.clock())
+		r.Merge(n.Local(m.clock()), m.clock())
+		n.Merge(r.Verdicts(m.clock()), m.clock())
 	}
-	m.save()
-	m.after(modelRound, m.round)
+	m.writeStore()
+	m.schedule(gossipInterval, m.gossip)
 }
 
-// save is what the relay with the first place writes.
-func (m *model) save() {
+// writeStore lets the first working relay write the refused contents to the store, which is reachable
+// only from partition 0.
+func (m *model) writeStore() {
 	for _, r := range m.nodes[:m.relays] {
-		if r.down || r.frozen || m.away || m.cut && r.side != 0 {
+		if r.down || r.frozen || m.storeDown || m.partitioned && r.partition != 0 {
 			continue
 		}
 		if s := r.Refused(m.clock()); quarantine.Sum(s) != quarantine.Sum(m.stored) {
@@ -224,21 +228,21 @@
 	}
 }
 
-// request is one that comes to a box. ends says that its content ends endpoints.
-func (m *model) request(h content.Hash, ends bool) {
+// submit sends a request to a random box. If crashing is true, its content crashes endpoints.
+func (m *model) submit(h content.Hash, crashing bool) {
 	n := m.nodes[m.rnd.IntN(len(m.nodes))]
 	if n.down || n.frozen {
 		return
 	}
-	m.send(&run{box: n, life: n.Quarantine, content: h, tries: attempts}, ends)
+	m.send(&request{box: n, process: n.Quarantine, content: h, attemptsLeft: maxAttempts}, crashing)
 }
 
-func (m *model) send(r *run, ends bool) {
-	if r.tries == 0 || r.box.down || r.box.Quarantine != r.life {
+func (m *model) send(r *request, crashing bool) {
+	if r.attemptsLeft == 0 || r.box.down || r.box.Quarantine != r.process {
 		return
 	}
 	if _, refused := r.box.Refuses(r.content, m.clock()); refused {
-		if !ends {
+		if !crashing {
 			m.refused++
 		}
 		return
@@ -247,114 +251,115 @@
 	if !s.up {
 		return
 	}
-	r.tries--
-	r.life.Sent(r.content, m.clock())
+	r.attemptsLeft--
+	r.process.RecordSend(r.content, m.clock())
 	m.serial++
 	r.serial = m.serial
 	s.running[r] = true
-	if !ends {
+	if !crashing {
 		m.sent++
-		m.after(m.between(100*time.Millisecond, 4*time.Second), func() { m.finish(s, r) })
+		m.schedule(m.randomDuration(100*time.Millisecond, 4*time.Second), func() { m.finish(s, r) })
 		return
 	}
-	at, known := m.third[r.content]
-	if known && m.now > at+inTouch && m.now > r.box.troubled+inTouch && (!m.cut || r.box.side == 0) {
-		m.more[r.content]++
+	at, known := m.thirdCrash[r.content]
+	if known && m.now > at+settleTime && m.now > r.box.lastFault+settleTime && (!m.partitioned || r.box.partition == 0) {
+		m.lateSends[r.content]++
 	}
-	m.after(m.between(30*time.Millisecond, 250*time.Millisecond), func() {
+	m.schedule(m.randomDuration(30*time.Millisecond, 250*time.Millisecond), func() {
 		if !s.running[r] {
 			return
 		}
-		m.ends[r.content]++
-		if m.ends[r.content] == 3 {
-			m.third[r.content] = m.now
+		m.crashes[r.content]++
+		if m.crashes[r.content] == 3 {
+			m.thirdCrash[r.content] = m.now
 		}
-		m.crash(s)
+		m.crashServer(s)
 	})
 }
 
-func (m *model) finish(s *server, r *run) {
+func (m *model) finish(s *server, r *request) {
 	if s.running[r] {
 		delete(s.running, r)
-		if r.box.Quarantine == r.life {
-			r.life.Answered(r.content, m.clock())
+		if r.box.Quarantine == r.process {
+			r.process.RecordAnswer(r.content, m.clock())
 		}
 	}
 }
 
-// crash ends an endpoint under all that it runs; another comes in its place.
-func (m *model) crash(s *server) {
-	running := slices.SortedFunc(maps.Keys(s.running), func(a, b *run) int { return a.serial - b.serial })
+// crashServer crashes an endpoint with all requests that it runs. A replacement starts after
+// bootDelay.
+func (m *model) crashServer(s *server) {
+	running := slices.SortedFunc(maps.Keys(s.running), func(a, b *request) int { return a.serial - b.serial })
 	id := s.id
-	s.up, s.running = false, map[*run]bool{}
+	s.up, s.running = false, map[*request]bool{}
 	at := m.clock()
 	for _, r := range running {
-		if r.box.Quarantine == r.life && !r.box.down {
-			r.life.Broke(r.content, id, at)
+		if r.box.Quarantine == r.process && !r.box.down {
+			r.process.RecordFailure(r.content, id, at)
 		}
 	}
-	seen := time.Millisecond
-	if m.rnd.IntN(unseen) == 0 {
-		seen = 4 * time.Second // by its record alone
+	detection := time.Millisecond
+	if m.rnd.IntN(missedCrashOneIn) == 0 {
+		detection = 4 * time.Second // only by the expiry of its record
 	}
-	m.after(seen, func() {
+	m.schedule(detection, func() {
 		for _, n := range m.nodes {
 			if !n.down && !n.frozen {
-				n.Ended(id, "model", m.clock())
+				n.RecordCrash(id, "model", m.clock())
 			}
 		}
 	})
 	for _, r := range running {
-		m.after(2*time.Millisecond, func() { m.send(r, m.endsServers(r.content)) })
+		m.schedule(2*time.Millisecond, func() { m.send(r, m.crashesServers(r.content)) })
 	}
-	m.after(modelBoot, func() {
+	m.schedule(bootDelay, func() {
 		m.serial++
 		s.id, s.up = fmt.Sprint("e", m.serial), true
 	})
 }
 
-// contents from first on end endpoints.
-const first content.Hash = 1 << 60
+// Contents from firstCrashing on crash endpoints.
+const firstCrashing content.Hash = 1 << 60
 
-func (m *model) endsServers(h content.Hash) bool { return h >= first }
+func (m *model) crashesServers(h content.Hash) bool { return h >= firstCrashing }
 
-// fault draws one fault, and the next.
-func (m *model) fault() {
+// injectFaults injects a random fault and schedules the next.
+func (m *model) injectFaults() {
 	n := m.nodes[m.rnd.IntN(len(m.nodes))]
-	d := m.between(500*time.Millisecond, 6*time.Second)
+	d := m.randomDuration(500*time.Millisecond, 6*time.Second)
 	switch m.rnd.IntN(6) {
 	case 0:
-		m.kill(n, m.between(200*time.Millisecond, 2*time.Second))
+		m.kill(n, m.randomDuration(200*time.Millisecond, 2*time.Second))
 	case 1:
 		if !n.frozen {
 			n.frozen = true
-			m.after(d, func() { n.frozen, n.troubled = false, m.now })
+			m.schedule(d, func() { n.frozen, n.lastFault = false, m.now })
 		}
 	case 2:
-		if !m.cut {
-			m.cut = true
-			m.after(d, func() {
-				m.cut = false
+		if !m.partitioned {
+			m.partitioned = true
+			m.schedule(d, func() {
+				m.partitioned = false
 				for _, n := range m.nodes {
-					n.troubled = m.now
+					n.lastFault = m.now
 				}
 			})
 		}
 	case 3:
-		if !m.away {
-			m.away = true
-			m.after(d, func() { m.away = false })
+		if !m.storeDown {
+			m.storeDown = true
+			m.schedule(d, func() { m.storeDown = false })
 		}
 	case 4:
-		m.crash(m.servers[m.rnd.IntN(len(m.servers))])
+		m.crashServer(m.servers[m.rnd.IntN(len(m.servers))])
 	case 5:
-		if m.rnd.IntN(3) == 0 && !m.away {
+		if m.rnd.IntN(3) == 0 && !m.storeDown {
 			for _, n := range m.nodes {
 				m.kill(n, 300*time.Millisecond)
 			}
 		}
 	}
-	m.after(m.between(500*time.Millisecond, 8*time.Second), m.fault)
+	m.schedule(m.randomDuration(500*time.Millisecond, 8*time.Second), m.injectFaults)
 }
 
 func (m *model) kill(n *node, d time.Duration) {
@@ -362,83 +367,87 @@
 		return
 	}
 	n.down = true
-	m.after(d, func() {
-		m.begin(n)
-		n.troubled = m.now
+	m.schedule(d, func() {
+		m.startProcess(n)
+		n.lastFault = m.now
 	})
 }
 
-// load draws the requests: distinct ones, one that many ask for, and some that end
-// endpoints, each for a while.
-func (m *model) load(perSecond int, i content.Hash) {
-	m.request(i, false)
+// generateLoad submits a request with a distinct content, sometimes one with a content that many
+// requests share, and schedules the next.
+func (m *model) generateLoad(perSecond int, i content.Hash) {
+	m.submit(i, false)
 	if m.rnd.IntN(4) == 0 {
-		m.request(1, false)
+		m.submit(1, false)
 	}
-	m.after(m.between(0, 2*time.Second/time.Duration(perSecond)), func() { m.load(perSecond, i+1) })
+	m.schedule(m.randomDuration(0, 2*time.Second/time.Duration(perSecond)), func() { m.generateLoad(perSecond, i+1) })
 }
 
-func (m *model) ending(h content.Hash, until time.Duration) {
-	m.request(h, true)
+// submitCrashing submits requests with a crashing content until a time.
+func (m *model) submitCrashing(h content.Hash, until time.Duration) {
+	m.submit(h, true)
 	if m.rnd.IntN(6) == 0 {
-		m.request(h, true)
+		m.submit(h, true)
 	}
 	if m.now < until {
-		m.after(m.between(0, time.Second), func() { m.ending(h, until) })
+		m.schedule(m.randomDuration(0, time.Second), func() { m.submitCrashing(h, until) })
 	}
 }
 
-// play plays one course.
-func (m *model) play(seed uint64) {
+// run simulates one fleet.
+func (m *model) run(seed uint64) {
 	m.rnd = rand.New(rand.NewPCG(seed, 1))
-	m.ends, m.more, m.third = map[content.Hash]int{}, map[content.Hash]int{}, map[content.Hash]time.Duration{}
+	m.crashes, m.lateSends, m.thirdCrash = map[content.Hash]int{}, map[content.Hash]int{}, map[content.Hash]time.Duration{}
 	boxes := []int{3, 6, 8, 30, 100}[m.rnd.IntN(5)]
 	m.relays = min(6, boxes-1)
 	for i := range boxes {
-		n := &node{index: i, side: i % 3 / 2}
+		n := &node{index: i, partition: i % 3 / 2}
 		m.nodes = append(m.nodes, n)
-		m.begin(n)
+		m.startProcess(n)
 	}
 	for range max(boxes, 9) {
 		m.serial++
-		m.servers = append(m.servers, &server{id: fmt.Sprint("e", m.serial), up: true, running: map[*run]bool{}})
+		m.servers = append(m.servers, &server{id: fmt.Sprint("e", m.serial), up: true, running: map[*request]bool{}})
 	}
-	m.after(0, m.round)
-	m.after(0, func() { m.load(10+boxes, 2) })
-	m.after(0, m.fault)
+	m.schedule(0, m.gossip)
+	m.schedule(0, func() { m.generateLoad(10+boxes, 2) })
+	m.schedule(0, m.injectFaults)
 	for i := range 1 + m.rnd.IntN(2) {
-		at := m.between(time.Second, 10*time.Second)
-		m.after(at, func() { m.ending(first+content.Hash(i), at+m.between(5*time.Second, 25*time.Second)) })
+		at := m.randomDuration(time.Second, 10*time.Second)
+		m.schedule(at, func() {
+			m.submitCrashing(firstCrashing+content.Hash(i), at+m.randomDuration(5*time.Second, 25*time.Second))
+		})
 	}
-	for m.now < courseTime {
+	for m.now < runTime {
 		e := heap.Pop(&m.queue).(event)
 		m.now = e.at
 		e.do()
 	}
 }
 
-// Over fleets of 3 to 100 boxes, while boxes die, freeze, are cut off and all begin anew,
-// the store goes away, and endpoints end for other reasons too: a content under which three
-// endpoints ended is sent on three times more at most, and hardly another is refused.
-func TestAnyFleet(t *testing.T) {
+// In simulated fleets of 3 to 100 boxes, boxes crash and freeze, the network is partitioned, all
+// boxes restart at once, the store is down, and endpoints crash for other reasons too. After a
+// content has crashed three endpoints, boxes without a recent fault send it at most three more
+// times, and almost no other content is refused.
+func TestSimulatedFleets(t *testing.T) {
 	refused, sent := 0, 0
-	for seed := range uint64(courses) {
+	for seed := range uint64(simulatedRuns) {
 		m := &model{}
-		m.play(seed)
-		for h, n := range m.more {
-			require.LessOrEqual(t, n, allowedMore, "seed %d: content %x, %d endpoints ended", seed, uint64(h), m.ends[h])
+		m.run(seed)
+		for h, n := range m.lateSends {
+			require.LessOrEqual(t, n, maxLateSends, "seed %d: content %x, %d endpoints ended", seed, uint64(h), m.crashes[h])
 		}
-		require.LessOrEqual(t, m.refused*wronged, m.sent, "seed %d: %d of %d other requests refused", seed, m.refused, m.sent)
+		require.LessOrEqual(t, m.refused*minSentPerRefused, m.sent, "seed %d: %d of %d other requests refused", seed, m.refused, m.sent)
 		refused += m.refused
 		sent += m.sent
 	}
-	require.LessOrEqual(t, refused*wrongedInAll, sent, "%d of %d other requests refused", refused, sent)
+	require.LessOrEqual(t, refused*minSentPerRefusedInAll, sent, "%d of %d other requests refused", refused, sent)
 }
 
-// courses is how many are played. Of the requests that end nothing one in wronged may be
-// refused in a course, and one in wrongedInAll in all courses together.
+// The number of simulated runs, and the least number of attempts of harmless requests per refused
+// one, in a single run and in all runs together.
 const (
-	courses      = 60
-	wronged      = 50
-	wrongedInAll = 10_000
+	simulatedRuns          = 60
+	minSentPerRefused      = 50
+	minSentPerRefusedInAll = 10_000
 )
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,15 +1,14 @@
-// Package quarantine finds the requests under which endpoints end, and says which are to
-// be sent to none any more. Without it one request that comes again and again ends every
-// endpoint of its service: 39 in 16 s, of a fleet of 12, while 46 in 100 requests of all
-// callers were not answered (counted in the log of that time).
+// Package quarantine detects requests that crash endpoints and refuses them. Without it, one such
+// request that is retried crashes every endpoint of its service: 39 crashes in 16 s in a fleet of 12,
+// while 46% of the requests of all callers went unanswered.
 //
-// A request is told by its content, since it comes again under another ID. Many contents
-// are under way at an endpoint that ends; the one that ended it is the one that is under
-// way at the next ends too. So a box notes them all, boxes tell each other, and a content
-// is refused once several endpoints have ended under it that no other refused content
-// explains. What an endpoint has answered since is none of them.
+// A request is identified by the hash of its content, since a retry comes with another ID. Many
+// contents are in flight at an endpoint that crashes, but only the one that caused the crash is in
+// flight at the next crashes too. Each box therefore records all of them and shares its records with
+// other boxes. A content is refused once several endpoints crashed under it and no other refused
+// content explains these crashes. A content that an endpoint answered since is cleared.
 //
-// The package does no I/O, and times are arguments.
+// The package does no I/O and reads no clock: callers pass the time.
 package quarantine
 
 import (
@@ -25,168 +24,174 @@
 )
 
 const (
-	// enough endpoints that ended under one content mean that it ended them. On a day
-	// on which endpoints ended for other reasons, 172 contents were at one that ended, 3
-	// at two and none at more; beside two contents that ended 57, 64 others were at two
-	// and 21 at three or more, most of which those two explain.
-	enough = 3
-
-	// After the last end a content is refused for holds[0]; then one box of all sends one
-	// request on, as a trial. If an endpoint ends under it too, longer than apart after the
-	// end before, the next hold follows, up to the last. After that any box may try. So a
-	// content that was blamed wrongly is back in some seconds, and one that ends endpoints
-	// ends one more, and one a minute later.
-	apart = 4 * time.Second
-
-	// trialFor is how long a trial may take before there is another, where nothing comes of
-	// it.
-	trialFor = 10 * time.Second
-
-	// elsewhere is when a caller is told to come back whose request another box may try.
-	elsewhere = time.Second
-
-	// forgetAfter is how long a content is known after the last end: the time in which a
-	// request that comes again once in a quarter of an hour is still refused.
-	forgetAfter = time.Hour
-
-	// answeredFor is how long a content that was answered is not blamed for an end. Many
-	// requests may ask for the same, such as a status: some of them are under way
-	// whenever an endpoint ends.
-	answeredFor = time.Minute
-
-	// confirmFor is how long after a break its endpoint may be found to have ended. The
-	// record of one that does not leave as announced goes after three heartbeats.
-	confirmFor = 6 * time.Second
-
-	// tellFor is for how long a box tells what it has seen. A box finds another relay
-	// within four seconds.
-	tellFor = 10 * time.Second
-
-	// The bounds on what is kept, in numbers: contents that are suspected, endpoints that
-	// ended under one, breaks that wait to be confirmed, and contents that were answered.
-	maxContents = 2048
-	maxEnds     = 32
-	maxBreaks   = 1024
-	maxAnswered = 2048
-
-	// maxTold bounds the contents in one message: 3.6 KB while each has one end.
-	maxTold = 64
+	// minCrashes is the number of endpoints that must crash under a content before it is refused.
+	// When endpoints crashed for other reasons, 172 contents were in flight at one crash, 3 at two
+	// and none at more. Beside two contents that crashed 57 endpoints, 64 others were in flight at
+	// two crashes and 21 at three or more, most of which the two explain.
+	minCrashes = 3
+
+	// trialGap separates the crash of a trial from the crashes before it. A content is refused for
+	// holdTimes[0] after its last crash; then a single box forwards one request as a trial. If that
+	// crashes an endpoint more than trialGap after the previous crash, the next hold time applies,
+	// up to the last one, after which any box may send a trial. A content refused wrongly is thus
+	// allowed again within seconds, and one that crashes endpoints crashes one more then and one a
+	// minute later.
+	trialGap = 4 * time.Second
+
+	// trialTimeout is the time after which a trial without a result is followed by another.
+	trialTimeout = 10 * time.Second
+
+	// otherBoxRetryAfter is the retry time of a request that only another box may send as a trial.
+	otherBoxRetryAfter = time.Second
+
+	// recordTTL is how long a record is kept after the last crash. A request that is retried every
+	// 15 minutes is still refused.
+	recordTTL = time.Hour
+
+	// answerProtection is how long after an answer a content is not suspected of a crash. Many
+	// requests may have the same content, such as a status query, so that some are in flight
+	// whenever an endpoint crashes.
+	answerProtection = time.Minute
+
+	// confirmWindow is the time after a failed attempt within which its endpoint must be found to
+	// have crashed. The record of an endpoint that does not deregister expires after three
+	// heartbeats.
+	confirmWindow = 6 * time.Second
+
+	// recentWindow is how long a box reports what it saw. It covers the four seconds within which
+	// a box finds another relay.
+	recentWindow = 10 * time.Second
+
+	// Bounds on the number of suspected contents, of crashes per content, of failed attempts that
+	// await confirmation, and of answered contents.
+	maxContents       = 2048
+	maxCrashes        = 32
+	maxFailedAttempts = 1024
+	maxAnswered       = 2048
+
+	// maxSuspects bounds the contents in one message: 3.6 KB if each has one crash.
+	maxSuspects = 64
 )
 
-var holds = [...]time.Duration{5 * time.Second, time.Minute, 10 * time.Minute}
+// holdTimes are the hold times after no, one, and two or more failed trials.
+var holdTimes = [...]time.Duration{5 * time.Second, time.Minute, 10 * time.Minute}
 
-// Quarantine is what one box knows of contents under which endpoints end. Its zero value
-// is ready.
+// Quarantine holds what one box knows about contents that may crash endpoints. The zero value is
+// ready to use.
 type Quarantine struct {
 	Log zerolog.Logger
 
-	// OnNews, if set, is called with what this box has just learnt itself, so that others
-	// are told at once.
-	OnNews func([]Suspect)
+	// OnChange, if set, is called with records that changed by an observation of this box, so that
+	// other boxes can be notified at once. It is called without locks held.
+	OnChange func([]Suspect)
 
-	// Tries reports whether this box is the one that sends a refused content on as a trial;
-	// without it any box does.
-	Tries func(content.Hash) bool
+	// SendsTrials reports whether this box is the one that sends a refused content as a trial. If
+	// it is nil, any box does.
+	SendsTrials func(content.Hash) bool
 
 	mu       sync.Mutex
 	records  map[content.Hash]*record
 	refused  map[content.Hash]bool
-	breaks   []attempt
+	failed   []failedAttempt
 	answered *simplelru.LRU[content.Hash, time.Time]
 }
 
-// attempt is an attempt that broke.
-type attempt struct {
+// failedAttempt is an attempt whose connection broke while the endpoint ran a content.
+type failedAttempt struct {
 	content  content.Hash
 	endpoint string
 	at       time.Time
 }
 
-// Broke notes that an attempt broke off at an endpoint that did not say that it leaves.
-// It counts against the content if the endpoint is found to have ended.
-func (q *Quarantine) Broke(h content.Hash, endpoint string, now time.Time) {
+// RecordFailure records that an attempt broke at an endpoint that did not announce that it leaves.
+// The failure counts against the content once the endpoint is found to have crashed.
+func (q *Quarantine) RecordFailure(h content.Hash, endpoint string, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if _, ok := q.answeredAt(h, now); ok {
 		return
 	}
-	if len(q.breaks) >= maxBreaks {
-		q.breaks = slices.Delete(q.breaks, 0, len(q.breaks)-maxBreaks+1)
+	if len(q.failed) >= maxFailedAttempts {
+		q.failed = slices.Delete(q.failed, 0, len(q.failed)-maxFailedAttempts+1)
 	}
-	q.breaks = append(q.breaks, attempt{h, endpoint, now})
+	q.failed = append(q.failed, failedAttempt{h, endpoint, now})
 }
 
-// Ended notes that an endpoint has ended, and how that was seen.
-func (q *Quarantine) Ended(endpoint, how string, now time.Time) {
+// RecordCrash records that an endpoint has crashed. The text in how says how that was detected, for
+// the log.
+func (q *Quarantine) RecordCrash(endpoint, how string, now time.Time) {
 	q.mu.Lock()
-	news := q.confirm(endpoint, how, now)
+	changed := q.confirm(endpoint, how, now)
 	q.mu.Unlock()
-	if len(news) > 0 && q.OnNews != nil {
-		q.OnNews(news)
+	if len(changed) > 0 && q.OnChange != nil {
+		q.OnChange(changed)
 	}
 }
 
-// confirm counts the breaks at an endpoint that has ended against their contents.
+// confirm counts the failed attempts at a crashed endpoint against their contents. It returns the
+// records that changed.
 func (q *Quarantine) confirm(endpoint, how string, now time.Time) []Suspect {
-	var news []Suspect
-	var rest []attempt
-	for _, b := range q.breaks {
+	var changed []Suspect
+	var remaining []failedAttempt
+	for _, b := range q.failed {
 		switch {
-		case now.Sub(b.at) > confirmFor:
+		case now.Sub(b.at) > confirmWindow:
 		case b.endpoint != endpoint:
-			rest = append(rest, b)
+			remaining = append(remaining, b)
 		default:
 			r := q.record(b.content)
-			r.own = now
-			if r.add(hashOf(endpoint), now) {
-				news = append(news, r.suspect(b.content, now))
+			r.lastLocal = now
+			if r.addCrash(hashEndpoint(endpoint), now) {
+				changed = append(changed, r.suspect(b.content, now))
 			}
 		}
 	}
-	q.breaks = rest
-	if len(news) > 0 {
-		q.Log.Warn().Str("event", "endpoint ended").Str("endpoint", endpoint).Str("seen", how).Int("contents", len(news)).Msg("without a word")
-		q.decide(now)
+	q.failed = remaining
+	if len(changed) > 0 {
+		q.Log.Warn().Str("event", "endpoint ended").Str("endpoint", endpoint).Str("seen", how).Int("contents", len(changed)).Msg("endpoint crashed without announcing that it leaves")
+		q.updateRefused(now)
 	}
-	return news
+	return changed
 }
 
-// Answered notes that an endpoint has answered a content to its end.
-func (q *Quarantine) Answered(h content.Hash, now time.Time) {
+// RecordAnswer records that an endpoint has answered a content completely.
+func (q *Quarantine) RecordAnswer(h content.Hash, now time.Time) {
 	q.mu.Lock()
 	if q.answered == nil {
-		q.answered, _ = simplelru.NewLRU[content.Hash, time.Time](maxAnswered, nil) // the size is above zero
+		q.answered, _ = simplelru.NewLRU[content.Hash, time.Time](maxAnswered, nil) // fails only for a size of zero or less
 	}
 	q.answered.Add(h, now)
-	news := q.clear(h, now, now)
+	changed := q.clear(h, now, now)
 	q.mu.Unlock()
-	if len(news) > 0 && q.OnNews != nil {
-		q.OnNews(news)
+	if len(changed) > 0 && q.OnChange != nil {
+		q.OnChange(changed)
 	}
 }
 
-// clear drops a content that was answered at a time from those that are suspected, and
-// returns what others are to be told.
+// clear records that a suspected content was answered at a time. It returns the change to send to
+// other boxes, if any.
 func (q *Quarantine) clear(h content.Hash, at, now time.Time) []Suspect {
 	r := q.records[h]
-	if r == nil || len(r.ends) == 0 || !r.answer(at) {
-		return nil // nobody suspects it
+	if r == nil || len(r.crashes) == 0 || !r.addAnswer(at) {
+		return nil // not suspected, or known to be answered
 	}
-	r.own = now
-	q.decide(now)
+	r.lastLocal = now
+	q.updateRefused(now)
 	return []Suspect{r.suspect(h, now)}
 }
 
-// answeredAt returns when a content was last answered to this box, if that was lately.
+// answeredAt returns when a content was last answered to this box, and whether that was within
+// answerProtection.
 func (q *Quarantine) answeredAt(h content.Hash, now time.Time) (time.Time, bool) {
 	if q.answered == nil {
 		return time.Time{}, false
 	}
 	at, ok := q.answered.Get(h)
-	return at, ok && now.Sub(at) < answeredFor
+	return at, ok && now.Sub(at) < answerProtection
 }
 
-// Refuses reports whether a content is to be sent to no endpoint, and when to come back.
+// Refuses reports whether a content must not be sent to any endpoint now, and the time after which
+// the caller may retry.
 func (q *Quarantine) Refuses(h content.Hash, now time.Time) (time.Duration, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -194,107 +199,110 @@
 		return 0, false
 	}
 	r := q.records[h]
-	since := now.Sub(r.last)
-	switch longest := holds[len(holds)-1]; {
-	case since < r.hold():
-		return r.hold() - since, true
-	case now.Sub(r.tried) < trialFor:
-		return trialFor - now.Sub(r.tried), true
-	case since < longest && q.Tries != nil && !q.Tries(h):
-		return elsewhere, true
+	sinceCrash := now.Sub(r.lastCrash)
+	switch longest := holdTimes[len(holdTimes)-1]; {
+	case sinceCrash < r.holdTime():
+		return r.holdTime() - sinceCrash, true
+	case now.Sub(r.lastTrial) < trialTimeout:
+		return trialTimeout - now.Sub(r.lastTrial), true
+	case sinceCrash < longest && q.SendsTrials != nil && !q.SendsTrials(h):
+		return otherBoxRetryAfter, true
 	default:
 		return 0, false
 	}
 }
 
-// Sent notes that a content is sent to an endpoint: of one that is refused, as a trial.
-func (q *Quarantine) Sent(h content.Hash, now time.Time) {
+// RecordSend records that a content is sent to an endpoint. For a refused content that is a trial.
+func (q *Quarantine) RecordSend(h content.Hash, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.refused[h] {
-		q.records[h].tried = now
+		q.records[h].lastTrial = now
 		q.Log.Warn().Str("event", "content").Stringer("content", h).Msg("sent as a trial")
 	}
 }
 
-// Hear takes what another box tells, or what stood in the store. It reports whether any
-// of it was news. Where this box knows better, since it has had an answer, it says so.
-func (q *Quarantine) Hear(told []Suspect, now time.Time) bool {
+// Merge takes in suspects from another box or from the store. It reports whether anything changed.
+// For a content that this box has seen answered recently, it clears the content and passes the
+// answer to OnChange.
+func (q *Quarantine) Merge(suspects []Suspect, now time.Time) bool {
 	q.mu.Lock()
-	news := false
+	changed := false
 	var cleared []Suspect
-	for _, s := range told {
-		news = q.hear(s, now) || news
+	for _, s := range suspects {
+		changed = q.merge(s, now) || changed
 		if at, ok := q.answeredAt(s.Content, now); ok {
 			cleared = append(cleared, q.clear(s.Content, at, now)...)
 		}
 	}
-	if news {
-		q.decide(now)
+	if changed {
+		q.updateRefused(now)
 	}
 	q.mu.Unlock()
-	if len(cleared) > 0 && q.OnNews != nil {
-		q.OnNews(cleared)
+	if len(cleared) > 0 && q.OnChange != nil {
+		q.OnChange(cleared)
 	}
-	return news
+	return changed
 }
 
-func (q *Quarantine) hear(s Suspect, now time.Time) bool {
+func (q *Quarantine) merge(s Suspect, now time.Time) bool {
 	r := q.record(s.Content)
-	news := false
+	changed := false
 	if s.Answered > 0 {
-		news = r.answer(now.Add(-s.Answered))
+		changed = r.addAnswer(now.Add(-s.Answered))
 	}
 	for _, e := range s.Ends {
-		if e.Age < forgetAfter {
-			news = r.add(e.Endpoint, now.Add(-e.Age)) || news
+		if e.Age < recordTTL {
+			changed = r.addCrash(e.Endpoint, now.Add(-e.Age)) || changed
 		}
 	}
-	return news
+	return changed
 }
 
-// Own returns what this box itself has lately seen.
-func (q *Quarantine) Own(now time.Time) []Suspect {
-	return q.told(now, func(_ content.Hash, r *record) bool { return now.Sub(r.own) < tellFor })
+// Local returns the records that changed recently by observations of this box.
+func (q *Quarantine) Local(now time.Time) []Suspect {
+	return q.list(now, func(_ content.Hash, r *record) bool { return now.Sub(r.lastLocal) < recentWindow })
 }
 
-// Recent returns what any box has lately seen, as far as this one knows.
+// Recent returns the records with a recent crash or answer, whichever box observed it.
 func (q *Quarantine) Recent(now time.Time) []Suspect {
-	return q.told(now, func(_ content.Hash, r *record) bool {
-		return now.Sub(r.last) < tellFor || now.Sub(r.answered) < tellFor
+	return q.list(now, func(_ content.Hash, r *record) bool {
+		return now.Sub(r.lastCrash) < recentWindow || now.Sub(r.lastAnswer) < recentWindow
 	})
 }
 
-// Verdicts returns what a relay tells its members: the contents that are refused, and
-// those that were suspected and have lately been answered.
+// Verdicts returns what a relay sends to its members: the contents that are refused, and those that
+// were suspected and have been answered within answerProtection.
 func (q *Quarantine) Verdicts(now time.Time) []Suspect {
-	return q.told(now, func(h content.Hash, r *record) bool {
-		return q.refused[h] || now.Sub(r.answered) < answeredFor
+	return q.list(now, func(h content.Hash, r *record) bool {
+		return q.refused[h] || now.Sub(r.lastAnswer) < answerProtection
 	})
 }
 
-// Refused returns the contents that are refused.
+// Refused returns the records of the contents that are refused.
 func (q *Quarantine) Refused(now time.Time) []Suspect {
-	return q.told(now, func(h content.Hash, _ *record) bool { return q.refused[h] })
+	return q.list(now, func(h content.Hash, _ *record) bool { return q.refused[h] })
 }
 
-// told returns the records that a filter picks, those with the most ends first.
-func (q *Quarantine) told(now time.Time, pick func(content.Hash, *record) bool) []Suspect {
+// list returns up to maxSuspects records for which include returns true, those with the most crashes
+// first.
+func (q *Quarantine) list(now time.Time, include func(content.Hash, *record) bool) []Suspect {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	var out []Suspect
+	var suspects []Suspect
 	for h, r := range q.records {
-		if pick(h, r) {
-			out = append(out, r.suspect(h, now))
+		if include(h, r) {
+			suspects = append(suspects, r.suspect(h, now))
 		}
 	}
-	slices.SortFunc(out, func(a, b Suspect) int {
+	slices.SortFunc(suspects, func(a, b Suspect) int {
 		return cmp.Or(cmp.Compare(len(b.Ends), len(a.Ends)), cmp.Compare(a.Content, b.Content))
 	})
-	return out[:min(len(out), maxTold)]
+	return suspects[:min(len(suspects), maxSuspects)]
 }
 
-// record returns the record of a content, and makes room for it.
+// record returns the record of a content. If there is none it adds one, and evicts another if the
+// table is full.
 func (q *Quarantine) record(h content.Hash) *record {
 	if r := q.records[h]; r != nil {
 		return r
@@ -305,20 +313,20 @@
 	if len(q.records) >= maxContents {
 		q.evict()
 	}
-	r := &record{ends: map[uint64]time.Time{}}
+	r := &record{crashes: map[uint64]time.Time{}}
 	q.records[h] = r
 	return r
 }
 
-// evict drops the content under which the fewest endpoints ended, the oldest of these.
+// evict drops the record with the fewest crashes, and among equals the one whose last crash is oldest.
 func (q *Quarantine) evict() {
-	var drop content.Hash
-	var worst *record
+	var victim content.Hash
+	var least *record
 	for h, r := range q.records {
-		if worst == nil || len(r.ends) < len(worst.ends) || len(r.ends) == len(worst.ends) && r.last.Before(worst.last) {
-			drop, worst = h, r
+		if least == nil || len(r.crashes) < len(least.crashes) || len(r.crashes) == len(least.crashes) && r.lastCrash.Before(least.lastCrash) {
+			victim, least = h, r
 		}
 	}
-	delete(q.records, drop)
-	delete(q.refused, drop)
+	delete(q.records, victim)
+	delete(q.refused, victim)
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -16,24 +16,24 @@
 	"birchlink.dev/birchlink/quarantine"
 )
 
-// script plays one file: boxes, and what each sees, tells and decides at its times.
+// script runs one file of testdata: the events, messages and expected decisions of several boxes.
 type script struct {
 	t     *testing.T
 	now   time.Time
 	boxes map[string]*quarantine.Quarantine
 }
 
-// TestScripts plays the files in testdata.
+// TestScripts runs the files in testdata.
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
 	for _, p := range files {
-		t.Run(strings.TrimSuffix(filepath.Base(p), ".txt"), func(t *testing.T) { play(t, p) })
+		t.Run(strings.TrimSuffix(filepath.Base(p), ".txt"), func(t *testing.T) { runScript(t, p) })
 	}
 }
 
-func play(t *testing.T, path string) {
+func runScript(t *testing.T, path string) {
 	f, err := os.Open(path)
 	require.NoError(t, err)
 	defer f.Close()
@@ -75,27 +75,27 @@
 	switch words[1] {
 	case "broke": // endpoint, contents
 		for _, c := range args[1:] {
-			b.Broke(hash(c), args[0], s.now)
+			b.RecordFailure(hash(c), args[0], s.now)
 		}
 	case "ended": // endpoint
-		b.Ended(args[0], "script", s.now)
-	case "lost": // endpoint, contents that were under way there
+		b.RecordCrash(args[0], "script", s.now)
+	case "lost": // endpoint, contents that were in flight there
 		s.step(append([]string{words[0], "broke"}, args...), at)
-		b.Ended(args[0], "script", s.now)
-	case "tries": // contents: sends each as a trial, if it is refused
+		b.RecordCrash(args[0], "script", s.now)
+	case "tries": // contents: sends each, as a trial if it is refused
 		for _, c := range args {
-			b.Sent(hash(c), s.now)
+			b.RecordSend(hash(c), s.now)
 		}
-	case "elsewhere": // another box makes the trials
-		b.Tries = func(content.Hash) bool { return false }
+	case "elsewhere": // another box sends the trials
+		b.SendsTrials = func(content.Hash) bool { return false }
 	case "answered": // content
-		b.Answered(hash(args[0]), s.now)
-	case "tells": // box
-		s.box(args[0]).Hear(b.Own(s.now), s.now)
-	case "passes": // box: what a relay tells another
-		s.box(args[0]).Hear(b.Recent(s.now), s.now)
-	case "names": // box: what a relay tells a member
-		s.box(args[0]).Hear(b.Verdicts(s.now), s.now)
+		b.RecordAnswer(hash(args[0]), s.now)
+	case "tells": // box: what a member sends to its relay
+		s.box(args[0]).Merge(b.Local(s.now), s.now)
+	case "passes": // box: what one relay sends to another
+		s.box(args[0]).Merge(b.Recent(s.now), s.now)
+	case "names": // box: what a relay sends to a member
+		s.box(args[0]).Merge(b.Verdicts(s.now), s.now)
 	case "refuses", "sends": // contents
 		for _, c := range args {
 			_, refused := b.Refuses(hash(c), s.now)
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -11,87 +11,88 @@
 	"birchlink.dev/birchlink/content"
 )
 
-// Suspect is what one box tells another of a content: the endpoints that ended while
-// they ran it, and for how long before it was last answered. Times are ages, so that the
-// boxes' clocks need not agree.
+// Suspect reports a content from one box to another: the endpoints that crashed while they ran it,
+// and the time since it was last answered. Times are ages, so that the clocks of the boxes need not
+// agree.
 type Suspect struct {
 	Content  content.Hash
-	Ends     []End
-	Answered time.Duration `msgpack:",omitempty" json:",omitempty"` // zero if no box said so
+	Ends     []Crash
+	Answered time.Duration `msgpack:",omitempty" json:",omitempty"` // zero if no answer is known
 }
 
-// End is the end of one endpoint, which is told by a hash of its ID.
-type End struct {
+// Crash is the crash of one endpoint, identified by the hash of its ID.
+type Crash struct {
 	Endpoint uint64
 	Age      time.Duration
 }
 
-// record is what a box knows of a content.
+// record is the state that a box keeps for a content.
 type record struct {
-	ends     map[uint64]time.Time // by endpoint
-	last     time.Time            // when the last of them ended
-	own      time.Time            // when this box last saw one end, or the content answered
-	answered time.Time            // when it last was answered; zero if it was not
-	tried    time.Time            // when this box last sent it as a trial
+	crashes    map[uint64]time.Time // time of the crash, by hash of the endpoint
+	lastCrash  time.Time            // time of the latest crash
+	lastLocal  time.Time            // when this box itself last saw a crash, or an answer to the content
+	lastAnswer time.Time            // when the content was last answered; zero if never
+	lastTrial  time.Time            // when this box last sent the content as a trial
 }
 
-// hold returns how long after the last end the content is refused.
-func (r *record) hold() time.Duration {
+// holdTime returns how long after its last crash the content is refused. Crashes more than trialGap
+// after the previous one count as failed trials.
+func (r *record) holdTime() time.Duration {
 	trials := 0
-	var before time.Time
-	for n, at := range slices.SortedFunc(maps.Values(r.ends), time.Time.Compare) {
-		if n > 0 && at.Sub(before) > apart {
+	var previous time.Time
+	for n, at := range slices.SortedFunc(maps.Values(r.crashes), time.Time.Compare) {
+		if n > 0 && at.Sub(previous) > trialGap {
 			trials++
 		}
-		before = at
+		previous = at
 	}
-	return holds[min(trials, len(holds)-1)]
+	return holdTimes[min(trials, len(holdTimes)-1)]
 }
 
-// add notes that an endpoint ended. It reports whether that is news.
-func (r *record) add(endpoint uint64, at time.Time) bool {
-	if _, ok := r.ends[endpoint]; ok || !at.After(r.answered.Add(answeredFor)) {
+// addCrash records the crash of an endpoint. It reports whether the record changed.
+func (r *record) addCrash(endpoint uint64, at time.Time) bool {
+	if _, ok := r.crashes[endpoint]; ok || !at.After(r.lastAnswer.Add(answerProtection)) {
 		return false
 	}
-	r.ends[endpoint] = at
-	if at.After(r.last) {
-		r.last = at
+	r.crashes[endpoint] = at
+	if at.After(r.lastCrash) {
+		r.lastCrash = at
 	}
-	if len(r.ends) > maxEnds {
-		r.dropOldest()
+	if len(r.crashes) > maxCrashes {
+		r.dropOldestCrash()
 	}
 	return true
 }
 
-func (r *record) dropOldest() {
-	var first uint64
+func (r *record) dropOldestCrash() {
+	var oldest uint64
 	var at time.Time
-	for e, t := range r.ends {
-		if at.IsZero() || t.Before(at) || t.Equal(at) && e < first {
-			first, at = e, t
+	for e, t := range r.crashes {
+		if at.IsZero() || t.Before(at) || t.Equal(at) && e < oldest {
+			oldest, at = e, t
 		}
 	}
-	delete(r.ends, first)
+	delete(r.crashes, oldest)
 }
 
-// answer notes that an endpoint answered the content and lived, which speaks for it
-// before and for answeredFor after. It reports whether that is news; what comes back from
-// boxes that were told is none, though it looks some milliseconds younger.
-func (r *record) answer(at time.Time) bool {
-	before := len(r.ends)
-	maps.DeleteFunc(r.ends, func(_ uint64, t time.Time) bool { return !t.After(at.Add(answeredFor)) })
-	if len(r.ends) == before && at.Sub(r.answered) < tellFor {
+// addAnswer records that an endpoint answered the content without crashing. That discards all
+// earlier crashes, and those up to answerProtection later. It reports whether the record changed
+// enough to notify others: an answer that comes back from other boxes looks a few milliseconds
+// newer than the one recorded here, and must not be sent on again.
+func (r *record) addAnswer(at time.Time) bool {
+	crashes := len(r.crashes)
+	maps.DeleteFunc(r.crashes, func(_ uint64, t time.Time) bool { return !t.After(at.Add(answerProtection)) })
+	if len(r.crashes) == crashes && at.Sub(r.lastAnswer) < recentWindow {
 		return false
 	}
-	r.answered = at
+	r.lastAnswer = at
 	return true
 }
 
-// unexplained returns how many endpoints ended under the content, without those in
-// explained.
+// unexplained returns the number of the content's crashes that are not in explained.
 func (r *record) unexplained(explained map[uint64]bool) int {
 	n := 0
-	for e := range r.ends {
+	for e := range r.crashes {
 		if !explained[e] {
 			n++
 		}
@@ -99,23 +100,23 @@
 	return n
 }
 
-// suspect returns the record as it is told.
+// suspect returns the record in the form in which it is sent to other boxes.
 func (r *record) suspect(h content.Hash, now time.Time) Suspect {
 	s := Suspect{Content: h}
-	for e, at := range r.ends {
-		s.Ends = append(s.Ends, End{e, now.Sub(at)})
+	for e, at := range r.crashes {
+		s.Ends = append(s.Ends, Crash{e, now.Sub(at)})
 	}
-	if !r.answered.IsZero() {
-		s.Answered = max(now.Sub(r.answered), 1)
+	if !r.lastAnswer.IsZero() {
+		s.Answered = max(now.Sub(r.lastAnswer), 1)
 	}
 	return s
 }
 
-// Sum tells one list of suspects from another, whatever their ages and order.
-func Sum(told []Suspect) uint64 {
+// Sum returns a checksum of a list of suspects that does not depend on their ages or order.
+func Sum(suspects []Suspect) uint64 {
 	var sum uint64
 	var b [16]byte
-	for _, s := range told {
+	for _, s := range suspects {
 		binary.LittleEndian.PutUint64(b[:8], uint64(s.Content))
 		if s.Answered > 0 {
 			binary.LittleEndian.PutUint64(b[8:], 0)
@@ -129,4 +130,4 @@
 	return sum
 }
 
-func hashOf(endpoint string) uint64 { return xxhash.Sum64String(endpoint) }
+func hashEndpoint(endpoint string) uint64 { return xxhash.Sum64String(endpoint) }
--- a/reporter/reporter.go
+++ b/reporter/reporter.go
@@ -103,13 +103,13 @@
 func (r *Reporter) Stop(c context.Context) error {
 	r.cancel()
 	r.group.Wait()
-	return r.put(c, r.Tally.Number(r.Now()))
+	return r.put(c, r.Tally.WindowAt(r.Now()))
 }
 
 // Hear keeps what another process told of its counts, in case it ends or is cut
 // off before it has written them.
-func (r *Reporter) Hear(p tally.Part) {
-	oldest := r.Tally.Number(r.Now()) - keptWindows
+func (r *Reporter) Hear(p tally.Report) {
+	oldest := r.Tally.WindowAt(r.Now()) - keptWindows
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.told == nil {
@@ -132,9 +132,9 @@
 
 // write puts this box's part into the store after each window.
 func (r *Reporter) write(c context.Context) {
-	next := r.Tally.Number(r.Now())
+	next := r.Tally.WindowAt(r.Now())
 	for {
-		wait.For(c, r.Tally.End(next).Add(partDelay).Sub(r.Now()))
+		wait.For(c, r.Tally.WindowEnd(next).Add(partDelay).Sub(r.Now()))
 		if c.Err() != nil {
 			return
 		}
@@ -144,7 +144,7 @@
 			continue
 		}
 		if err := r.put(c, next); err != nil {
-			if r.Now().Sub(r.Tally.End(next)) < r.Due {
+			if r.Now().Sub(r.Tally.WindowEnd(next)) < r.Due {
 				wait.For(c, step)
 				continue
 			}
@@ -170,7 +170,7 @@
 // put writes a window's part, and drops an old one of this process.
 func (r *Reporter) put(c context.Context, window int64) error {
 	all := r.heard(window)
-	all[r.Source()] = r.Tally.Of(window)
+	all[r.Source()] = r.Tally.Counts(window)
 	b, err := json.Marshal(all)
 	if err != nil {
 		return fmt.Errorf("encode counts: %w", err)
@@ -209,8 +209,8 @@
 		r.fence, r.sent = fence, map[int64]bool{}
 	}
 	now := r.Now()
-	for w := r.Tally.Number(now.Add(-r.Due)); now.After(r.Tally.End(w).Add(collectDelay)); w++ {
-		if r.sent[w] || now.After(r.Tally.End(w).Add(r.Due)) {
+	for w := r.Tally.WindowAt(now.Add(-r.Due)); now.After(r.Tally.WindowEnd(w).Add(collectDelay)); w++ {
+		if r.sent[w] || now.After(r.Tally.WindowEnd(w).Add(r.Due)) {
 			continue
 		}
 		if err := r.send(c, fence, w); err != nil {
@@ -283,7 +283,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(parts) < max(len(writers), 1) && r.Now().Sub(r.Tally.End(window)) < r.Due-collectMargin {
+	if len(parts) < max(len(writers), 1) && r.Now().Sub(r.Tally.WindowEnd(window)) < r.Due-collectMargin {
 		return nil, fmt.Errorf("%w: %d of %d", errMissing, len(parts), len(writers))
 	}
 	all := r.heard(window)
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -101,8 +101,8 @@
 // and four on box b.
 func next(t *testing.T, a, b *box) int64 {
 	t.Helper()
-	w := a.tally.Number(time.Now()) + 1
-	wait.For(t.Context(), time.Until(a.tally.End(w-1).Add(time.Second)))
+	w := a.tally.WindowAt(time.Now()) + 1
+	wait.For(t.Context(), time.Until(a.tally.WindowEnd(w-1).Add(time.Second)))
 	for range 3 {
 		a.tally.Add("x", time.Now())
 	}
@@ -128,7 +128,7 @@
 	run(t, func(t *testing.T, _ *memstore.Memory, l *cloud, a, b *box) {
 		w := next(t, a, b)
 		wait.For(t.Context(), 2*window)
-		l.same(t, w, a.tally.End(w), map[string]int{"x": 7})
+		l.same(t, w, a.tally.WindowEnd(w), map[string]int{"x": 7})
 		a.stop(t)
 		b.stop(t)
 	})
@@ -142,11 +142,11 @@
 		l.mu.Lock()
 		l.lose = 1
 		l.mu.Unlock()
-		wait.For(t.Context(), time.Until(a.tally.End(w).Add(time.Second)))
+		wait.For(t.Context(), time.Until(a.tally.WindowEnd(w).Add(time.Second)))
 		a.stop(t)
-		b.tally.Add("x", a.tally.End(w-1).Add(time.Second)) // comes too late to count
+		b.tally.Add("x", a.tally.WindowEnd(w-1).Add(time.Second)) // comes too late to count
 		wait.For(t.Context(), 2*window)
-		l.same(t, w, a.tally.End(w), map[string]int{"x": 7})
+		l.same(t, w, a.tally.WindowEnd(w), map[string]int{"x": 7})
 		b.stop(t)
 	})
 }
@@ -158,7 +158,7 @@
 		a.reporter.Hear(b.tally.Recent(b.reporter.Source(), w))
 		kill(t, m, b)
 		wait.For(t.Context(), 2*window)
-		l.same(t, w, a.tally.End(w), map[string]int{"x": 7})
+		l.same(t, w, a.tally.WindowEnd(w), map[string]int{"x": 7})
 		a.stop(t)
 	})
 }
@@ -184,12 +184,12 @@
 func TestStoreAwayForAWhile(t *testing.T) {
 	run(t, func(t *testing.T, m *memstore.Memory, l *cloud, a, b *box) {
 		w := next(t, a, b)
-		wait.For(t.Context(), time.Until(a.tally.End(w).Add(-100*time.Millisecond)))
+		wait.For(t.Context(), time.Until(a.tally.WindowEnd(w).Add(-100*time.Millisecond)))
 		m.SetDown(true)
 		wait.For(t.Context(), 4500*time.Millisecond)
 		m.SetDown(false)
 		wait.For(t.Context(), 2*window)
-		l.same(t, w, a.tally.End(w), map[string]int{"x": 7})
+		l.same(t, w, a.tally.WindowEnd(w), map[string]int{"x": 7})
 		a.stop(t)
 		b.stop(t)
 	})
--- a/stream/keeper.go
+++ b/stream/keeper.go
@@ -58,7 +58,7 @@
 	follower  *follower.Follower
 	admission *admission.Admission
 	fresh     *observer.Observer
-	suspects  *suspects.Suspects
+	suspects  *suspects.Service
 	engines   *engine.Client
 	prefixes  *lru.Cache[uint64, string]
 	buffers   sync.Pool
--- a/stream/run.go
+++ b/stream/run.go
@@ -95,7 +95,7 @@
 	for {
 		switch e {
 		case whole:
-			r.k.suspects.Answered(r.content)
+			r.k.suspects.RecordAnswer(r.content)
 			r.s.finish(nil)
 			return
 		case handed:
@@ -125,7 +125,7 @@
 // decide asks recovery, and notes what it says.
 func (r *run) decide(c context.Context, b recovery.Break) recovery.Decision {
 	if b == recovery.Cut && r.target.slot != nil && c.Err() == nil {
-		r.k.suspects.Broke(c, r.content, r.target.slot.Process(), r.target.address)
+		r.k.suspects.RecordFailure(c, r.content, r.target.slot.Process(), r.target.address)
 	}
 	if b != recovery.Refused && b != recovery.Unreachable && b != recovery.NeverSeen {
 		r.ran = true
--- a/suspects/suspects.go
+++ b/suspects/suspects.go
@@ -1,5 +1,6 @@
-// Package suspects keeps, on the own interface, the requests under which endpoints end from
-// going on to more of them, and lets the boxes tell each other.
+// Package suspects provides the service that keeps requests which crash endpoints from being sent to
+// further ones, for requests to Birchlink's own interface. Boxes notify each other of the contents
+// under which endpoints crashed.
 package suspects
 
 import (
@@ -25,62 +26,63 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// Name is the name of the service.
+// Name is the name under which the service is registered in the kernel.
 const Name = "suspects"
 
-// The times of the service. A process that lives accepts a connection within a round trip of
-// some milliseconds, and a box whose process has ended refuses as fast. Now and then one other
-// box is told again what it may have missed: one that was cut off or has just started.
+// A live process accepts a connection within a round trip of a few milliseconds, and a box whose
+// process has crashed refuses it as fast, so dialTimeout suffices to tell them apart. Every
+// resendInterval one random box gets all recent records, which it may have missed because it was
+// partitioned or has just started.
 const (
-	checkLimit = 25 * time.Millisecond
-	callLimit  = 2 * time.Second
-	againEvery = time.Second
+	dialTimeout    = 25 * time.Millisecond
+	callTimeout    = 2 * time.Second
+	resendInterval = time.Second
 )
 
-// tell is the method by which boxes tell each other.
-const tell = "suspects.tell"
+// methodTell is the method of the calls by which boxes send suspects to each other.
+const methodTell = "suspects.tell"
 
-// Suspects is the service of one box.
-type Suspects struct {
+// Service quarantines the contents that crash endpoints, on behalf of one box.
+type Service struct {
 	quarantine quarantine.Quarantine
 	members    *member.Service
 	peers      *peer.Node
 
-	life context.Context
-	end  context.CancelFunc
+	ctx    context.Context
+	cancel context.CancelFunc
 
 	mu      sync.Mutex
 	stopped bool
 	group   sync.WaitGroup
 }
 
-// New returns the service of a box.
-func New(log zerolog.Logger) *Suspects {
-	s := &Suspects{quarantine: quarantine.Quarantine{Log: log}}
-	s.life, s.end = context.WithCancel(context.Background())
+// New returns a service that logs to log.
+func New(log zerolog.Logger) *Service {
+	s := &Service{quarantine: quarantine.Quarantine{Log: log}}
+	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s
 }
 
 // Name returns the service's name.
-func (s *Suspects) Name() string { return Name }
+func (s *Service) Name() string { return Name }
 
-// Start begins to hear other boxes, and to tell them.
-func (s *Suspects) Start(_ context.Context, k *kernel.Kernel) error {
+// Start begins to exchange suspects with other boxes.
+func (s *Service) Start(_ context.Context, k *kernel.Kernel) error {
 	if err := errors.Join(kernel.Bind(k, member.Name, &s.members), kernel.Bind(k, peer.Name, &s.peers)); err != nil {
 		return err
 	}
-	s.quarantine.Tries = s.tries
-	s.quarantine.OnNews = s.tellAll
-	peer.Handle(s.peers.Server, tell, func(_ context.Context, in []quarantine.Suspect) (bool, error) {
-		return s.quarantine.Hear(in, boottime.Now()), nil
+	s.quarantine.SendsTrials = s.sendsTrials
+	s.quarantine.OnChange = s.broadcast
+	peer.Handle(s.peers.Server, methodTell, func(_ context.Context, in []quarantine.Suspect) (bool, error) {
+		return s.quarantine.Merge(in, boottime.Now()), nil
 	})
-	s.spawn(s.tellAgain)
+	s.spawn(s.resendLoop)
 	return nil
 }
 
-// Stop ends the telling.
-func (s *Suspects) Stop(context.Context) error {
-	s.end()
+// Stop cancels outstanding calls and waits for the goroutines of the service to end.
+func (s *Service) Stop(context.Context) error {
+	s.cancel()
 	s.mu.Lock()
 	s.stopped = true
 	s.mu.Unlock()
@@ -88,8 +90,8 @@
 	return nil
 }
 
-// spawn begins a goroutine that Stop waits for; once it stops, none.
-func (s *Suspects) spawn(f func()) {
+// spawn runs f in a goroutine that Stop waits for. It does nothing once Stop was called.
+func (s *Service) spawn(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.stopped {
@@ -97,69 +99,70 @@
 	}
 }
 
-// Check returns an error if a request is to be sent to no endpoint, since others ended under
-// what it asks for. Otherwise the request is taken to be sent now.
-func (s *Suspects) Check(h content.Hash) error {
+// Check returns an error of kind errkind.Quarantined if a content must not be sent to any endpoint
+// because several crashed under it. Otherwise it records that the content is sent now.
+func (s *Service) Check(h content.Hash) error {
 	now := boottime.Now()
 	if left, refused := s.quarantine.Refuses(h, now); refused {
 		return errkind.New(errkind.Quarantined, "endpoints ended while they ran this request").After(left)
 	}
-	s.quarantine.Sent(h, now)
+	s.quarantine.RecordSend(h, now)
 	return nil
 }
 
-// Answered notes that an endpoint has answered a content to its end.
-func (s *Suspects) Answered(h content.Hash) { s.quarantine.Answered(h, boottime.Now()) }
+// RecordAnswer records that an endpoint has answered a content completely.
+func (s *Service) RecordAnswer(h content.Hash) { s.quarantine.RecordAnswer(h, boottime.Now()) }
 
-// Broke notes that an attempt broke off at a process that did not say that it leaves, and looks
-// whether it has ended.
-func (s *Suspects) Broke(c context.Context, h content.Hash, process, address string) {
-	s.quarantine.Broke(h, process, boottime.Now())
-	d := net.Dialer{Timeout: checkLimit, KeepAlive: -1}
+// RecordFailure records that an attempt broke at a process that did not announce that it leaves. It
+// dials the address and records a crash if the connection is refused.
+func (s *Service) RecordFailure(c context.Context, h content.Hash, process, address string) {
+	s.quarantine.RecordFailure(h, process, boottime.Now())
+	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	n, err := d.DialContext(c, "tcp", address)
 	switch {
 	case err == nil:
 		_ = n.Close()
 	case errors.Is(err, syscall.ECONNREFUSED):
-		s.quarantine.Ended(process, "it refuses connections", boottime.Now())
+		s.quarantine.RecordCrash(process, "it refuses connections", boottime.Now())
 	}
 }
 
-// tellAll tells all other boxes what this one has just learnt.
-func (s *Suspects) tellAll(news []quarantine.Suspect) {
+// broadcast sends changed records to all other boxes.
+func (s *Service) broadcast(changed []quarantine.Suspect) {
 	for _, m := range s.others() {
-		s.spawn(func() { s.call(m, news) })
+		s.spawn(func() { s.call(m, changed) })
 	}
 }
 
 // others returns the other boxes that are up.
-func (s *Suspects) others() []member.Member {
+func (s *Service) others() []member.Member {
 	own := s.members.Self().Box
 	return slices.DeleteFunc(slices.Clone(s.members.Up("")), func(m member.Member) bool { return m.Box == own })
 }
 
-// tellAgain tells one other box at a time what is known lately and what is refused.
-func (s *Suspects) tellAgain() {
-	for s.life.Err() == nil {
-		wait.For(s.life, againEvery)
+// resendLoop periodically sends the recent records and the verdicts to one random box.
+func (s *Service) resendLoop() {
+	for s.ctx.Err() == nil {
+		wait.For(s.ctx, resendInterval)
 		now := boottime.Now()
-		known := append(s.quarantine.Recent(now), s.quarantine.Verdicts(now)...)
-		if ms := s.others(); len(ms) > 0 && len(known) > 0 {
-			s.call(ms[rand.IntN(len(ms))], known)
+		records := append(s.quarantine.Recent(now), s.quarantine.Verdicts(now)...)
+		if ms := s.others(); len(ms) > 0 && len(records) > 0 {
+			s.call(ms[rand.IntN(len(ms))], records)
 		}
 	}
 }
 
-func (s *Suspects) call(m member.Member, told []quarantine.Suspect) {
-	c, cancel := context.WithTimeout(s.life, callLimit)
+// call sends records to a box. An error is ignored, because resendLoop sends them again.
+func (s *Service) call(m member.Member, records []quarantine.Suspect) {
+	c, cancel := context.WithTimeout(s.ctx, callTimeout)
 	defer cancel()
-	var news bool
-	_ = s.peers.Client.Call(c, m.Address, tell, told, &news) // who is not reached is told again
+	var changed bool
+	_ = s.peers.Client.Call(c, m.Address, methodTell, records, &changed)
 }
 
-// tries reports whether this box is the one of all that sends a refused content on as a trial:
-// the first by rendezvous.
-func (s *Suspects) tries(h content.Hash) bool {
+// sendsTrials reports whether this box is the one that sends a refused content as a trial: the
+// first among all boxes by rendezvous hashing.
+func (s *Service) sendsTrials(h content.Hash) bool {
 	weight := func(box string) uint64 { return xxhash.Sum64String(h.String() + "/" + box) }
 	own := weight(s.members.Self().Box)
 	for _, m := range s.others() {
--- a/suspects/suspects_test.go
+++ b/suspects/suspects_test.go
@@ -22,15 +22,15 @@
 	"birchlink.dev/birchlink/suspects"
 )
 
-// box is the part of an entry box that the service needs.
+// box is an entry box with only the services that suspects needs.
 type box struct {
-	*suspects.Suspects
+	*suspects.Service
 	members *member.Service
 	address string
 }
 
-// freeAddress returns an address that nobody listens on, of an IP number from which nothing
-// connects.
+// freeAddress returns an address on which nobody listens. Its IP address is used for no outgoing
+// connections, whose local ports could collide with it.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.4:0")
@@ -41,13 +41,13 @@
 
 func start(t *testing.T, name, dc string, seeds ...string) *box {
 	t.Helper()
-	b := &box{Suspects: suspects.New(zerolog.Nop()), members: member.New(name, dc, seeds, zerolog.Nop()), address: freeAddress(t)}
+	b := &box{Service: suspects.New(zerolog.Nop()), members: member.New(name, dc, seeds, zerolog.Nop()), address: freeAddress(t)}
 	k := &kernel.Kernel{}
 	store := httptest.NewServer(kvstore.New(1000, 1000))
 	t.Cleanup(store.Close)
 	m := metrics.NewRegistry()
 	keys := &kv.Service{Client: kv.New(store.Listener.Addr().String(), name, 100, 100, m)}
-	for _, s := range []kernel.Service{peer.NewNode(b.address, b.address, "secret", m), keys, b.members, b.Suspects} {
+	for _, s := range []kernel.Service{peer.NewNode(b.address, b.address, "secret", m), keys, b.members, b.Service} {
 		require.NoError(t, k.Add(s))
 		require.NoError(t, s.Start(t.Context(), k))
 		t.Cleanup(func() { _ = s.Stop(context.Background()) })
@@ -62,9 +62,9 @@
 
 func (b *box) refuses(h content.Hash) bool { return errkind.Is(b.Check(h), errkind.Quarantined) }
 
-// A request under which three endpoints ended at one box is refused by all, in each data centre,
-// and by one that starts later. An endpoint that still listens has not ended.
-func TestTold(t *testing.T) {
+// A content under which three endpoints crashed at one box is refused by all boxes, in each data
+// centre, and by a box that starts later. An endpoint that still listens has not crashed.
+func TestQuarantineReachesAllBoxes(t *testing.T) {
 	a := start(t, "a", "north")
 	b := start(t, "b", "north", a.address)
 	c := start(t, "c", "south", a.address)
@@ -72,16 +72,16 @@
 	await(t, func() bool {
 		return len(a.members.Up("")) == 3 && len(b.members.Up("")) == 3 && len(c.members.Up("")) == 3
 	})
-	lives, err := net.Listen("tcp", "127.0.0.4:0")
+	live, err := net.Listen("tcp", "127.0.0.4:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = lives.Close() })
+	t.Cleanup(func() { _ = live.Close() })
 	for i := range 5 {
-		a.Broke(t.Context(), 1, fmt.Sprint("e", i), lives.Addr().String())
+		a.RecordFailure(t.Context(), 1, fmt.Sprint("e", i), live.Addr().String())
 		require.False(t, a.refuses(1))
 	}
 	for i := range 3 {
 		require.False(t, a.refuses(2))
-		a.Broke(t.Context(), 2, fmt.Sprint("e", i), freeAddress(t))
+		a.RecordFailure(t.Context(), 2, fmt.Sprint("e", i), freeAddress(t))
 	}
 	for _, x := range bs {
 		await(t, func() bool { return x.refuses(2) })
--- a/tally/part.go
+++ b/tally/part.go
@@ -2,18 +2,18 @@
 
 import "maps"
 
-// Part is what one process counted, by window and account. Source names the box
+// Report holds the counts of one process, by window number and account. Source identifies the box
 // and the process.
-type Part struct {
+type Report struct {
 	Source  string
 	Windows map[int64]map[string]int
 }
 
-// Recent returns the counts of the windows from one on.
-func (t *Tally) Recent(source string, from int64) Part {
+// Recent returns the counts of window from and all later windows, attributed to source.
+func (t *Tally) Recent(source string, from int64) Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	p := Part{Source: source, Windows: map[int64]map[string]int{}}
+	p := Report{Source: source, Windows: map[int64]map[string]int{}}
 	for w, c := range t.counts {
 		if w >= from {
 			p.Windows[w] = maps.Clone(c)
--- a/tally/tally.go
+++ b/tally/tally.go
@@ -1,5 +1,4 @@
-// Package tally counts by account, in windows of the time of day, the requests
-// that began to run.
+// Package tally counts started requests by account, in fixed windows of wall-clock time.
 package tally
 
 import (
@@ -8,7 +7,7 @@
 	"time"
 )
 
-// Tally holds the counts of one box. Its zero value, with Window set, is ready.
+// Tally holds the counts of one box. The zero value with Window set is ready to use.
 type Tally struct {
 	Window time.Duration
 
@@ -16,16 +15,16 @@
 	counts map[int64]map[string]int
 }
 
-// Number returns the number of the window that holds a time of day, which callers take
-// from a clock that does not jump.
-func (t *Tally) Number(at time.Time) int64 { return int64(at.Sub(time.Unix(0, 0)) / t.Window) }
+// WindowAt returns the number of the window that contains the wall-clock time at. Callers must take
+// the time from a clock that does not jump.
+func (t *Tally) WindowAt(at time.Time) int64 { return int64(at.Sub(time.Unix(0, 0)) / t.Window) }
 
-// End returns when a window ends.
-func (t *Tally) End(window int64) time.Time { return time.Unix(0, (window+1)*int64(t.Window)) }
+// WindowEnd returns the end of a window.
+func (t *Tally) WindowEnd(window int64) time.Time { return time.Unix(0, (window+1)*int64(t.Window)) }
 
-// Add counts one request.
+// Add counts one request of an account.
 func (t *Tally) Add(account string, at time.Time) {
-	n := t.Number(at)
+	n := t.WindowAt(at)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.counts == nil {
@@ -37,14 +36,14 @@
 	t.counts[n][account]++
 }
 
-// Of returns a window's counts.
-func (t *Tally) Of(window int64) map[string]int {
+// Counts returns a copy of a window's counts by account.
+func (t *Tally) Counts(window int64) map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return maps.Clone(t.counts[window])
 }
 
-// Forget drops the windows before one.
+// Forget drops all windows with a number less than before.
 func (t *Tally) Forget(before int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
