--- a/limit/limit.go
+++ b/limit/limit.go
@@ -130,7 +130,8 @@
 		return false
 	}
 	metrics.GetOrRegisterCounter("limit.unanswered", l.metrics).Inc(1)
-	l.log.Info().Str("event", "limit").Str("other", a.Box).Interface("question", in).Dur("limit", timeout).Err(err).Msg("did not answer; others are asked for a while")
+	l.log.Info().Str("event", "limit").Str("other", a.Box).Interface("question", in).Dur("limit", timeout).Err(err).
+		Msg("did not answer; others are asked for a while")
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.unresponsive[a.Box] = boottime.Now()
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -69,7 +69,7 @@
 	maxFailedAttempts = 1024
 	maxAnswered       = 2048
 
-	// maxSuspects bounds the contents in one message: 3.6 KB if each has one crash.
+	// maxSuspects bounds the contents in one list, which takes 3.6 KB if each has one crash.
 	maxSuspects = 64
 )
 
@@ -148,7 +148,8 @@
 	}
 	q.failed = remaining
 	if len(changed) > 0 {
-		q.Log.Warn().Str("event", "endpoint ended").Str("endpoint", endpoint).Str("seen", how).Int("contents", len(changed)).Msg("endpoint crashed without announcing that it leaves")
+		q.Log.Warn().Str("event", "endpoint ended").Str("endpoint", endpoint).Str("seen", how).Int("contents", len(changed)).
+			Msg("endpoint crashed without announcing that it leaves")
 		q.updateRefused(now)
 	}
 	return changed
@@ -168,8 +169,8 @@
 	}
 }
 
-// clear records that a suspected content was answered at a time. It returns the change to send to
-// other boxes, if any.
+// clear records that a suspected content was answered at time at. It returns the changed record, or
+// nil if other boxes need not be notified.
 func (q *Quarantine) clear(h content.Hash, at, now time.Time) []Suspect {
 	r := q.records[h]
 	if r == nil || len(r.crashes) == 0 || !r.addAnswer(at) {
--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -26,8 +26,9 @@
 	// were refused may not return, so the number that wait is an estimate.
 	maxSpread = time.Second
 
-	// leaseMoveTime is the time within which a box's share may grow to the whole rate. A refused
-	// caller retries no later than that, or than the time in which the whole rate allows a request.
+	// leaseMoveTime is the time within which a box's share may grow to the whole rate. The retry
+	// time in a refusal is at most that, or the time in which the whole rate would allow the
+	// request if that is longer.
 	leaseMoveTime = 2 * time.Second
 
 	// unleasedRetryAfter is the retry time in the refusal of a box that holds no share of the rate.
@@ -42,7 +43,7 @@
 type Leases interface {
 	// Given returns the integral of the box's share of the named rate over time, in seconds, and
 	// the current share, from 0 to 1.
-	Given(name string, now time.Time) (seconds, part float64)
+	Given(name string, now time.Time) (seconds, share float64)
 }
 
 // Question asks whether one more request may be sent to an endpoint, named by its incarnation.
