--- a/forward/take.go
+++ b/forward/take.go
@@ -100,7 +100,7 @@
 	if s.Limit.Named {
 		metrics.GetOrRegisterCounter("answers.says_limit", r.f.Metrics).Inc(1)
 	}
-	w, news := r.f.Book.Available.Rates.Say(e.Incarnation(), s.Limit, boottime.Now())
+	w, news := r.f.Book.Available.Rates.Observe(e.Incarnation(), s.Limit, boottime.Now())
 	if !news {
 		return
 	}
@@ -114,7 +114,7 @@
 // connection, of one that ended.
 func (r *run) survived(a *exchange.Answer) {
 	if a.Status < http.StatusInternalServerError && a.Framed() {
-		r.f.Quarantine.Answered(r.trace.Content, boottime.Now())
+		r.f.Quarantine.RecordAnswer(r.trace.Content, boottime.Now())
 	}
 }
 
