--- a/balance/book_test.go
+++ b/balance/book_test.go
@@ -26,8 +26,8 @@
 	return es
 }
 
-// answer sends a request where the book chooses, and has it answered after a time.
-func answer(t *testing.T, b *balance.Book, es []endpoint.Endpoint, q balance.Query, after time.Duration) {
+// serveRequest sends a request where the book chooses, and has it answered after a time.
+func serveRequest(t *testing.T, b *balance.Balancer, es []endpoint.Endpoint, q balance.Query, after time.Duration) {
 	t.Helper()
 	c, ok := b.Choose(es, q, time.Now())
 	require.True(t, ok)
@@ -38,23 +38,23 @@
 	n.End(false, time.Now())
 }
 
-func prompt(shared string, own int) balance.Query {
+func promptQuery(shared string, own int) balance.Query {
 	return balance.Query{
-		DataCentre: "dc0", Engine: true, Shared: 1, Prompt: 4000 + own,
+		DataCentre: "dc0", Engine: true, SharedParts: 1, Prompt: 4000 + own,
 		Parts: []call.Part{{ID: shared, Tokens: 4000}, {ID: "own", Tokens: own}},
 	}
 }
 
 // Boxes that know nothing of each other send prompts that begin alike to the
 // same endpoint, from whatever data centre.
-func TestSameHome(t *testing.T) {
+func TestSharedPromptsPreferSameEndpoint(t *testing.T) {
 	es := endpoints(9)
 	for i := range 20 {
-		q := prompt(fmt.Sprint("p", i), 500)
-		a, ok := (&balance.Book{}).Choose(es, q, time.Now())
+		q := promptQuery(fmt.Sprint("p", i), 500)
+		a, ok := (&balance.Balancer{}).Choose(es, q, time.Now())
 		require.True(t, ok)
 		q.DataCentre = "dc1"
-		b, _ := (&balance.Book{}).Choose(es, q, time.Now())
+		b, _ := (&balance.Balancer{}).Choose(es, q, time.Now())
 		require.Equal(t, a.Endpoint.ID, b.Endpoint.ID)
 		require.Less(t, a.Tokens, q.Prompt)
 	}
@@ -62,23 +62,23 @@
 
 // A home with more to read than sharing saves, several times over, is left for an
 // endpoint that has to read it all; one with less is kept.
-func TestLoadGoesBeforeHome(t *testing.T) {
+func TestLoadOutweighsPreferredEndpoint(t *testing.T) {
 	es := endpoints(9)
-	var b balance.Book
-	q := prompt("p", 500)
+	var b balance.Balancer
+	q := promptQuery("p", 500)
 	home, _ := b.Choose(es, q, time.Now())
-	b.Tell(map[string]balance.Load{home.Endpoint.ID: {Running: 3, Tokens: 3000}}, 2, time.Now())
+	b.SetRemoteLoad(map[string]balance.Load{home.Endpoint.ID: {Running: 3, Tokens: 3000}}, 2, time.Now())
 	c, _ := b.Choose(es, q, time.Now())
 	require.Equal(t, home.Endpoint.ID, c.Endpoint.ID)
-	b.Tell(map[string]balance.Load{home.Endpoint.ID: {Running: 3, Tokens: 60000}}, 2, time.Now())
+	b.SetRemoteLoad(map[string]balance.Load{home.Endpoint.ID: {Running: 3, Tokens: 60000}}, 2, time.Now())
 	c, _ = b.Choose(es, q, time.Now())
 	require.NotEqual(t, home.Endpoint.ID, c.Endpoint.ID)
 }
 
 // A box's own sends count at once, without waiting for anybody's report.
-func TestOwnSendsCount(t *testing.T) {
+func TestOwnAttemptsCountAtOnce(t *testing.T) {
 	es := endpoints(3)
-	var b balance.Book
+	var b balance.Balancer
 	seen := map[string]bool{}
 	for i := range 3 {
 		c, _ := b.Choose(es, balance.Query{DataCentre: "dc0", Engine: true, Prompt: 9000 + i}, time.Now())
@@ -89,9 +89,9 @@
 }
 
 // An endpoint that fails its calls is used less, though it answers.
-func TestFailuresCount(t *testing.T) {
+func TestFailingEndpointUsedLess(t *testing.T) {
 	es := endpoints(3)
-	var b balance.Book
+	var b balance.Balancer
 	q := balance.Query{DataCentre: "dc0"}
 	bad, _ := b.Choose(es, q, time.Now())
 	for range 10 {
@@ -105,10 +105,10 @@
 
 // Two endpoints of a data centre that cannot be reached make all of it avoided,
 // until a moment later or until one of them answers.
-func TestDataCentreCutOff(t *testing.T) {
+func TestPartitionedDataCentreAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		es := endpoints(9)
-		var b balance.Book
+		var b balance.Balancer
 		b.Avoid(es[1], time.Now())
 		b.Avoid(es[4], time.Now())
 		q := balance.Query{DataCentre: "dc1", Skip: map[string]bool{}}
@@ -127,31 +127,31 @@
 }
 
 // An endpoint is silent only while calls are with it and none gets anything.
-func TestSilent(t *testing.T) {
+func TestUnresponsiveFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		es := endpoints(1)
-		var b balance.Book
+		var b balance.Balancer
 		c, _ := b.Choose(es, balance.Query{}, time.Now())
 		wait.For(t.Context(), time.Minute)
 		one, two := b.Begin(es[0], c, time.Now()), b.Begin(es[0], c, time.Now())
-		require.Zero(t, b.Silent("e0", time.Now()))
+		require.Zero(t, b.UnresponsiveFor("e0", time.Now()))
 		wait.For(t.Context(), 2*time.Second)
-		require.Equal(t, 2*time.Second, b.Silent("e0", time.Now()))
+		require.Equal(t, 2*time.Second, b.UnresponsiveFor("e0", time.Now()))
 		one.Progress(time.Now())
-		require.Zero(t, b.Silent("e0", time.Now()))
+		require.Zero(t, b.UnresponsiveFor("e0", time.Now()))
 		one.End(false, time.Now())
 		two.End(false, time.Now())
 		wait.For(t.Context(), time.Second)
-		require.Zero(t, b.Silent("e0", time.Now()))
+		require.Zero(t, b.UnresponsiveFor("e0", time.Now()))
 	})
 }
 
 // Where a service mixes endpoints of two kinds, each is met by what it does itself:
 // after a minute what is expected is within a third of what is seen at the median.
-func TestMixedKinds(t *testing.T) {
+func TestMixedEndpointSpeeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		es := endpoints(6)
-		var b balance.Book
+		var b balance.Balancer
 		r := rand.New(rand.NewPCG(1, 0))
 		seen := func(e endpoint.Endpoint, tokens int) time.Duration {
 			d := 30*time.Millisecond + time.Duration(tokens)*time.Second/100_000
@@ -180,10 +180,10 @@
 }
 
 // A failure that comes at once does not make its endpoint look fast.
-func TestFailureTellsNoSpeed(t *testing.T) {
+func TestFailureLatencyIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		es := endpoints(1)
-		var b balance.Book
+		var b balance.Balancer
 		q := balance.Query{Engine: true, Prompt: 5000}
 		before, _ := b.Choose(es, q, time.Now())
 		for range 100 {
@@ -200,15 +200,15 @@
 }
 
 // A process that starts takes over what those before it had observed.
-func TestRecall(t *testing.T) {
+func TestRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		es := endpoints(1)
-		var before, after balance.Book
+		var before, after balance.Balancer
 		q := balance.Query{Engine: true, Prompt: 5000}
 		for range 100 {
-			answer(t, &before, es, q, 40*time.Millisecond)
+			serveRequest(t, &before, es, q, 40*time.Millisecond)
 		}
-		after.Recall(before.AllSpeeds(time.Now()), time.Now())
+		after.Restore(before.Stats(time.Now()), time.Now())
 		one, _ := before.Choose(es, q, time.Now())
 		two, _ := after.Choose(es, q, time.Now())
 		require.InDelta(t, one.Expected.Milliseconds(), two.Expected.Milliseconds(), 2)
@@ -217,14 +217,14 @@
 
 // A long prompt that another box sends counts as soon as it is heard of, and no longer
 // than its reading takes.
-func TestHeardPromptsCount(t *testing.T) {
+func TestHintedPromptsCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		es := endpoints(3)
-		var b balance.Book
+		var b balance.Balancer
 		q := balance.Query{DataCentre: "dc0", Engine: true, Prompt: 500}
 		c, _ := b.Choose(es, q, time.Now())
 		first := c.Endpoint
-		b.Hear(first, 30_000, time.Now())
+		b.AddHint(first, 30_000, time.Now())
 		c, _ = b.Choose(es, q, time.Now())
 		require.NotEqual(t, first.ID, c.Endpoint.ID)
 		wait.For(t.Context(), time.Minute)
@@ -234,28 +234,28 @@
 }
 
 // The sums that come later count only for boxes that are not heard at once.
-func TestSumsOfBoxesNotHeard(t *testing.T) {
+func TestRemoteLoadOfUnobservedBoxes(t *testing.T) {
 	es := endpoints(1)
-	var b balance.Book
+	var b balance.Balancer
 	q := balance.Query{Engine: true, Prompt: 500}
-	b.Tell(map[string]balance.Load{"e0": {Running: 1, Tokens: 8000}}, 4, time.Now())
+	b.SetRemoteLoad(map[string]balance.Load{"e0": {Running: 1, Tokens: 8000}}, 4, time.Now())
 	for near, told := range []int{8000, 6000, 4000, 2000, 0} {
-		b.Peers(near, 0)
+		b.SetPeers(near, 0)
 		c, _ := b.Choose(es, q, time.Now())
 		require.Equal(t, told, c.Load.Told)
 	}
 }
 
 // What others observed counts where this box has seen nothing.
-func TestSpeedsAreTold(t *testing.T) {
+func TestRemoteStats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		es := endpoints(1)
-		var one, two balance.Book
+		var one, two balance.Balancer
 		q := balance.Query{Engine: true, Prompt: 5000}
 		for range 100 {
-			answer(t, &one, es, q, 40*time.Millisecond)
+			serveRequest(t, &one, es, q, 40*time.Millisecond)
 		}
-		two.TellSpeeds(one.Speeds(time.Now()))
+		two.SetRemoteStats(one.OwnStats(time.Now()))
 		c, _ := two.Choose(es, q, time.Now())
 		require.InDelta(t, 40, c.Expected.Milliseconds(), 10)
 	})
@@ -265,8 +265,8 @@
 // among those that rest, 25.4 us where it is asked once whether any does (medians of three).
 func BenchmarkChoose(b *testing.B) {
 	es := endpoints(111)
-	var k balance.Book
-	q := prompt("p", 500)
+	var k balance.Balancer
+	q := promptQuery("p", 500)
 	now := time.Now()
 	b.ReportAllocs()
 	for b.Loop() {
@@ -275,9 +275,9 @@
 }
 
 // A request that has lost an endpoint stays in its data centre if it can.
-func TestNearAfterABreak(t *testing.T) {
+func TestRetryPrefersOwnDataCentre(t *testing.T) {
 	es := endpoints(9)
-	var b balance.Book
+	var b balance.Balancer
 	for i := range 100 {
 		// An endpoint reads 100,000 tokens a second.
 		l := estimate.Load{Read: 100 * i, Told: 50 * (i % 30)}
@@ -290,11 +290,11 @@
 			load[e.ID] = balance.Load{Running: 5, Tokens: 3000}
 		}
 	}
-	b.Tell(load, 2, time.Now())
+	b.SetRemoteLoad(load, 2, time.Now())
 	q := balance.Query{DataCentre: "dc0", Engine: true, Prompt: 500}
 	c, _ := b.Choose(es, q, time.Now())
 	require.NotEqual(t, "dc0", c.Endpoint.DataCentre)
-	q.Broke = true
+	q.EndpointLost = true
 	c, _ = b.Choose(es, q, time.Now())
 	require.Equal(t, "dc0", c.Endpoint.DataCentre)
 }
--- a/balance/entry.go
+++ b/balance/entry.go
@@ -7,11 +7,11 @@
 	"birchlink.dev/birchlink/estimate"
 )
 
-// Entry is one call at an endpoint, from its sending to its end.
-type Entry struct {
-	book  *Book
-	page  *page
-	model *estimate.Model
+// Attempt is one call at an endpoint, from its sending to its end.
+type Attempt struct {
+	balancer *Balancer
+	state    *endpointState
+	model    *estimate.Model
 
 	incarnation string
 	dataCentre  string
@@ -19,76 +19,76 @@
 	load        estimate.Load
 	expected    time.Duration
 	objective   time.Duration
-	began       time.Time
+	start       time.Time
 	trial       bool      // it began after a rest, and shows whether the endpoint runs calls again
-	first       time.Time // when the endpoint first sent something; zero before
-	last        time.Time // when it last did
+	firstEvent  time.Time // when the endpoint first sent something; zero before
+	lastEvent   time.Time // when it last did
 	events      int
 }
 
 // Begin notes that a call is sent.
-func (b *Book) Begin(e endpoint.Endpoint, c Choice, now time.Time) *Entry {
+func (b *Balancer) Begin(e endpoint.Endpoint, c Choice, now time.Time) *Attempt {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p := b.page(e.ID)
+	p := b.state(e.ID)
 	if p.running == 0 {
-		p.since = now
+		p.busySince = now
 	}
 	p.running++
 	p.tokens += c.Tokens
-	p.parts.sent(c.Parts, now)
-	trial := !p.proves.IsZero() && !now.Before(p.proves)
+	p.cached.add(c.Parts, now)
+	trial := !p.probationFrom.IsZero() && !now.Before(p.probationFrom)
 	if trial {
-		p.trying++
+		p.trials++
 	}
-	return &Entry{
-		book: b, page: p, model: b.model(e.Service), incarnation: e.Incarnation(), dataCentre: e.DataCentre, tokens: c.Tokens, load: c.Load,
-		expected: c.Expected, objective: c.Objective, began: now, trial: trial,
+	return &Attempt{
+		balancer: b, state: p, model: b.model(e.Service), incarnation: e.Incarnation(), dataCentre: e.DataCentre, tokens: c.Tokens, load: c.Load,
+		expected: c.Expected, objective: c.Objective, start: now, trial: trial,
 	}
 }
 
 // Progress notes that the endpoint sent something for this call, which it runs.
-func (n *Entry) Progress(now time.Time) {
-	n.book.mu.Lock()
-	defer n.book.mu.Unlock()
-	n.heard(now)
+func (n *Attempt) Progress(now time.Time) {
+	n.balancer.mu.Lock()
+	defer n.balancer.mu.Unlock()
+	n.recordEvent(now)
 	if n.trial {
-		n.page.proves = time.Time{}
+		n.state.probationFrom = time.Time{}
 	}
 }
 
 // Refused notes that the endpoint answered that it does not run this call.
-func (n *Entry) Refused(now time.Time) {
-	n.book.mu.Lock()
-	defer n.book.mu.Unlock()
-	n.heard(now)
+func (n *Attempt) Refused(now time.Time) {
+	n.balancer.mu.Lock()
+	defer n.balancer.mu.Unlock()
+	n.recordEvent(now)
 }
 
-// heard notes that the endpoint sent something. The lock is held.
-func (n *Entry) heard(now time.Time) {
-	n.page.progress = now
-	n.page.broken = 0
-	n.page.until = time.Time{}
-	n.book.site(n.dataCentre).until = time.Time{}
+// recordEvent notes that the endpoint sent something. The lock is held.
+func (n *Attempt) recordEvent(now time.Time) {
+	n.state.lastProgress = now
+	n.state.consecutiveFailures = 0
+	n.state.avoidedUntil = time.Time{}
+	n.balancer.dataCentre(n.dataCentre).avoidedUntil = time.Time{}
 	n.events++
-	n.last = now
-	if !n.first.IsZero() {
+	n.lastEvent = now
+	if !n.firstEvent.IsZero() {
 		return
 	}
-	n.first = now
-	n.page.tokens -= n.tokens
+	n.firstEvent = now
+	n.state.tokens -= n.tokens
 }
 
 // Answered notes that what the endpoint sent first was an answer and no failure: its
 // time tells how fast the endpoint is.
-func (n *Entry) Answered() {
-	n.book.mu.Lock()
-	defer n.book.mu.Unlock()
-	took := n.first.Sub(n.began)
-	n.model.Observe(n.load, took, n.objective, n.last)
+func (n *Attempt) Answered() {
+	n.balancer.mu.Lock()
+	defer n.balancer.mu.Unlock()
+	took := n.firstEvent.Sub(n.start)
+	n.model.Observe(n.load, took, n.objective, n.lastEvent)
 	if n.expected > 0 {
 		r := min(max(float64(took)/float64(n.expected), 0.3), 20)
-		n.page.slowness += slownessWeight * (r - n.page.slowness)
+		n.state.slowness += slownessWeight * (r - n.state.slowness)
 	}
 }
 
@@ -96,27 +96,27 @@
 // counts as a failure: it is the fastest answer of all, and would draw the calls to who gives
 // it. Where a third of the endpoints refuse nine in ten calls for some seconds 0.056 of a day's
 // requests are refused without that, 0.024 with it (means of nine days).
-func (n *Entry) End(failed bool, now time.Time) {
-	n.book.mu.Lock()
-	defer n.book.mu.Unlock()
+func (n *Attempt) End(failed bool, now time.Time) {
+	n.balancer.mu.Lock()
+	defer n.balancer.mu.Unlock()
 	if n.events > 1 {
-		n.model.ObservePause(n.load.Running, n.last.Sub(n.first)/time.Duration(n.events-1), n.last)
+		n.model.ObservePause(n.load.Running, n.lastEvent.Sub(n.firstEvent)/time.Duration(n.events-1), n.lastEvent)
 	}
-	if n.first.IsZero() {
-		n.page.tokens -= n.tokens
+	if n.firstEvent.IsZero() {
+		n.state.tokens -= n.tokens
 	}
-	n.page.running--
+	n.state.running--
 	if n.trial {
-		n.page.trying--
+		n.state.trials--
 	}
 	if !failed && n.events > 0 {
-		n.model.ObserveRun(now.Sub(n.began), now)
+		n.model.ObserveRun(now.Sub(n.start), now)
 	}
 	v := 0.0
 	if failed {
 		v = 1
 	}
-	f := n.page.ownFailing(now)
-	n.page.failures, n.page.failedAt = f+failureWeight*(v-f), now
-	n.page.calls.add(failed, now)
+	f := n.state.ownFailureRate(now)
+	n.state.failureRate, n.state.failureRateAt = f+failureWeight*(v-f), now
+	n.state.ownCalls.add(failed, now)
 }
--- a/balance/failing_test.go
+++ b/balance/failing_test.go
@@ -15,129 +15,129 @@
 	"birchlink.dev/birchlink/endpoint"
 )
 
-// failing is a line of the data file: so many of the endpoints fail a part of their calls after a
+// failureScenario is a line of the data file: so many of the endpoints fail a part of their calls after a
 // time.
-type failing struct {
-	boxes, endpoints, bad, percent int
-	after                          time.Duration
-	least                          int
+type failureScenario struct {
+	boxes, endpoints, failing, failPercent int
+	failAfter                              time.Duration
+	minServed                              int
 }
 
-// underWay is an attempt under way.
-type underWay struct {
-	end    time.Time
-	entry  *balance.Entry
-	failed bool
-	tried  map[string]bool // the endpoints of its request
-	book   *balance.Book   // of the box that has it
-	counts bool            // its request came once failures could be known
+// inFlight is an attempt under way.
+type inFlight struct {
+	end      time.Time
+	attempt  *balance.Attempt
+	failed   bool
+	tried    map[string]bool   // the endpoints of its request
+	balancer *balance.Balancer // of the box that has it
+	counted  bool              // its request came once failures could be known
 }
 
-// course is one play of a line.
-type course struct {
-	failing
-	rnd    *rand.Rand
-	books  []*balance.Book
-	all    []endpoint.Endpoint
-	calls  []underWay
-	turn   int // requests that came
-	asked  int // those that count
-	served int
+// simulation is one play of a line.
+type simulation struct {
+	failureScenario
+	rng        *rand.Rand
+	balancers  []*balance.Balancer
+	candidates []endpoint.Endpoint
+	attempts   []inFlight
+	arrived    int // requests that came
+	counted    int // those that count
+	served     int
 }
 
 // The times of a course.
 const (
-	courseStep  = time.Millisecond
-	courseEach  = 5   // steps from one request to the next
-	courseRound = 500 // steps from one exchange between the boxes to the next
-	courseTime  = 5 * time.Second
-	soundTook   = 20 * time.Millisecond
-	attempts    = 2
+	simStep        = time.Millisecond
+	arrivalSteps   = 5   // steps from one request to the next
+	exchangeSteps  = 500 // steps from one exchange between the boxes to the next
+	simDuration    = 5 * time.Second
+	healthyLatency = 20 * time.Millisecond
+	maxAttempts    = 2
 
-	// courseLearn is the time in which failures are seen and told: two rounds between boxes.
-	courseLearn = time.Second
+	// learningTime is the time in which failures are seen and told: two rounds between boxes.
+	learningTime = time.Second
 )
 
 // send makes an attempt of a request.
-func (c *course) send(b *balance.Book, tried map[string]bool, counts bool, now time.Time) {
-	ch, ok := b.Choose(c.all, balance.Query{DataCentre: "dc0", Skip: tried, Broke: len(tried) > 0 && c.after > soundTook}, now)
+func (c *simulation) send(b *balance.Balancer, tried map[string]bool, counts bool, now time.Time) {
+	ch, ok := b.Choose(c.candidates, balance.Query{DataCentre: "dc0", Skip: tried, EndpointLost: len(tried) > 0 && c.failAfter > healthyLatency}, now)
 	if !ok {
 		return
 	}
 	tried[ch.Endpoint.Incarnation()] = true
-	x := underWay{end: now.Add(soundTook), entry: b.Begin(ch.Endpoint, ch, now), tried: tried, book: b, counts: counts}
-	if index(c.all, ch.Endpoint.ID) < c.bad && c.rnd.IntN(100) < c.percent {
-		x.failed, x.end = true, now.Add(c.after)
+	x := inFlight{end: now.Add(healthyLatency), attempt: b.Begin(ch.Endpoint, ch, now), tried: tried, balancer: b, counted: counts}
+	if indexOf(c.candidates, ch.Endpoint.ID) < c.failing && c.rng.IntN(100) < c.failPercent {
+		x.failed, x.end = true, now.Add(c.failAfter)
 	}
-	c.calls = append(c.calls, x)
+	c.attempts = append(c.attempts, x)
 }
 
-// end ends an attempt; what failed goes on elsewhere if it may.
-func (c *course) end(x underWay, now time.Time) {
+// finish ends an attempt; what failed goes on elsewhere if it may.
+func (c *simulation) finish(x inFlight, now time.Time) {
 	if !x.failed {
-		x.entry.Progress(now)
-		x.entry.Answered()
-		x.entry.End(false, now)
-		if x.counts {
+		x.attempt.Progress(now)
+		x.attempt.Answered()
+		x.attempt.End(false, now)
+		if x.counted {
 			c.served++
 		}
 		return
 	}
-	x.entry.Refused(now)
-	x.entry.End(true, now)
-	if len(x.tried) < attempts {
-		c.send(x.book, x.tried, x.counts, now)
+	x.attempt.Refused(now)
+	x.attempt.End(true, now)
+	if len(x.tried) < maxAttempts {
+		c.send(x.balancer, x.tried, x.counted, now)
 	}
 }
 
-// tell lets all boxes, of one data centre, tell each other.
-func (c *course) tell(now time.Time) {
-	told := make([]map[string]balance.Calls, len(c.books))
-	for i, b := range c.books {
-		told[i] = b.Failing(now)
+// exchange lets all boxes, of one data centre, tell each other.
+func (c *simulation) exchange(now time.Time) {
+	told := make([]map[string]balance.CallCounts, len(c.balancers))
+	for i, b := range c.balancers {
+		told[i] = b.FailureReport(now)
 	}
-	for i, b := range c.books {
-		others := map[string]balance.Calls{}
+	for i, b := range c.balancers {
+		others := map[string]balance.CallCounts{}
 		for j, of := range told {
 			for id, x := range of {
 				if j != i {
-					others[id] = balance.Calls{All: others[id].All + x.All, Failed: others[id].Failed + x.Failed}
+					others[id] = balance.CallCounts{Total: others[id].Total + x.Total, Failed: others[id].Failed + x.Failed}
 				}
 			}
 		}
-		b.Tell(nil, len(c.books)-1, now)
-		b.Peers(len(c.books)-1, 0)
-		b.TellFailing(others, now)
+		b.SetRemoteLoad(nil, len(c.balancers)-1, now)
+		b.SetPeers(len(c.balancers)-1, 0)
+		b.SetRemoteFailures(others, now)
 	}
 }
 
-// play returns how many of 1,000 requests were answered.
-func (c *course) play() int {
-	for n := 0; n < int(courseTime/courseStep); n++ {
-		now := epoch.Add(time.Duration(n) * courseStep)
-		if n%courseRound == 0 {
-			c.tell(now)
+// run returns how many of 1,000 requests were answered.
+func (c *simulation) run() int {
+	for n := 0; n < int(simDuration/simStep); n++ {
+		now := epoch.Add(time.Duration(n) * simStep)
+		if n%exchangeSteps == 0 {
+			c.exchange(now)
 		}
-		ended := c.calls
-		c.calls = nil
+		ended := c.attempts
+		c.attempts = nil
 		for _, x := range ended {
 			if now.Before(x.end) {
-				c.calls = append(c.calls, x)
+				c.attempts = append(c.attempts, x)
 				continue
 			}
-			c.end(x, now)
+			c.finish(x, now)
 		}
-		if n%courseEach != 0 {
+		if n%arrivalSteps != 0 {
 			continue
 		}
-		counts := now.Sub(epoch) >= courseLearn
+		counts := now.Sub(epoch) >= learningTime
 		if counts {
-			c.asked++
+			c.counted++
 		}
-		c.turn++
-		c.send(c.books[c.turn%len(c.books)], map[string]bool{}, counts, now)
+		c.arrived++
+		c.send(c.balancers[c.arrived%len(c.balancers)], map[string]bool{}, counts, now)
 	}
-	return c.served * 1000 / (c.asked - len(c.calls))
+	return c.served * 1000 / (c.counted - len(c.attempts))
 }
 
 // Where a part of the endpoints fails a part of its calls, sooner than they answer or later,
@@ -150,20 +150,20 @@
 		if strings.HasPrefix(r.Text(), "#") {
 			continue
 		}
-		var f failing
+		var f failureScenario
 		var after string
-		_, err := fmt.Sscan(r.Text(), &f.boxes, &f.endpoints, &f.bad, &f.percent, &after, &f.least)
+		_, err := fmt.Sscan(r.Text(), &f.boxes, &f.endpoints, &f.failing, &f.failPercent, &after, &f.minServed)
 		require.NoError(t, err, r.Text())
-		f.after, err = time.ParseDuration(after)
+		f.failAfter, err = time.ParseDuration(after)
 		require.NoError(t, err, r.Text())
 		for seed := range uint64(2) {
 			rnd := rand.New(rand.NewPCG(seed, 3))
-			c := &course{failing: f, rnd: rnd, all: endpoints(f.endpoints)}
+			c := &simulation{failureScenario: f, rng: rnd, candidates: endpoints(f.endpoints)}
 			for range f.boxes {
-				c.books = append(c.books, &balance.Book{Chance: rnd.Float64})
+				c.balancers = append(c.balancers, &balance.Balancer{Rand: rnd.Float64})
 			}
-			n := c.play()
-			require.GreaterOrEqual(t, n, f.least, "%s, seed %d", r.Text(), seed)
+			n := c.run()
+			require.GreaterOrEqual(t, n, f.minServed, "%s, seed %d", r.Text(), seed)
 		}
 	}
 }
--- a/balance/rest_test.go
+++ b/balance/rest_test.go
@@ -14,51 +14,51 @@
 var epoch = time.Unix(1_000_000, 0)
 
 // refuse sends a request where the book chooses, and has it refused with a wish for rest.
-func refuse(t *testing.T, b *balance.Book, es []endpoint.Endpoint, rest time.Duration, now time.Time) {
+func refuse(t *testing.T, b *balance.Balancer, es []endpoint.Endpoint, rest time.Duration, now time.Time) {
 	t.Helper()
 	c, ok := b.Choose(es, balance.Query{}, now)
 	require.True(t, ok)
 	n := b.Begin(c.Endpoint, c, now)
-	n.Rest(rest, now)
+	n.BackOff(rest, now)
 	n.Refused(now)
 	n.End(false, now)
 }
 
 // An endpoint that rests is chosen by none, also as the only one, and again from the moment on
 // at which its rest ends. Callers are told that moment, or up to a fifth more.
-func TestRest(t *testing.T) {
-	b := &balance.Book{}
+func TestBackOff(t *testing.T) {
+	b := &balance.Balancer{}
 	es := endpoints(1)
 	refuse(t, b, es, 3*time.Second, epoch)
 	for _, d := range []time.Duration{0, time.Second, 3*time.Second - 1} {
 		_, ok := b.Choose(es, balance.Query{}, epoch.Add(d))
 		require.False(t, ok)
-		require.Equal(t, 3*time.Second-d, b.Back(es, epoch.Add(d)))
-		require.Equal(t, 1, b.Available.Resting(epoch.Add(d)))
+		require.Equal(t, 3*time.Second-d, b.RetryAfter(es, epoch.Add(d)))
+		require.Equal(t, 1, b.Availability.CountBackingOff(epoch.Add(d)))
 	}
-	b.Chance = func() float64 { return 1 }
-	require.Equal(t, 3600*time.Millisecond, b.Back(es, epoch))
+	b.Rand = func() float64 { return 1 }
+	require.Equal(t, 3600*time.Millisecond, b.RetryAfter(es, epoch))
 	_, ok := b.Choose(es, balance.Query{}, epoch.Add(3*time.Second))
 	require.True(t, ok)
-	require.Zero(t, b.Back(es, epoch.Add(3*time.Second)))
-	require.Zero(t, b.Available.Resting(epoch.Add(3*time.Second)))
+	require.Zero(t, b.RetryAfter(es, epoch.Add(3*time.Second)))
+	require.Zero(t, b.Availability.CountBackingOff(epoch.Add(3*time.Second)))
 }
 
 // Where one endpoint takes calls there is nothing to wait for, and where none is known neither.
-func TestBackWithOthers(t *testing.T) {
-	b := &balance.Book{}
+func TestRetryAfterSeveralEndpoints(t *testing.T) {
+	b := &balance.Balancer{}
 	es := endpoints(2)
-	require.Zero(t, b.Back(nil, epoch))
+	require.Zero(t, b.RetryAfter(nil, epoch))
 	refuse(t, b, es, 3*time.Second, epoch)
-	require.Zero(t, b.Back(es, epoch))
+	require.Zero(t, b.RetryAfter(es, epoch))
 	refuse(t, b, es, time.Second, epoch)
-	require.Equal(t, time.Second, b.Back(es, epoch))
+	require.Equal(t, time.Second, b.RetryAfter(es, epoch))
 }
 
 // After its rest an endpoint gets one call at a time until it runs one; one that was under way
 // before the rest shows nothing.
-func TestAfterRest(t *testing.T) {
-	b := &balance.Book{}
+func TestTrialAfterBackOff(t *testing.T) {
+	b := &balance.Balancer{}
 	es := endpoints(1)
 	c, _ := b.Choose(es, balance.Query{}, epoch)
 	before := b.Begin(c.Endpoint, c, epoch)
@@ -79,12 +79,12 @@
 
 // One of four endpoints refuses each call in a moment, and asks for no rest. It draws few calls,
 // and gets its part again once it has served for as long as its refusals count.
-func TestRefusalsDrawNoCalls(t *testing.T) {
-	b := &balance.Book{}
+func TestRefusalsAttractNoCalls(t *testing.T) {
+	b := &balance.Balancer{}
 	es := endpoints(4)
 	calls := func(from time.Time, n int, refuses bool) int {
 		drawn := 0
-		var under []*balance.Entry // way, each for 6 steps
+		var under []*balance.Attempt // way, each for 6 steps
 		for i := range n {
 			now := from.Add(time.Duration(i) * 10 * time.Millisecond)
 			if len(under) >= 6 {
@@ -113,14 +113,14 @@
 	require.Greater(t, calls(epoch.Add(time.Minute), 500, false), 50)
 }
 
-// TestAnyRest plays endpoints that turn calls away for a while, ask for rests of any length, and
+// TestRandomBackOffs plays endpoints that turn calls away for a while, ask for rests of any length, and
 // serve again. No call goes to one that rests, and each is as good as any from the end of its rest
 // on.
-func TestAnyRest(t *testing.T) {
+func TestRandomBackOffs(t *testing.T) {
 	const step, length = 2 * time.Millisecond, 20 * time.Second
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		b := &balance.Book{Chance: r.Float64}
+		b := &balance.Balancer{Rand: r.Float64}
 		es := endpoints(1 + r.IntN(12))
 		until := make([]time.Time, len(es)) // the end of the rest asked for
 		bad := make([]time.Time, len(es))   // until when the endpoint turns calls away
@@ -130,15 +130,15 @@
 			}
 			c, ok := b.Choose(es, balance.Query{DataCentre: "dc0"}, now)
 			if !ok {
-				require.Positive(t, b.Back(es, now), "seed %d", seed)
+				require.Positive(t, b.RetryAfter(es, now), "seed %d", seed)
 				continue
 			}
-			i := index(es, c.Endpoint.ID)
+			i := indexOf(es, c.Endpoint.ID)
 			require.False(t, now.Before(until[i]), "seed %d: an endpoint that rests is used", seed)
 			n := b.Begin(c.Endpoint, c, now)
 			if now.Before(bad[i]) {
 				rest := time.Duration(r.IntN(3000)) * time.Millisecond
-				n.Rest(rest, now)
+				n.BackOff(rest, now)
 				until[i] = now.Add(rest)
 				n.Refused(now)
 			} else {
@@ -155,7 +155,7 @@
 	}
 }
 
-func index(es []endpoint.Endpoint, id string) int {
+func indexOf(es []endpoint.Endpoint, id string) int {
 	for i := range es {
 		if es[i].ID == id {
 			return i
--- a/balance/speeds.go
+++ b/balance/speeds.go
@@ -7,13 +7,13 @@
 )
 
 // Model returns what is known of how fast a service's endpoints are.
-func (b *Book) Model(service string) *estimate.Model {
+func (b *Balancer) Model(service string) *estimate.Model {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.model(service)
 }
 
-func (b *Book) model(service string) *estimate.Model {
+func (b *Balancer) model(service string) *estimate.Model {
 	if b.models == nil {
 		b.models = map[string]*estimate.Model{}
 	}
@@ -25,8 +25,8 @@
 	return m
 }
 
-// Recall takes in what a box before this one had observed.
-func (b *Book) Recall(speeds map[string]estimate.Stats, now time.Time) {
+// Restore takes in what a box before this one had observed.
+func (b *Balancer) Restore(speeds map[string]estimate.Stats, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for n, s := range speeds {
@@ -34,8 +34,8 @@
 	}
 }
 
-// Speeds returns what this box has observed of each service.
-func (b *Book) Speeds(now time.Time) map[string]estimate.Stats {
+// OwnStats returns what this box has observed of each service.
+func (b *Balancer) OwnStats(now time.Time) map[string]estimate.Stats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[string]estimate.Stats{}
@@ -45,8 +45,8 @@
 	return out
 }
 
-// AllSpeeds returns what all boxes have observed of each service.
-func (b *Book) AllSpeeds(now time.Time) map[string]estimate.Stats {
+// Stats returns what all boxes have observed of each service.
+func (b *Balancer) Stats(now time.Time) map[string]estimate.Stats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[string]estimate.Stats{}
@@ -56,8 +56,8 @@
 	return out
 }
 
-// TellSpeeds replaces what the other boxes have observed of the services.
-func (b *Book) TellSpeeds(sum map[string]estimate.Stats) {
+// SetRemoteStats replaces what the other boxes have observed of the services.
+func (b *Balancer) SetRemoteStats(sum map[string]estimate.Stats) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for n, s := range sum {
--- a/balance/spread_test.go
+++ b/balance/spread_test.go
@@ -15,7 +15,7 @@
 // Where 985 boxes sent half a request a second each to 305 plain endpoints, 123 of these got none
 // and the busiest ten times the mean: where nothing was under way each box chose the first that it
 // had looked at, in the order of IDs. Each of equal ones is as likely now.
-func TestEqualEndpointsAreEquallyLikely(t *testing.T) {
+func TestChooseSpreadsOverEqualEndpoints(t *testing.T) {
 	es := make([]endpoint.Endpoint, 305)
 	for i := range es {
 		es[i] = endpoint.Endpoint{ID: fmt.Sprintf("e%03d", i), Service: "s", Slots: 6, DataCentre: fmt.Sprint("dc", i%5)}
@@ -23,9 +23,9 @@
 	sent := map[string]int{}
 	now := time.Now()
 	for i := range 985 {
-		b := &balance.Book{Chance: rand.New(rand.NewPCG(uint64(i), 0)).Float64}
-		b.Tell(nil, 984, now)
-		b.Peers(196, 0)
+		b := &balance.Balancer{Rand: rand.New(rand.NewPCG(uint64(i), 0)).Float64}
+		b.SetRemoteLoad(nil, 984, now)
+		b.SetPeers(196, 0)
 		for range 2 {
 			c, ok := b.Choose(es, balance.Query{DataCentre: fmt.Sprint("dc", i%5)}, now)
 			require.True(t, ok)
--- a/compare/fleet.go
+++ b/compare/fleet.go
@@ -125,7 +125,7 @@
 	if err != nil {
 		panic(err) // the size is above zero
 	}
-	e := &engine{hash: rendezvous.Key(n), cache: m, Endpoint: fleet.Endpoint{
+	e := &engine{hash: rendezvous.Hash(n), cache: m, Endpoint: fleet.Endpoint{
 		Box:  fleet.Box{Name: n, DataCentre: b.DataCentre, Role: fleet.EngineRole, Class: b.Class, Reclaimable: b.Reclaimable, State: fleet.Live},
 		Load: fleet.Load{Incarnation: n, Slots: c.Slots, TokensPerSecond: c.TokensPerSecond},
 	}}
--- a/compare/requests.go
+++ b/compare/requests.go
@@ -124,7 +124,7 @@
 // give routes one request, and counts what it costs where it went.
 func (s *state) give(r *routed, u running, p router.Policy, held map[uint64]string) {
 	q, workload := u.request, u.workload
-	prefix := q.prefix ^ rendezvous.Key(workload)
+	prefix := q.prefix ^ rendezvous.Hash(workload)
 	var ts []router.Target
 	var es []*engine
 	for _, e := range s.engines {
@@ -134,7 +134,7 @@
 		es = append(es, e)
 		ts = append(ts, router.Target{
 			Box: e.Name, Hash: e.hash, Busy: e.busy, Slots: e.Slots, TokensPerSecond: e.TokensPerSecond,
-			Preference: s.document.Preference(workload, e.Box), Held: held[prefix] == e.Name,
+			Preference: s.document.Preference(workload, e.Box), PrefixCached: held[prefix] == e.Name,
 		})
 	}
 	c := p.Pick(ts, router.Query{Prefix: prefix, PromptTokens: q.prompt, AnswerTokens: q.tokens, Urgent: q.kind.Urgent()})
--- a/compare/run.go
+++ b/compare/run.go
@@ -26,7 +26,7 @@
 // of them.
 func Choices() []Choice {
 	chosen := func(s *state) router.Policy {
-		return router.Affinity{Bound: s.document.Targets.LoadBound, Recompute: s.document.Targets.RecomputeWeight}
+		return router.Affinity{LoadBound: s.document.Targets.LoadBound, RecomputeWeight: s.document.Targets.RecomputeWeight}
 	}
 	least := func(*state) router.Policy { return router.LeastLoaded{} }
 	turn := func(*state) router.Policy { return &router.RoundRobin{} }
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -104,7 +104,7 @@
 type entryParts struct {
 	settings settings.Entry
 	store    store.Store
-	book     *balance.Book
+	book     *balance.Balancer
 	budget   *budget.Budget
 	quota    *quota.Quota
 	meter    *demand.Meter
@@ -112,16 +112,16 @@
 	clock    *daytime.Clock
 	known    *known.Known
 	gossip   *gossip.Gossip
-	hints    *hint.Hints
+	hints    *hint.Service
 	reporter *reporter.Reporter // nil without that duty
 	rollouts *rollout.Holder
 
 	boxes atomic.Int64 // that this box hears, itself included
 
 	mu     sync.Mutex
-	near   []netip.AddrPort                    // that are told of long prompts at once
-	far    []netip.AddrPort                    // that are told of very long ones
-	others map[string]map[string]demand.Figure // by service and data centre
+	near   []netip.AddrPort                   // that are told of long prompts at once
+	far    []netip.AddrPort                   // that are told of very long ones
+	others map[string]map[string]demand.Stats // by service and data centre
 	// what the others have seen of versions under way
 	evidence map[string]rollout.Evidence
 
@@ -133,7 +133,7 @@
 func newEntryParts(s settings.Entry, log zerolog.Logger) *entryParts {
 	st := platform.NewStore(s.Store)
 	p := &entryParts{
-		settings: s, store: st, book: &balance.Book{Chance: rand.Float64}, quota: &quota.Quota{
+		settings: s, store: st, book: &balance.Balancer{Rand: rand.Float64}, quota: &quota.Quota{
 			Terms: quota.Terms{Window: s.QuotaWindow, Overage: s.QuotaOverage, Slack: s.QuotaSlack},
 			Self:  quota.Arbiter{Box: s.Box, DataCentre: s.DataCentre, Address: s.Peers}, Started: boottime.Now(),
 			Chance: rand.Float64,
@@ -156,7 +156,7 @@
 	q := p.gossip.Quarantine
 	q.Log = log
 	p.gossip.OnEnded = p.ended
-	p.gossip.Rates = &p.book.Available.Rates
+	p.gossip.Rates = &p.book.Availability.Rates
 	p.known.Roster.OnLeave(func(e endpoint.Endpoint) {
 		if !e.Draining {
 			q.Ended(e.Incarnation(), "its record is gone", boottime.Now())
@@ -170,7 +170,7 @@
 // stop in the reverse order, so callers are drained first.
 func entryServices(s settings.Entry, m metrics.Registry, log zerolog.Logger) []kernel.Service {
 	p := newEntryParts(s, log)
-	limits := limit.New(p.quota, &p.book.Available.Rates, m, log)
+	limits := limit.New(p.quota, &p.book.Availability.Rates, m, log)
 	f := &forward.Forwarder{
 		DataCentre: s.DataCentre, Roster: &p.known.Roster, Book: p.book, Budget: p.budget, Meter: p.meter, Quarantine: p.gossip.Quarantine, Rollouts: p.gossip.Rollouts,
 		Pool: &exchange.Pool{DialLimit: dialEndpoint}, Codec: platform.Wire{}, Began: p.began, Metrics: m, Log: log,
@@ -183,7 +183,7 @@
 		metrics.GetOrRegisterCounter("endpoints.foreign."+string(r), m).Inc(1)
 	}
 	p.hints = hint.New(log)
-	p.hints.Address, p.hints.Heard = s.Peers, p.hinted
+	p.hints.Address, p.hints.OnHint = s.Peers, p.hinted
 	o := ingress.Options{
 		Address: s.Callers, Ready: s.Ready, ReadyPath: platform.ReadyPath,
 		Notice: min(stopNotice, s.StopLimit/3), Limit: s.StopLimit - stopReserve,
@@ -209,8 +209,8 @@
 	fs.Gauge("configuration.version", func() int64 { v, _ := p.known.Raw(); return int64(v) })
 	fs.Gauge("endpoints.known", func() int64 { return int64(p.known.Roster.Len()) })
 	fs.Gauge("endpoints.leaving", func() int64 { return int64(p.known.Roster.Draining()) })
-	fs.Gauge("endpoints.resting", func() int64 { return int64(p.book.Available.Resting(boottime.Now())) })
-	fs.Gauge("endpoints.limited", func() int64 { return int64(p.book.Available.Rates.Len()) })
+	fs.Gauge("endpoints.resting", func() int64 { return int64(p.book.Availability.CountBackingOff(boottime.Now())) })
+	fs.Gauge("endpoints.limited", func() int64 { return int64(p.book.Availability.Rates.Len()) })
 	fs.Gauge("boxes.known", func() int64 { return p.boxes.Load() })
 	fs.Gauge("requests.live", func() int64 { return int64(in.Live()) })
 	fs.Gauge("contents.refused", func() int64 { return int64(len(p.gossip.Quarantine.Refused(boottime.Now()))) })
@@ -235,11 +235,13 @@
 	if s.Orders {
 		o := orders.New(log)
 		o.Box, o.Cloud, o.Election, o.Policy, o.Demand = s.Box, cl, e, scaling.Default, p.demand
-		o.Limited = func(e endpoint.Endpoint) bool { return p.book.Available.Limited(e.Incarnation(), boottime.Now()) }
+		o.Limited = func(e endpoint.Endpoint) bool {
+			return p.book.Availability.IsRateLimited(e.Incarnation(), boottime.Now())
+		}
 		o.Bears = func(service string, slots int, pause time.Duration) scaling.Bears {
 			m := p.book.Model(service)
 			return scaling.Bears{
-				Reclaimable: m.Bear(scaling.Late(p.book.Blind()), slots, pause),
+				Reclaimable: m.Bear(scaling.Late(p.book.UnobservedFraction()), slots, pause),
 				OnDemand:    m.Bear(scaling.LateOnDemand, slots, pause),
 			}
 		}
--- a/daemon/tell.go
+++ b/daemon/tell.go
@@ -24,21 +24,21 @@
 	g.Own = func() gossip.Status {
 		now := boottime.Now()
 		v, _ := p.known.Raw()
-		d := map[string]map[string]demand.Figure{}
-		for n, f := range p.meter.Figures(now) {
-			d[n] = map[string]demand.Figure{s.DataCentre: f}
+		d := map[string]map[string]demand.Stats{}
+		for n, f := range p.meter.Snapshot(now) {
+			d[n] = map[string]demand.Stats{s.DataCentre: f}
 		}
 		return gossip.Status{
 			Box: s.Box, DataCentre: s.DataCentre, Address: s.Peers, Version: v,
 			Words: p.rollouts.Words(), Evidence: p.gossip.Rollouts.Evidence(),
-			Load: p.book.Own(), Failing: p.book.Failing(now), Demand: d, Speeds: p.book.Speeds(now),
+			Load: p.book.OwnLoad(), Failing: p.book.FailureReport(now), Demand: d, Speeds: p.book.OwnStats(now),
 			Usage: []tally.Part{p.tally.Recent(s.Box+"."+p.incarnation, p.tally.Number(p.clock.At(now))-toldWindows)},
 		}
 	}
 	g.OnChange, g.Quota, g.Clock = p.heard, p.quota, p.clock
 	g.BeforeKey, g.Expect = beforeKey, p.quota.Expect
-	g.Recall = func(s map[string]estimate.Stats) { p.book.Recall(s, boottime.Now()) }
-	g.Speeds = func() map[string]estimate.Stats { return p.book.AllSpeeds(boottime.Now()) }
+	g.Recall = func(s map[string]estimate.Stats) { p.book.Restore(s, boottime.Now()) }
+	g.Speeds = func() map[string]estimate.Stats { return p.book.Stats(boottime.Now()) }
 	g.Before = func(boxes int) quota.Before {
 		t := p.known.Table()
 		if t == nil {
@@ -55,7 +55,7 @@
 	p.budget.Boxes(p.quota.MostBoxes())
 	p.follow()
 	p.book.Forget(func(id string) bool { _, ok := p.known.Roster.Get(id); return ok })
-	p.book.Available.Rates.Forget(func(incarnation string) bool {
+	p.book.Availability.Rates.Forget(func(incarnation string) bool {
 		e, ok := p.known.Roster.Get(endpoint.IDOf(incarnation))
 		return ok && e.Incarnation() == incarnation
 	}, now)
@@ -65,16 +65,16 @@
 		}
 	}
 	if p.gossip.Alone() {
-		p.book.Tell(nil, others.Boxes, now)
-		p.book.TellFailing(nil, now)
+		p.book.SetRemoteLoad(nil, others.Boxes, now)
+		p.book.SetRemoteFailures(nil, now)
 		return
 	}
 	p.mu.Lock()
 	p.others, p.evidence = others.Demand, others.Evidence
 	p.mu.Unlock()
-	p.book.Tell(others.Load, others.Boxes, now)
-	p.book.TellFailing(others.Failing, now)
-	p.book.TellSpeeds(others.Speeds)
+	p.book.SetRemoteLoad(others.Load, others.Boxes, now)
+	p.book.SetRemoteFailures(others.Failing, now)
+	p.book.SetRemoteStats(others.Speeds)
 }
 
 // ended takes in that another box found an endpoint's process to have ended. One that has
@@ -82,21 +82,21 @@
 func (p *entryParts) ended(incarnation string) {
 	id := endpoint.IDOf(incarnation)
 	if e, ok := p.known.Roster.Get(id); ok && e.Incarnation() == incarnation {
-		p.book.Ended(id, boottime.Now())
+		p.book.Crashed(id, boottime.Now())
 	}
 }
 
 // sent tells other boxes of a long prompt.
 func (p *entryParts) sent(e endpoint.Endpoint, tokens int) {
-	h := hint.Sent{Endpoint: e.ID, Tokens: tokens}
+	h := hint.Hint{Endpoint: e.ID, Tokens: tokens}
 	near, far := p.peers()
-	switch p.book.Reach(e.Service, tokens, boottime.Now()) {
-	case balance.ToAll:
-		p.hints.Tell(h, near)
-		p.hints.Tell(h, far)
-	case balance.ToNear:
-		p.hints.Tell(h, near)
-	case balance.ToNone:
+	switch p.book.HintScope(e.Service, tokens, boottime.Now()) {
+	case balance.HintAll:
+		p.hints.Send(h, near)
+		p.hints.Send(h, far)
+	case balance.HintNearby:
+		p.hints.Send(h, near)
+	case balance.HintNone:
 	}
 }
 
@@ -104,9 +104,9 @@
 func (p *entryParts) began(account string, at time.Time) { p.tally.Add(account, p.clock.At(at)) }
 
 // hinted takes in what another box sends.
-func (p *entryParts) hinted(s hint.Sent) {
+func (p *entryParts) hinted(s hint.Hint) {
 	if e, ok := p.known.Roster.Get(s.Endpoint); ok {
-		p.book.Hear(e, s.Tokens, boottime.Now())
+		p.book.AddHint(e, s.Tokens, boottime.Now())
 	}
 }
 
@@ -124,7 +124,7 @@
 	p.mu.Lock()
 	p.near, p.far = near, far
 	p.mu.Unlock()
-	p.book.Peers(len(near), len(far))
+	p.book.SetPeers(len(near), len(far))
 }
 
 func addresses(as []string) []netip.AddrPort {
@@ -138,14 +138,14 @@
 }
 
 // demand sums up what each data centre's boxes carry for a service.
-func (p *entryParts) demand(service string) map[string]demand.Figure {
-	out := map[string]demand.Figure{}
+func (p *entryParts) demand(service string) map[string]demand.Stats {
+	out := map[string]demand.Stats{}
 	p.mu.Lock()
 	maps.Copy(out, p.others[service])
 	p.mu.Unlock()
-	own := p.meter.Figures(boottime.Now())[service]
+	own := p.meter.Snapshot(boottime.Now())[service]
 	f := out[p.settings.DataCentre]
-	out[p.settings.DataCentre] = demand.Figure{Tokens: f.Tokens + own.Tokens, Running: f.Running + own.Running}
+	out[p.settings.DataCentre] = demand.Stats{Tokens: f.Tokens + own.Tokens, Running: f.Running + own.Running}
 	return out
 }
 
--- a/demand/meter.go
+++ b/demand/meter.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// half is the half-life of the smoothed rate of tokens: a burst shows within a
+// rateHalfLife is the half-life of the smoothed rate of tokens: a burst shows within a
 // second, and the gaps between arrivals do not.
-const half = 2 * time.Second
+const rateHalfLife = 2 * time.Second
 
-// Figure is the prompt tokens to read a second, and the requests under way.
-type Figure struct {
+// Stats is the prompt tokens to read a second, and the requests under way.
+type Stats struct {
 	Tokens  float64
 	Running float64
 }
@@ -21,18 +21,18 @@
 // Meter holds the figures of one box. Its zero value is ready.
 type Meter struct {
 	mu       sync.Mutex
-	services map[string]*flow
+	services map[string]*serviceMeter
 }
 
-type flow struct {
+type serviceMeter struct {
 	tokens  float64
 	at      time.Time
 	running int
 }
 
-func (f *flow) add(tokens float64, now time.Time) {
+func (f *serviceMeter) add(tokens float64, now time.Time) {
 	const ln2 = 0.693
-	f.tokens = f.tokens*math.Exp2(-float64(now.Sub(f.at))/float64(half)) + tokens*ln2/half.Seconds()
+	f.tokens = f.tokens*math.Exp2(-float64(now.Sub(f.at))/float64(rateHalfLife)) + tokens*ln2/rateHalfLife.Seconds()
 	f.at = now
 }
 
@@ -41,11 +41,11 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.services == nil {
-		m.services = map[string]*flow{}
+		m.services = map[string]*serviceMeter{}
 	}
 	f := m.services[service]
 	if f == nil {
-		f = &flow{at: now}
+		f = &serviceMeter{at: now}
 		m.services[service] = f
 	}
 	f.add(float64(tokens), now)
@@ -57,15 +57,15 @@
 	}
 }
 
-// Figures returns the figures by service.
-func (m *Meter) Figures(now time.Time) map[string]Figure {
+// Snapshot returns the figures by service.
+func (m *Meter) Snapshot(now time.Time) map[string]Stats {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := map[string]Figure{}
+	out := map[string]Stats{}
 	for n := range maps.Keys(m.services) {
 		f := m.services[n]
 		f.add(0, now)
-		out[n] = Figure{f.tokens, float64(f.running)}
+		out[n] = Stats{f.tokens, float64(f.running)}
 	}
 	return out
 }
--- a/endpoint/pool.go
+++ b/endpoint/pool.go
@@ -52,10 +52,10 @@
 		p.change(m.id)
 		return
 	}
-	hash := rendezvous.Key(m.id)
+	hash := rendezvous.Hash(m.id)
 	p.at[m.id] = len(p.members)
 	p.members, p.hashes = append(p.members, m), append(p.hashes, hash)
-	if len(p.part) < partSize || rendezvous.Mix(box, hash) >= p.lowest.of(m) {
+	if len(p.part) < partSize || rendezvous.WeightByHash(box, hash) >= p.lowest.of(m) {
 		p.part = nil
 	}
 }
@@ -86,7 +86,7 @@
 func (p *pool) home(key uint64) string {
 	best, top := -1, uint64(0)
 	for i, h := range p.hashes {
-		if w := rendezvous.Mix(key, h); best < 0 || w > top {
+		if w := rendezvous.WeightByHash(key, h); best < 0 || w > top {
 			best, top = i, w
 		}
 	}
@@ -105,7 +105,7 @@
 		if m.own {
 			among = &own
 		}
-		among.add(m.id, rendezvous.Mix(box, p.hashes[i]))
+		among.add(m.id, rendezvous.WeightByHash(box, p.hashes[i]))
 	}
 	most := max(partOwn, partSize-len(far.ranked))
 	own.cut(most)
--- a/endpoint/roster.go
+++ b/endpoint/roster.go
@@ -111,7 +111,7 @@
 		r.pool(old.Service).remove(e.ID)
 	}
 	if !e.Draining {
-		r.pool(e.Service).put(member{e.ID, e.DataCentre == r.DataCentre}, rendezvous.Key(r.Box))
+		r.pool(e.Service).put(member{e.ID, e.DataCentre == r.DataCentre}, rendezvous.Hash(r.Box))
 	}
 }
 
@@ -152,7 +152,7 @@
 	defer r.mu.Unlock()
 	p := r.pool(service)
 	if p.part == nil {
-		p.part = r.named(p.choose(rendezvous.Key(r.Box)))
+		p.part = r.named(p.choose(rendezvous.Hash(r.Box)))
 	}
 	return p.part, len(p.part) == len(p.members)
 }
@@ -162,7 +162,7 @@
 func (r *Roster) Home(service, key string) (Endpoint, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e, ok := r.all[r.pool(service).home(rendezvous.Key(key))]
+	e, ok := r.all[r.pool(service).home(rendezvous.Hash(key))]
 	return e, ok
 }
 
--- a/engine/client.go
+++ b/engine/client.go
@@ -117,7 +117,7 @@
 	}
 	if a.StatusCode != http.StatusOK {
 		defer a.Body.Close()
-		if d := rest.Of(a.Header); d > 0 && a.StatusCode == http.StatusServiceUnavailable {
+		if d := rest.ParseRetryAfter(a.Header); d > 0 && a.StatusCode == http.StatusServiceUnavailable {
 			return nil, &RestError{d}
 		}
 		return nil, refusal(a.StatusCode)
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -140,7 +140,7 @@
 	t.Helper()
 	s := &script{t: t, fakes: map[string]*fake{}}
 	s.f = &forward.Forwarder{
-		Roster: &endpoint.Roster{}, Rollouts: &rollout.Gate{}, Book: &balance.Book{}, Pool: &exchange.Pool{DialLimit: time.Second},
+		Roster: &endpoint.Roster{}, Rollouts: &rollout.Gate{}, Book: &balance.Balancer{}, Pool: &exchange.Pool{DialLimit: time.Second},
 		Budget: budget.New(budget.Terms{Ratio: 1, Slack: 1000, Window: time.Minute}), Meter: &demand.Meter{}, Quarantine: &quarantine.Quarantine{},
 		Codec: codec{}, Began: func(string, time.Time) { s.began++ }, Sent: func(endpoint.Endpoint, int) {}, Ended: func(endpoint.Endpoint) {}, Leaves: func(endpoint.Endpoint) {},
 		Stated:  func(stated.Word) {},
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -76,7 +76,7 @@
 type Forwarder struct {
 	DataCentre string
 	Roster     *endpoint.Roster
-	Book       *balance.Book
+	Book       *balance.Balancer
 	Pool       *exchange.Pool
 	Budget     *budget.Budget
 	Meter      *demand.Meter
@@ -111,11 +111,11 @@
 // or none is known.
 func (f *Forwarder) back(service string) time.Duration {
 	es, whole := f.Roster.Part(service)
-	left := f.Book.Back(es, boottime.Now())
+	left := f.Book.RetryAfter(es, boottime.Now())
 	if left == 0 || whole {
 		return left
 	}
-	return f.Book.Back(f.Roster.Serving(service), boottime.Now())
+	return f.Book.RetryAfter(f.Roster.Serving(service), boottime.Now())
 }
 
 // Do carries a request to its end. A nil error means that the sink has the whole
--- a/forward/permit.go
+++ b/forward/permit.go
@@ -34,7 +34,7 @@
 // endpoint whose rate is used up is not chosen by this box until there is more.
 func (r *run) permit(c context.Context, p *permits, e endpoint.Endpoint) bool {
 	now := boottime.Now()
-	available := &r.f.Book.Available
+	available := &r.f.Book.Availability
 	l, age := available.Rates.Limit(e.Incarnation(), now)
 	r.permitted = l.Named
 	if !l.Named {
@@ -44,7 +44,7 @@
 	if a.OK {
 		return true
 	}
-	available.Defer(e.Incarnation(), l.PerSecond, a.After, boottime.Now())
+	available.SkipFor(e.Incarnation(), l.PerSecond, a.After, boottime.Now())
 	if !p.refused || a.After < p.first {
 		p.refused, p.first = true, a.After
 	}
@@ -58,6 +58,6 @@
 // one may have named a limit, or asked for rest, while a connection was made.
 func (r *run) may(e endpoint.Endpoint) bool {
 	now := boottime.Now()
-	a := &r.f.Book.Available
-	return r.f.serves(e) && !a.Rests(e.Incarnation(), now) && (r.permitted || !a.Limited(e.Incarnation(), now))
+	a := &r.f.Book.Availability
+	return r.f.serves(e) && !a.IsBackingOff(e.Incarnation(), now) && (r.permitted || !a.IsRateLimited(e.Incarnation(), now))
 }
--- a/forward/rollout.go
+++ b/forward/rollout.go
@@ -24,7 +24,7 @@
 	if p.Any() {
 		return f.find(service, q)
 	}
-	q.Takes = func(e *endpoint.Endpoint) bool { return p.Takes(e.Version) }
+	q.Eligible = func(e *endpoint.Endpoint) bool { return p.Takes(e.Version) }
 	if ch, some, ok = f.find(service, q); ok {
 		return ch, some, ok
 	}
@@ -32,7 +32,7 @@
 	if p.Not != "" && (stage == rollout.Reverted || f.serve(service, rollout.Pass{Not: version})) {
 		return ch, some, false
 	}
-	q.Takes = nil
+	q.Eligible = nil
 	return f.find(service, q)
 }
 
@@ -61,7 +61,7 @@
 	if out.events == 0 {
 		return false
 	}
-	if ch.Usual > 0 && out.first.Sub(sent) > slowTimes*ch.Usual {
+	if ch.TypicalFirstEvent > 0 && out.first.Sub(sent) > slowTimes*ch.TypicalFirstEvent {
 		return true
 	}
 	if out.events < leastEvents || ch.Pause <= 0 {
--- a/forward/run.go
+++ b/forward/run.go
@@ -238,7 +238,7 @@
 		if ok && r.permit(c, &p, ch.Endpoint) {
 			return ch, true
 		}
-		r.back, q.Unlimited = p.first, p.over()
+		r.back, q.UnlimitedOnly = p.first, p.over()
 		if ok {
 			continue
 		}
@@ -253,8 +253,8 @@
 // among all of the service. It also reports whether there are any.
 func (f *Forwarder) find(service string, q balance.Query) (ch balance.Choice, some, ok bool) {
 	es, whole := f.Roster.Part(service)
-	if k := q.HomeKey(); k != "" && !whole {
-		q.Home, _ = f.Roster.Home(service, k)
+	if k := q.PreferredKey(); k != "" && !whole {
+		q.Preferred, _ = f.Roster.Home(service, k)
 	}
 	ch, ok = f.Book.Choose(es, q, boottime.Now())
 	if ok || whole {
@@ -266,12 +266,12 @@
 
 func (r *run) query() balance.Query {
 	q := balance.Query{
-		DataCentre: r.f.DataCentre, Engine: r.q.Service.Engine != nil, Skip: r.skip, Broke: r.ran || r.dials > 0,
+		DataCentre: r.f.DataCentre, Engine: r.q.Service.Engine != nil, Skip: r.skip, EndpointLost: r.ran || r.dials > 0,
 		Objective: r.q.Route.Objective,
 		Parts:     r.q.Call.Parts, Prompt: r.q.Call.PromptTokens,
 	}
 	// The last part belongs to the request or to its session.
-	q.Shared = max(len(q.Parts)-1, 0)
+	q.SharedParts = max(len(q.Parts)-1, 0)
 	n := 0
 	for _, p := range q.Parts {
 		n += p.Tokens
--- a/forward/suspect.go
+++ b/forward/suspect.go
@@ -39,7 +39,7 @@
 // ended notes that an endpoint refuses connections: its process has ended.
 func (r *run) ended(e endpoint.Endpoint) {
 	now := boottime.Now()
-	r.f.Book.Ended(e.ID, now)
+	r.f.Book.Crashed(e.ID, now)
 	r.f.Quarantine.Ended(e.Incarnation(), "it refuses connections", now)
 	r.f.Ended(e)
 }
--- a/forward/take.go
+++ b/forward/take.go
@@ -25,10 +25,10 @@
 var errSink = errors.New("the caller does not read")
 
 // take reads one answer.
-func (r *run) take(a *exchange.Answer, n *balance.Entry, w *watch, sent time.Time) ended {
+func (r *run) take(a *exchange.Answer, n *balance.Attempt, w *watch, sent time.Time) ended {
 	o := r.f.Codec.Outcome(a.Status, a.Header)
 	r.hear(o)
-	n.Rest(o.Rest, boottime.Now())
+	n.BackOff(o.Rest, boottime.Now())
 	if o.NotRun {
 		n.Refused(boottime.Now())
 		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxAnswer))
@@ -100,7 +100,7 @@
 	if s.Limit.Named {
 		metrics.GetOrRegisterCounter("answers.says_limit", r.f.Metrics).Inc(1)
 	}
-	w, news := r.f.Book.Available.Rates.Say(e.Incarnation(), s.Limit, boottime.Now())
+	w, news := r.f.Book.Availability.Rates.Say(e.Incarnation(), s.Limit, boottime.Now())
 	if !news {
 		return
 	}
@@ -129,7 +129,7 @@
 
 // events passes on whole events as they come. The head of the first endpoint
 // that has an event is the answer's.
-func (r *run) events(a *exchange.Answer, n *balance.Entry, w *watch) ended {
+func (r *run) events(a *exchange.Answer, n *balance.Attempt, w *watch) ended {
 	rd := sse.NewReader(a.Body)
 	out := ended{breakage: recovery.Gone}
 	for {
--- a/forward/trace.go
+++ b/forward/trace.go
@@ -35,7 +35,7 @@
 	}
 	c := t.Choice
 	e.Str("endpoint", c.Endpoint.ID).Int("attempts", t.Attempts).Int("running", c.Running).Int("to_read", c.Tokens).
-		Dur("expected", c.Expected).Dur("first", t.First).Dur("load_age", c.Age)
+		Dur("expected", c.Expected).Dur("first", t.First).Dur("load_age", c.LoadAge)
 	t.said(e)
 }
 
--- a/forward/watch.go
+++ b/forward/watch.go
@@ -60,7 +60,7 @@
 		if w.over {
 			return
 		}
-		if time.Since(w.last) > w.limit && r.f.Book.Silent(e.ID, boottime.Now()) > w.limit {
+		if time.Since(w.last) > w.limit && r.f.Book.UnresponsiveFor(e.ID, boottime.Now()) > w.limit {
 			r.f.Book.Avoid(e, boottime.Now())
 			cancel(errSilent)
 			return
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -106,7 +106,7 @@
 		return gossip.Status{
 			Box: name, DataCentre: dc, Address: a, Version: v,
 			Speeds: map[string]estimate.Stats{"s": {Moments: [5]float64{1}}}, Load: map[string]balance.Load{"x": {Running: 1, Tokens: 10}},
-			Failing: map[string]balance.Calls{"x": {All: 2, Failed: 1}}, Evidence: b.Rollouts.Evidence(),
+			Failing: map[string]balance.CallCounts{"x": {Total: 2, Failed: 1}}, Evidence: b.Rollouts.Evidence(),
 		}
 	}
 	b.OnChange = func(others gossip.Status) {
--- a/gossip/leavers_test.go
+++ b/gossip/leavers_test.go
@@ -53,7 +53,7 @@
 	await(t, func() bool {
 		return count(bs, func(b *box) bool {
 			others := map[string]float64{"dc0": 3, "dc1": 2}[b.DataCentre]
-			return b.sum().Failing["x"].All == 2*others && b.sum().Failing["x"].Failed == others
+			return b.sum().Failing["x"].Total == 2*others && b.sum().Failing["x"].Failed == others
 		}) == 7
 	})
 }
--- a/gossip/status.go
+++ b/gossip/status.go
@@ -36,18 +36,18 @@
 	Knows      uint64        // the sum of the peers that a member was last told
 	Now        time.Time     // the time of day there
 	Load       map[string]balance.Load
-	Works      Works                               // the endpoints whose load a member is told
-	Demand     map[string]map[string]demand.Figure // by service and data centre
+	Works      Works                              // the endpoints whose load a member is told
+	Demand     map[string]map[string]demand.Stats // by service and data centre
 	Usage      []tally.Part
-	Speeds     map[string]estimate.Stats // by service, what was observed of its endpoints; none means as last told
-	Members    []string                  // addresses of the boxes that a relay counts
-	Suspects   []quarantine.Suspect      // what was lately learnt of contents under which endpoints end
-	Judged     uint64                    // the sum of the verdicts on them that a member was last told
-	Failing    map[string]balance.Calls  // at endpoints that fail some, by the boxes of this data centre
-	Leavers    endpoint.Leavers          // the endpoints that leave ahead of their records
-	Rates      stated.Report             // what endpoints take from all boxes together
-	Orders     rollout.Orders            // of roll-outs, as a relay knows them
-	Words      map[string]rollout.Word   // on how far these are, by service
+	Speeds     map[string]estimate.Stats     // by service, what was observed of its endpoints; none means as last told
+	Members    []string                      // addresses of the boxes that a relay counts
+	Suspects   []quarantine.Suspect          // what was lately learnt of contents under which endpoints end
+	Judged     uint64                        // the sum of the verdicts on them that a member was last told
+	Failing    map[string]balance.CallCounts // at endpoints that fail some, by the boxes of this data centre
+	Leavers    endpoint.Leavers              // the endpoints that leave ahead of their records
+	Rates      stated.Report                 // what endpoints take from all boxes together
+	Orders     rollout.Orders                // of roll-outs, as a relay knows them
+	Words      map[string]rollout.Word       // on how far these are, by service
 	Evidence   map[string]rollout.Evidence
 }
 
@@ -108,11 +108,11 @@
 	}
 	for n, by := range o.Demand {
 		if s.Demand[n] == nil {
-			s.Demand[n] = map[string]demand.Figure{}
+			s.Demand[n] = map[string]demand.Stats{}
 		}
 		for dc, f := range by {
 			g := s.Demand[n][dc]
-			s.Demand[n][dc] = demand.Figure{Tokens: g.Tokens + f.Tokens, Running: g.Running + f.Running}
+			s.Demand[n][dc] = demand.Stats{Tokens: g.Tokens + f.Tokens, Running: g.Running + f.Running}
 		}
 	}
 	s.Usage = append(s.Usage, o.Usage...)
@@ -130,13 +130,13 @@
 }
 
 // addFailing sums up calls at endpoints that fail some.
-func (s *Status) addFailing(of map[string]balance.Calls) {
+func (s *Status) addFailing(of map[string]balance.CallCounts) {
 	if s.Failing == nil {
-		s.Failing = map[string]balance.Calls{}
+		s.Failing = map[string]balance.CallCounts{}
 	}
 	for id, c := range of {
 		sum := s.Failing[id]
-		s.Failing[id] = balance.Calls{All: sum.All + c.All, Failed: sum.Failed + c.Failed}
+		s.Failing[id] = balance.CallCounts{Total: sum.Total + c.Total, Failed: sum.Failed + c.Failed}
 	}
 }
 
@@ -163,6 +163,6 @@
 func empty(box, dc, address string) Status {
 	return Status{
 		Box: box, DataCentre: dc, Address: address, Load: map[string]balance.Load{},
-		Demand: map[string]map[string]demand.Figure{}, Speeds: map[string]estimate.Stats{},
+		Demand: map[string]map[string]demand.Stats{}, Speeds: map[string]estimate.Stats{},
 	}
 }
--- a/gossip/sums.go
+++ b/gossip/sums.go
@@ -126,24 +126,24 @@
 	return out
 }
 
-func (t *sum) failing(without Status) map[string]balance.Calls {
-	out := map[string]balance.Calls{}
+func (t *sum) failing(without Status) map[string]balance.CallCounts {
+	out := map[string]balance.CallCounts{}
 	for id, c := range t.all.Failing {
 		p := without.Failing[id]
-		if c.All -= p.All; c.All > 0 {
-			out[id] = balance.Calls{All: c.All, Failed: max(c.Failed-p.Failed, 0)}
+		if c.Total -= p.Total; c.Total > 0 {
+			out[id] = balance.CallCounts{Total: c.Total, Failed: max(c.Failed-p.Failed, 0)}
 		}
 	}
 	return out
 }
 
-func (t *sum) demand(without Status) map[string]map[string]demand.Figure {
-	out := make(map[string]map[string]demand.Figure, len(t.all.Demand))
+func (t *sum) demand(without Status) map[string]map[string]demand.Stats {
+	out := make(map[string]map[string]demand.Stats, len(t.all.Demand))
 	for n, by := range t.all.Demand {
-		out[n] = make(map[string]demand.Figure, len(by))
+		out[n] = make(map[string]demand.Stats, len(by))
 		for dc, f := range by {
 			p := without.Demand[n][dc]
-			out[n][dc] = demand.Figure{Tokens: max(f.Tokens-p.Tokens, 0), Running: max(f.Running-p.Running, 0)}
+			out[n][dc] = demand.Stats{Tokens: max(f.Tokens-p.Tokens, 0), Running: max(f.Running-p.Running, 0)}
 		}
 	}
 	return out
--- a/gossip/sums_test.go
+++ b/gossip/sums_test.go
@@ -18,16 +18,16 @@
 // drawn returns what a box with some calls under way tells.
 func drawn(chance *rand.Rand, name, dc string, calls, endpoints int) Status {
 	s := empty(name, dc, name)
-	s.Boxes, s.Failing = 1, map[string]balance.Calls{}
+	s.Boxes, s.Failing = 1, map[string]balance.CallCounts{}
 	for range calls {
 		id := fmt.Sprint("i-", chance.IntN(endpoints))
 		l := s.Load[id]
 		s.Load[id] = balance.Load{Running: l.Running + 1, Tokens: l.Tokens + chance.IntN(9000)}
 		if chance.IntN(20) == 0 {
-			s.Failing[id] = balance.Calls{All: 2, Failed: 1}
+			s.Failing[id] = balance.CallCounts{Total: 2, Failed: 1}
 		}
 	}
-	s.Demand["s"] = map[string]demand.Figure{dc: {Tokens: float64(calls), Running: 1}}
+	s.Demand["s"] = map[string]demand.Stats{dc: {Tokens: float64(calls), Running: 1}}
 	s.Speeds["s"] = estimate.Stats{Moments: [5]float64{float64(calls)}, Classes: map[int]estimate.Class{calls: {Count: 1}}}
 	return s
 }
--- a/hint/hint.go
+++ b/hint/hint.go
@@ -29,16 +29,16 @@
 	maxTokens = 10_000_000
 )
 
-// Sent is a prompt that a box sends to an endpoint, with the tokens to be read there.
-type Sent struct {
+// Hint is a prompt that a box sends to an endpoint, with the tokens to be read there.
+type Hint struct {
 	Endpoint string `msgpack:"e"`
 	Tokens   int    `msgpack:"t"`
 }
 
-// Hints is the service of one box. Heard is called with what others send.
-type Hints struct {
+// Service is the service of one box. Heard is called with what others send.
+type Service struct {
 	Address string
-	Heard   func(Sent)
+	OnHint  func(Hint)
 
 	log   zerolog.Logger
 	conn  *net.UDPConn
@@ -46,13 +46,13 @@
 }
 
 // New returns the service. Its exported fields are to be set before it starts.
-func New(log zerolog.Logger) *Hints { return &Hints{log: log} }
+func New(log zerolog.Logger) *Service { return &Service{log: log} }
 
 // Name returns the service's name.
-func (h *Hints) Name() string { return Name }
+func (h *Service) Name() string { return Name }
 
 // Start listens for other boxes' hints. Where that fails the box serves without them.
-func (h *Hints) Start(context.Context, *kernel.Kernel) error {
+func (h *Service) Start(context.Context, *kernel.Kernel) error {
 	conn, err := listen(h.Address)
 	if err != nil {
 		h.log.Error().Str("event", "hint").Str("address", h.Address).Err(err).Msg("serving without hints")
@@ -76,7 +76,7 @@
 }
 
 // Stop ends the service.
-func (h *Hints) Stop(context.Context) error {
+func (h *Service) Stop(context.Context) error {
 	if h.conn == nil {
 		return nil
 	}
@@ -85,17 +85,17 @@
 	return err
 }
 
-// Listening returns the address at which hints are heard, once the service has
+// Addr returns the address at which hints are heard, once the service has
 // started; it is not valid where there is none.
-func (h *Hints) Listening() netip.AddrPort {
+func (h *Service) Addr() netip.AddrPort {
 	if h.conn == nil {
 		return netip.AddrPort{}
 	}
 	return h.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// Tell sends a hint to some boxes. It does not wait for any.
-func (h *Hints) Tell(s Sent, to []netip.AddrPort) {
+// Send sends a hint to some boxes. It does not wait for any.
+func (h *Service) Send(s Hint, to []netip.AddrPort) {
 	if h.conn == nil {
 		return
 	}
@@ -111,18 +111,18 @@
 	}
 }
 
-func (h *Hints) read() {
+func (h *Service) read() {
 	b := make([]byte, maxSize)
 	for {
 		n, from, err := h.conn.ReadFromUDPAddrPort(b)
 		if err != nil {
 			return
 		}
-		var s Sent
+		var s Hint
 		if err := msgpack.Unmarshal(b[:n], &s); err != nil || s.Tokens <= 0 || s.Tokens > maxTokens {
 			h.log.Debug().Str("event", "hint").Stringer("from", from).Err(err).Msg("not understood")
 			continue
 		}
-		h.Heard(s)
+		h.OnHint(s)
 	}
 }
--- a/hint/hint_test.go
+++ b/hint/hint_test.go
@@ -11,43 +11,43 @@
 	"birchlink.dev/birchlink/hint"
 )
 
-// start returns a box's hints on loopback, and what it hears.
-func start(t *testing.T) (*hint.Hints, chan hint.Sent) {
+// startService returns a box's hints on loopback, and what it hears.
+func startService(t *testing.T) (*hint.Service, chan hint.Hint) {
 	t.Helper()
-	heard := make(chan hint.Sent, 10)
+	heard := make(chan hint.Hint, 10)
 	h := hint.New(zerolog.Nop())
-	h.Address, h.Heard = "127.0.0.1:0", func(s hint.Sent) { heard <- s }
+	h.Address, h.OnHint = "127.0.0.1:0", func(s hint.Hint) { heard <- s }
 	require.NoError(t, h.Start(t.Context(), nil))
 	t.Cleanup(func() { require.NoError(t, h.Stop(t.Context())) })
 	return h, heard
 }
 
 // What one box tells, all its peers hear; what is no hint is passed over.
-func TestTold(t *testing.T) {
-	one, heardOne := start(t)
-	two, heardTwo := start(t)
-	peers := []netip.AddrPort{one.Listening(), two.Listening()}
-	teller, _ := start(t)
-	c, err := net.Dial("udp", one.Listening().String())
+func TestSend(t *testing.T) {
+	one, heardOne := startService(t)
+	two, heardTwo := startService(t)
+	peers := []netip.AddrPort{one.Addr(), two.Addr()}
+	teller, _ := startService(t)
+	c, err := net.Dial("udp", one.Addr().String())
 	require.NoError(t, err)
 	defer c.Close()
 	for _, b := range []string{"", "no hint", "\x82\xa1e\xa1x\xa1t\xff", "\x82\xa1e\xa1x\xa1t\xce\xff\xff\xff\xff"} {
 		_, err := c.Write([]byte(b))
 		require.NoError(t, err)
 	}
-	s := hint.Sent{Endpoint: "e1", Tokens: 9000}
-	teller.Tell(s, peers)
+	s := hint.Hint{Endpoint: "e1", Tokens: 9000}
+	teller.Send(s, peers)
 	require.Equal(t, s, <-heardOne)
 	require.Equal(t, s, <-heardTwo)
 }
 
 // A box whose address for hints is taken serves without them.
 func TestAddressTaken(t *testing.T) {
-	one, _ := start(t)
+	one, _ := startService(t)
 	h := hint.New(zerolog.Nop())
-	h.Address = one.Listening().String()
+	h.Address = one.Addr().String()
 	require.NoError(t, h.Start(t.Context(), nil))
-	h.Tell(hint.Sent{Endpoint: "e1", Tokens: 1}, nil)
-	require.False(t, h.Listening().IsValid())
+	h.Send(hint.Hint{Endpoint: "e1", Tokens: 1}, nil)
+	require.False(t, h.Addr().IsValid())
 	require.NoError(t, h.Stop(t.Context()))
 }
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -129,7 +129,7 @@
 		},
 	}, b.store, zerolog.Nop())
 	f := &forward.Forwarder{
-		Roster: &b.known.Roster, Book: &balance.Book{}, Pool: &exchange.Pool{DialLimit: time.Second}, Meter: &demand.Meter{}, Quarantine: &quarantine.Quarantine{},
+		Roster: &b.known.Roster, Book: &balance.Balancer{}, Pool: &exchange.Pool{DialLimit: time.Second}, Meter: &demand.Meter{}, Quarantine: &quarantine.Quarantine{},
 		Rollouts: &rollout.Gate{},
 		Budget:   budget.New(budget.Terms{Window: time.Minute}), Codec: codec{}, Began: func(string, time.Time) {},
 		Sent: func(endpoint.Endpoint, int) {}, Ended: func(endpoint.Endpoint) {}, Leaves: func(endpoint.Endpoint) {},
--- a/member/service.go
+++ b/member/service.go
@@ -168,7 +168,7 @@
 // Owner reports whether this box is among the first n of its data centre for
 // a key, and returns the first.
 func (s *Service) Owner(key string, n int) (bool, Member) {
-	ns := rendezvous.Top(rendezvous.Key(key), s.Names(), n)
+	ns := rendezvous.Top(rendezvous.Hash(key), s.Names(), n)
 	if len(ns) == 0 {
 		return true, s.Self()
 	}
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -68,7 +68,7 @@
 	Cloud    cloudapi.Cloud
 	Election *election.Election
 	Policy   scaling.Policy
-	Demand   func(service string) map[string]demand.Figure
+	Demand   func(service string) map[string]demand.Stats
 
 	// Limited reports whether an endpoint takes a bounded rate of requests.
 	Limited func(endpoint.Endpoint) bool
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -172,13 +172,13 @@
 	e := &election.Election{Store: m, Key: "duty", Box: "box", Term: 3 * time.Second, Log: zerolog.Nop()}
 	o := orders.New(zerolog.Nop())
 	o.Box, o.Cloud, o.Election, o.Policy = "box", f, e, scaling.Default
-	o.Demand = func(string) map[string]demand.Figure {
+	o.Demand = func(string) map[string]demand.Stats {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		out := map[string]demand.Figure{}
+		out := map[string]demand.Stats{}
 		for _, dc := range dataCentres {
 			if dc != f.cut {
-				out[dc] = demand.Figure{Tokens: f.tokens}
+				out[dc] = demand.Stats{Tokens: f.tokens}
 			}
 		}
 		return out
--- a/orders/watch.go
+++ b/orders/watch.go
@@ -41,7 +41,7 @@
 
 // seen reports whether a service's demand has been seen for long enough to judge
 // it. Before that the fleet keeps the size that it was found with.
-func (o *Orders) seen(service string, load map[string]demand.Figure, now time.Time) bool {
+func (o *Orders) seen(service string, load map[string]demand.Stats, now time.Time) bool {
 	busy := false
 	for _, f := range load {
 		busy = busy || f.Tokens > 0 || f.Running > 0
--- a/plain/proxy.go
+++ b/plain/proxy.go
@@ -239,7 +239,7 @@
 		return 0
 	}
 	ss := p.allowed(d, q.Service, nil, func(s *view.Slot) bool { return s.State == fleet.Live })
-	return rest.First(&p.view.Rests, ss, (*view.Slot).Process, boottime.Now())
+	return rest.MinRemaining(&p.view.Rests, ss, (*view.Slot).Process, boottime.Now())
 }
 
 // choose picks an endpoint: of this data centre first, of others if there is
@@ -251,7 +251,7 @@
 	}
 	dc := p.members.Self().DataCentre
 	now := boottime.Now()
-	takes := func(s *view.Slot) bool { return p.view.Rests.Left(s.Process(), now) == 0 }
+	takes := func(s *view.Slot) bool { return p.view.Rests.Remaining(s.Process(), now) == 0 }
 	ss := p.allowed(d, q.Service, avoid, func(s *view.Slot) bool { return s.DataCentre == dc && s.Usable() && takes(s) })
 	if len(ss) == 0 {
 		ss = p.allowed(d, q.Service, avoid, func(s *view.Slot) bool { return s.State == fleet.Live && takes(s) })
@@ -312,7 +312,7 @@
 	defer a.Body.Close()
 	if a.StatusCode == http.StatusServiceUnavailable {
 		// A service that refuses is the least loaded: it would get every call.
-		p.view.Rests.Ask(s.Process(), rest.Of(a.Header), boottime.Now())
+		p.view.Rests.Extend(s.Process(), rest.ParseRetryAfter(a.Header), boottime.Now())
 	}
 	return whole(a, s.Name)
 }
--- a/quota/arbiter.go
+++ b/quota/arbiter.go
@@ -20,7 +20,7 @@
 // told in one message.
 const shards = 16
 
-func shard(account string) int { return int(rendezvous.Key(account) % shards) }
+func shard(account string) int { return int(rendezvous.Hash(account) % shards) }
 
 // ranked orders boxes by rendezvous for a shard.
 func ranked(among []Arbiter, shard int) []Arbiter {
@@ -88,7 +88,7 @@
 }
 
 // swaps reports whether a box asks a shard's second arbiter first, as half of all boxes do.
-func swaps(self Arbiter) bool { return rendezvous.Key(self.Box)%perShard == 1 }
+func swaps(self Arbiter) bool { return rendezvous.Hash(self.Box)%perShard == 1 }
 
 func contains(among []Arbiter, box string) bool {
 	return slices.ContainsFunc(among, func(a Arbiter) bool { return a.Box == box })
--- a/quota/rates_test.go
+++ b/quota/rates_test.go
@@ -157,7 +157,7 @@
 	if f.evenly {
 		a := n.throttle.Ask(x, f.now)
 		if !a.OK {
-			n.available.Defer(e.ID, l.PerSecond, a.After, f.now)
+			n.available.SkipFor(e.ID, l.PerSecond, a.After, f.now)
 		}
 		return a.OK
 	}
@@ -176,7 +176,7 @@
 			soonest = v
 		}
 	}
-	n.available.Defer(e.ID, l.PerSecond, soonest.After, f.now)
+	n.available.SkipFor(e.ID, l.PerSecond, soonest.After, f.now)
 	return false
 }
 
@@ -198,12 +198,12 @@
 	n := f.nodes[i]
 	for _, k := range f.rng.Perm(len(f.endpoints)) {
 		e := f.endpoints[k]
-		if n.available.Left(e.ID, f.now) > 0 || !f.permit(i, e) {
+		if n.available.UnavailableFor(e.ID, f.now) > 0 || !f.permit(i, e) {
 			continue
 		}
 		f.done++
 		e.turns++
-		knew := n.available.Limited(e.ID, f.now)
+		knew := n.available.IsRateLimited(e.ID, f.now)
 		e.sent = append(e.sent, sent{f.now, i, knew})
 		if w, news := n.available.Rates.Say(e.ID, e.limit, f.now); news {
 			f.spread(i, w)
--- a/rendezvous/rank.go
+++ b/rendezvous/rank.go
@@ -10,11 +10,11 @@
 )
 
 // Weight returns the weight of a member for a key. It does not allocate.
-func Weight(key uint64, member string) uint64 { return Mix(key, Key(member)) }
+func Weight(key uint64, member string) uint64 { return WeightByHash(key, Hash(member)) }
 
-// Mix returns the weight of a member for a key, by the member's hash: whoever ranks thousands of
+// WeightByHash returns the weight of a member for a key, by the member's hash: whoever ranks thousands of
 // members again and again keeps their hashes.
-func Mix(key, member uint64) uint64 {
+func WeightByHash(key, member uint64) uint64 {
 	const golden, mix = 0x9e3779b97f4a7c15, 0xff51afd7ed558ccd
 	h := member ^ key*golden
 	h ^= h >> 33
@@ -23,8 +23,8 @@
 	return h
 }
 
-// Key hashes a string to a key.
-func Key(s string) uint64 { return xxhash.Sum64String(s) }
+// Hash hashes a string to a key.
+func Hash(s string) uint64 { return xxhash.Sum64String(s) }
 
 // Top returns the n members with the highest weight for a key, best first.
 func Top(key uint64, members []string, n int) []string {
--- a/rest/rest.go
+++ b/rest/rest.go
@@ -10,42 +10,42 @@
 	"time"
 )
 
-// Longest bounds the rest that an endpoint is believed to ask for, so that no number is too
+// MaxBackOff bounds the rest that an endpoint is believed to ask for, so that no number is too
 // large for a time.
-const Longest = 24 * time.Hour
+const MaxBackOff = 24 * time.Hour
 
-// header is where an answer says when to come back.
-const header = "Retry-After"
+// retryAfterHeader is where an answer says when to come back.
+const retryAfterHeader = "Retry-After"
 
-// Rests are the rests that were asked for, by the names of endpoints' incarnations. The zero
+// BackOffs are the rests that were asked for, by the names of endpoints' incarnations. The zero
 // value is ready.
-type Rests struct {
-	mu    sync.Mutex
-	until map[string]time.Time
-	last  time.Time // when the last of them ends
+type BackOffs struct {
+	mu      sync.Mutex
+	until   map[string]time.Time
+	lastEnd time.Time // when the last of them ends
 }
 
-// Of returns the rest that the head of a refusal asks for, in seconds or up to a time of day by
+// ParseRetryAfter returns the rest that the head of a refusal asks for, in seconds or up to a time of day by
 // the clock of who asks; zero where it does not, or where it cannot be read.
-func Of(h http.Header) time.Duration {
-	v := h.Get(header)
+func ParseRetryAfter(h http.Header) time.Duration {
+	v := h.Get(retryAfterHeader)
 	if s, err := strconv.ParseFloat(v, 64); err == nil {
 		if !(s > 0) {
 			return 0
 		}
-		return time.Duration(min(s, Longest.Seconds()) * float64(time.Second))
+		return time.Duration(min(s, MaxBackOff.Seconds()) * float64(time.Second))
 	}
 	at, err1 := http.ParseTime(v)
 	now, err2 := http.ParseTime(h.Get("Date"))
 	if err1 != nil || err2 != nil {
 		return 0
 	}
-	return min(max(at.Sub(now), 0), Longest)
+	return min(max(at.Sub(now), 0), MaxBackOff)
 }
 
-// Ask notes that an endpoint wants no calls for a while; zero is none. A shorter rest does not
+// Extend notes that an endpoint wants no calls for a while; zero is none. A shorter rest does not
 // end a longer one.
-func (r *Rests) Ask(name string, d time.Duration, now time.Time) {
+func (r *BackOffs) Extend(name string, d time.Duration, now time.Time) {
 	if d <= 0 {
 		return
 	}
@@ -59,37 +59,37 @@
 	if end.After(r.until[name]) {
 		r.until[name] = end
 	}
-	if end.After(r.last) {
-		r.last = end
+	if end.After(r.lastEnd) {
+		r.lastEnd = end
 	}
 }
 
-// None reports whether no endpoint rests, without a look at each.
-func (r *Rests) None(now time.Time) bool {
+// IsEmpty reports whether no endpoint rests, without a look at each.
+func (r *BackOffs) IsEmpty(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !now.Before(r.last)
+	return !now.Before(r.lastEnd)
 }
 
-// Left returns how long an endpoint still rests; zero if it takes calls.
-func (r *Rests) Left(name string, now time.Time) time.Duration {
+// Remaining returns how long an endpoint still rests; zero if it takes calls.
+func (r *BackOffs) Remaining(name string, now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.left(name, now)
+	return r.remaining(name, now)
 }
 
-func (r *Rests) left(name string, now time.Time) time.Duration {
+func (r *BackOffs) remaining(name string, now time.Time) time.Duration {
 	return max(r.until[name].Sub(now), 0)
 }
 
-// First returns when the first of some endpoints takes calls again; zero if one does now, or
+// MinRemaining returns when the first of some endpoints takes calls again; zero if one does now, or
 // there is none. Name gives the name of an endpoint's incarnation.
-func First[E any](r *Rests, es []E, name func(E) string, now time.Time) time.Duration {
+func MinRemaining[E any](r *BackOffs, es []E, name func(E) string, now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var first time.Duration
 	for _, e := range es {
-		d := r.left(name(e), now)
+		d := r.remaining(name(e), now)
 		if d == 0 {
 			return 0
 		}
@@ -101,7 +101,7 @@
 }
 
 // Len returns how many endpoints rest.
-func (r *Rests) Len(now time.Time) int {
+func (r *BackOffs) Len(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
--- a/router/affinity.go
+++ b/router/affinity.go
@@ -14,32 +14,32 @@
 // measured speed and the prompt's cached prefix decide. A prefix has a home by
 // rendezvous hash among the targets whose load is within Bound times the mean.
 type Affinity struct {
-	Bound float64
+	LoadBound float64
 
-	// Recompute is the weight on tokens computed again: a prompt that must be
+	// RecomputeWeight is the weight on tokens computed again: a prompt that must be
 	// computed counts for so much more than the time that it takes.
-	Recompute float64
+	RecomputeWeight float64
 }
 
 // Pick returns the target with the least expected time.
 func (a Affinity) Pick(ts []Target, q Query) Choice {
 	if len(ts) == 0 {
-		return none
+		return noTarget
 	}
-	limit := a.limit(ts)
-	open := anyFree(ts)
-	home := homeOf(ts, q.Prefix, limit, open)
+	limit := a.loadLimit(ts)
+	open := hasFreeSlot(ts)
+	home := preferredTarget(ts, q.Prefix, limit, open)
 	best := Choice{Index: -1}
 	for i := range ts {
-		if !within(&ts[i], limit, open) {
+		if !isWithinLimit(&ts[i], limit, open) {
 			continue
 		}
-		d := expected(&ts[i], q, i == home)
-		if i != home && !ts[i].Held {
-			d += time.Duration(a.Recompute * float64(prefill(&ts[i], q)))
+		d := expectedTime(&ts[i], q, i == home)
+		if i != home && !ts[i].PrefixCached {
+			d += time.Duration(a.RecomputeWeight * float64(prefillTime(&ts[i], q)))
 		}
 		if best.Index < 0 || d < best.Expected {
-			best = Choice{Index: i, Expected: d, Home: i == home, Reason: "least expected time"}
+			best = Choice{Index: i, Expected: d, Preferred: i == home, Reason: "least expected time"}
 		}
 	}
 	if best.Index < 0 {
@@ -48,8 +48,8 @@
 	return best
 }
 
-// limit is the share of its slots that a target may have busy.
-func (a Affinity) limit(ts []Target) float64 {
+// loadLimit is the share of its slots that a target may have busy.
+func (a Affinity) loadLimit(ts []Target) float64 {
 	busy, slots := 1, 0
 	for i := range ts {
 		busy += ts[i].Busy
@@ -58,11 +58,11 @@
 	if slots == 0 {
 		return 1
 	}
-	return max(a.Bound, 1) * float64(busy) / float64(slots)
+	return max(a.LoadBound, 1) * float64(busy) / float64(slots)
 }
 
-// anyFree reports whether a target has a free slot.
-func anyFree(ts []Target) bool {
+// hasFreeSlot reports whether a target has a free slot.
+func hasFreeSlot(ts []Target) bool {
 	for i := range ts {
 		if ts[i].Busy < ts[i].Slots {
 			return true
@@ -71,21 +71,21 @@
 	return false
 }
 
-// within reports whether a target may take one more stream: no stream waits
+// isWithinLimit reports whether a target may take one more stream: no stream waits
 // for a slot while another target has one free, however fast its hardware, and
 // none takes more than its share of the load. Hardly any load is no bound.
-func within(t *Target, limit float64, open bool) bool {
+func isWithinLimit(t *Target, limit float64, open bool) bool {
 	if open && t.Busy >= t.Slots {
 		return false
 	}
 	return float64(t.Busy) < limit*float64(t.Slots)+1
 }
 
-// homeOf returns the target with the highest weight for a prefix.
-func homeOf(ts []Target, prefix uint64, limit float64, open bool) int {
+// preferredTarget returns the target with the highest weight for a prefix.
+func preferredTarget(ts []Target, prefix uint64, limit float64, open bool) int {
 	home, top := -1, uint64(0)
 	for i := range ts {
-		if w := weight(prefix, ts[i].Hash); (home < 0 || w > top) && within(&ts[i], limit, open) {
+		if w := weight(prefix, ts[i].Hash); (home < 0 || w > top) && isWithinLimit(&ts[i], limit, open) {
 			home, top = i, w
 		}
 	}
@@ -100,17 +100,17 @@
 	return h ^ h>>33
 }
 
-// expected estimates the time to the first token for an urgent request and to
+// expectedTime estimates the time to the first token for an urgent request and to
 // the last for any other.
-func expected(t *Target, q Query, home bool) time.Duration {
+func expectedTime(t *Target, q Query, home bool) time.Duration {
 	v := max(t.TokensPerSecond, 1)
 	stream := seconds(float64(q.AnswerTokens) / v)
-	d := t.Remote + time.Duration((1-t.Preference)*float64(preferencePenalty))
+	d := t.NetworkDelay + time.Duration((1-t.Preference)*float64(preferencePenalty))
 	if over := t.Busy + 1 - t.Slots; over > 0 && t.Slots > 0 {
 		d += stream * time.Duration(over) / time.Duration(t.Slots)
 	}
-	if !home && !t.Held {
-		d += prefill(t, q)
+	if !home && !t.PrefixCached {
+		d += prefillTime(t, q)
 	}
 	if q.Urgent {
 		return d + seconds(1/v)
@@ -118,8 +118,8 @@
 	return d + stream
 }
 
-// prefill is how long a target takes to compute the prompt.
-func prefill(t *Target, q Query) time.Duration {
+// prefillTime is how long a target takes to compute the prompt.
+func prefillTime(t *Target, q Query) time.Duration {
 	return seconds(float64(q.PromptTokens) / (max(t.TokensPerSecond, 1) * prefillFactor))
 }
 
--- a/router/baseline.go
+++ b/router/baseline.go
@@ -13,7 +13,7 @@
 // Pick returns the target with the least share of its slots busy.
 func (LeastLoaded) Pick(ts []Target, q Query) Choice {
 	if len(ts) == 0 {
-		return none
+		return noTarget
 	}
 	best := 0
 	for i := range ts {
@@ -21,7 +21,7 @@
 			best = i
 		}
 	}
-	return Choice{Index: best, Expected: expected(&ts[best], q, false), Reason: "least loaded"}
+	return Choice{Index: best, Expected: expectedTime(&ts[best], q, false), Reason: "least loaded"}
 }
 
 // RoundRobin sends requests to the targets in turn. It is a baseline.
@@ -32,10 +32,10 @@
 // Pick returns the next target.
 func (r *RoundRobin) Pick(ts []Target, q Query) Choice {
 	if len(ts) == 0 {
-		return none
+		return noTarget
 	}
 	i := int((r.n.Add(1) - 1) % uint64(len(ts)))
-	return Choice{Index: i, Expected: expected(&ts[i], q, false), Reason: "next in turn"}
+	return Choice{Index: i, Expected: expectedTime(&ts[i], q, false), Reason: "next in turn"}
 }
 
 // Random sends a request anywhere. It is a baseline.
@@ -46,21 +46,21 @@
 // Pick returns a target at random.
 func (r Random) Pick(ts []Target, q Query) Choice {
 	if len(ts) == 0 {
-		return none
+		return noTarget
 	}
 	f := r.Int
 	if f == nil {
 		f = rand.IntN
 	}
 	i := f(len(ts))
-	return Choice{Index: i, Expected: expected(&ts[i], q, false), Reason: "at random"}
+	return Choice{Index: i, Expected: expectedTime(&ts[i], q, false), Reason: "at random"}
 }
 
 // New returns the policy of a name, as the settings have it.
 func New(name string, bound, recompute float64) (Policy, error) {
 	switch name {
 	case "affinity":
-		return Affinity{Bound: bound, Recompute: recompute}, nil
+		return Affinity{LoadBound: bound, RecomputeWeight: recompute}, nil
 	case "least_loaded":
 		return LeastLoaded{}, nil
 	case "round_robin":
--- a/router/pick_test.go
+++ b/router/pick_test.go
@@ -16,7 +16,7 @@
 	ts := make([]router.Target, n)
 	for i := range ts {
 		b := fmt.Sprintf("box-%d", i)
-		ts[i] = router.Target{Box: b, Hash: rendezvous.Key(b), Slots: 8, TokensPerSecond: 50, Preference: 1}
+		ts[i] = router.Target{Box: b, Hash: rendezvous.Hash(b), Slots: 8, TokensPerSecond: 50, Preference: 1}
 	}
 	return ts
 }
@@ -26,14 +26,14 @@
 		{Box: "old", Slots: 8, TokensPerSecond: 25, Preference: 1},
 		{Box: "new", Slots: 8, TokensPerSecond: 60, Preference: 1},
 	}
-	c := router.Affinity{Bound: 1.25}.Pick(ts, router.Query{AnswerTokens: 100})
+	c := router.Affinity{LoadBound: 1.25}.Pick(ts, router.Query{AnswerTokens: 100})
 	fmt.Println(ts[c.Index].Box, c.Reason)
 	// Output: new least expected time
 }
 
 // The same prefix goes to the same box while its load is within the bound, and
 // nowhere that is more loaded than the bound allows.
-func TestAffinityKeepsItsBound(t *testing.T) {
+func TestAffinityRespectsLoadBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ts := targets(rapid.IntRange(1, 30).Draw(t, "targets"))
 		busy, slots := 0, 0
@@ -42,7 +42,7 @@
 			busy, slots = busy+ts[i].Busy, slots+ts[i].Slots
 		}
 		q := router.Query{Prefix: rapid.Uint64().Draw(t, "prefix"), PromptTokens: 500, AnswerTokens: 64, Urgent: rapid.Bool().Draw(t, "urgent")}
-		a := router.Affinity{Bound: 1.25}
+		a := router.Affinity{LoadBound: 1.25}
 		c := a.Pick(ts, q)
 		require.GreaterOrEqual(t, c.Index, 0)
 		require.Equal(t, c, a.Pick(ts, q))
@@ -52,12 +52,12 @@
 }
 
 // An urgent request does not wait behind a full box for its cached prefix.
-func TestUrgentAvoidsTheQueue(t *testing.T) {
+func TestUrgentAvoidsFullTarget(t *testing.T) {
 	ts := targets(2)
 	q := router.Query{Prefix: 7, PromptTokens: 400, AnswerTokens: 64, Urgent: true}
-	home := router.Affinity{Bound: 10}.Pick(ts, q).Index
+	home := router.Affinity{LoadBound: 10}.Pick(ts, q).Index
 	ts[home].Busy = 20
-	require.NotEqual(t, home, router.Affinity{Bound: 10}.Pick(ts, q).Index)
+	require.NotEqual(t, home, router.Affinity{LoadBound: 10}.Pick(ts, q).Index)
 }
 
 func TestNoTarget(t *testing.T) {
--- a/router/target.go
+++ b/router/target.go
@@ -13,8 +13,8 @@
 	Slots           int
 	TokensPerSecond float64
 	Preference      float64
-	Held            bool
-	Remote          time.Duration
+	PrefixCached    bool
+	NetworkDelay    time.Duration
 }
 
 // Query is what the choice depends on besides the targets.
@@ -29,10 +29,10 @@
 // Choice is the index of the target chosen, or -1 if there is none, with the
 // time to the whole answer that was expected of it.
 type Choice struct {
-	Index    int
-	Expected time.Duration
-	Home     bool
-	Reason   string
+	Index     int
+	Expected  time.Duration
+	Preferred bool
+	Reason    string
 }
 
 // Policy chooses among targets. Pick may be called by many at once.
@@ -40,5 +40,5 @@
 	Pick(ts []Target, q Query) Choice
 }
 
-// none is the choice when there is no target.
-var none = Choice{Index: -1, Reason: "no endpoint is live, allowed and loaded"}
+// noTarget is the choice when there is no target.
+var noTarget = Choice{Index: -1, Reason: "no endpoint is live, allowed and loaded"}
--- a/stream/choose.go
+++ b/stream/choose.go
@@ -90,18 +90,18 @@
 }
 
 // gather fills the candidates, but for those to be avoided and those that rest.
-func (c *candidates) gather(cs []candidate, held string, avoid map[string]bool, rests *rest.Rests) {
+func (c *candidates) gather(cs []candidate, held string, avoid map[string]bool, rests *rest.BackOffs) {
 	c.targets, c.slots = c.targets[:0], c.slots[:0]
 	now := boottime.Now()
-	none := rests.None(now)
+	none := rests.IsEmpty(now)
 	for _, s := range cs {
-		if avoid[s.Name] || !none && rests.Left(s.Process(), now) > 0 {
+		if avoid[s.Name] || !none && rests.Remaining(s.Process(), now) > 0 {
 			continue
 		}
 		c.slots = append(c.slots, s.Slot)
 		c.targets = append(c.targets, router.Target{
 			Box: s.Name, Hash: s.Hash, Busy: s.Busy(), Slots: s.Slots, TokensPerSecond: s.TokensPerSecond,
-			Preference: s.preference, Held: s.Name == held,
+			Preference: s.preference, PrefixCached: s.Name == held,
 		})
 	}
 }
@@ -147,7 +147,7 @@
 	if !errors.As(err, &e) || e.Kind != errkind.NoEndpoint {
 		return err
 	}
-	left := rest.First(&r.k.view.Rests, cs, candidate.Process, boottime.Now())
+	left := rest.MinRemaining(&r.k.view.Rests, cs, candidate.Process, boottime.Now())
 	return e.After(left)
 }
 
--- a/stream/choose_test.go
+++ b/stream/choose_test.go
@@ -36,7 +36,7 @@
 			Box:  fleet.Box{Name: fmt.Sprintf("box-%d", i), DataCentre: "a", Role: fleet.EngineRole, Class: "new", State: fleet.Live},
 			Load: fleet.Load{Incarnation: "i", Loaded: []string{"m1@1", "m1@2", "m2@1", "m2@2"}, Slots: 8, TokensPerSecond: 50},
 		}
-		ss[i] = &view.Slot{Endpoint: e, Hash: rendezvous.Key(e.Name), Sent: new(atomic.Int64)}
+		ss[i] = &view.Slot{Endpoint: e, Hash: rendezvous.Hash(e.Name), Sent: new(atomic.Int64)}
 	}
 	return ss
 }
@@ -57,11 +57,11 @@
 	ss[6].Incarnation = ""
 	var c candidates
 	x := &index{snapshot: &view.Snapshot{Slots: ss}, document: d, dc: "a"}
-	var rests rest.Rests
+	var rests rest.BackOffs
 	c.gather(x.of("m@1"), "", map[string]bool{"box-5": true}, &rests)
 	require.Len(t, c.targets, 1)
 	require.Equal(t, "box-0", c.targets[0].Box)
-	rests.Ask(ss[0].Process(), time.Minute, boottime.Now())
+	rests.Extend(ss[0].Process(), time.Minute, boottime.Now())
 	c.gather(x.of("m@1"), "", nil, &rests)
 	require.Len(t, c.targets, 1)
 	require.Equal(t, "box-5", c.targets[0].Box)
@@ -75,10 +75,10 @@
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
 			x := &index{snapshot: &view.Snapshot{Slots: slots(n)}, document: d, dc: "a"}
 			var c candidates
-			p := router.Affinity{Bound: 1.25, Recompute: 0.2}
+			p := router.Affinity{LoadBound: 1.25, RecomputeWeight: 0.2}
 			b.ReportAllocs()
 			for b.Loop() {
-				c.gather(x.of("m1@2"), "", nil, &rest.Rests{})
+				c.gather(x.of("m1@2"), "", nil, &rest.BackOffs{})
 				p.Pick(c.targets, router.Query{Prefix: 7, PromptTokens: 500, AnswerTokens: 128})
 			}
 		})
--- a/stream/run.go
+++ b/stream/run.go
@@ -221,7 +221,7 @@
 func (r *run) noteRest(err error) {
 	var e *engine.RestError
 	if r.target.slot != nil && errors.As(err, &e) {
-		r.k.view.Rests.Ask(r.target.slot.Process(), e.For, boottime.Now())
+		r.k.view.Rests.Extend(r.target.slot.Process(), e.For, boottime.Now())
 	}
 }
 
--- a/view/view.go
+++ b/view/view.go
@@ -66,13 +66,13 @@
 func (s *Slot) Process() string { return s.Name + "/" + s.Incarnation }
 
 // ID returns the short name of a box in rows.
-func ID(box string) uint32 { return uint32(rendezvous.Key(box)) }
+func ID(box string) uint32 { return uint32(rendezvous.Hash(box)) }
 
 // View is the table of endpoints. Readers take the slots as they are at a
 // moment; writers replace them.
 type View struct {
 	// Rests are those that endpoints' processes asked this box for.
-	Rests rest.Rests
+	Rests rest.BackOffs
 
 	mu      sync.Mutex
 	boxes   []fleet.Box
@@ -325,7 +325,7 @@
 			Running: int(r.Running), Waiting: int(r.Waiting), TokensPerSecond: f.TokensPerSecond, Reported: v.seen[id],
 		}
 		ss = append(ss, &Slot{
-			Endpoint: fleet.Endpoint{Box: v.apply(b), Load: l}, Hash: rendezvous.Key(b.Name),
+			Endpoint: fleet.Endpoint{Box: v.apply(b), Load: l}, Hash: rendezvous.Hash(b.Name),
 			Seen: v.seen[id], Sent: v.counter(b.Name), base: v.base[id],
 		})
 	}
