--- a/balance/avoid.go
+++ b/balance/avoid.go
@@ -6,57 +6,57 @@
 	"birchlink.dev/birchlink/endpoint"
 )
 
-// site is what is known of a data centre as a whole: when one of its endpoints
-// could last not be reached, and until when all are avoided for it.
-type site struct {
-	endpoint string
-	failed   time.Time
-	until    time.Time
+// dataCentreState is what this box knows of a data centre as a whole: the last endpoint that could
+// not be reached and when, and until when all its endpoints are avoided.
+type dataCentreState struct {
+	lastEndpoint string
+	lastFailure  time.Time
+	avoidedUntil time.Time
 }
 
-// A data centre of which two endpoints could not be reached within siteWindow is
-// taken to be cut off, and tried again after siteAvoid.
+// A data centre of which two endpoints could not be reached within dataCentreFailureWindow is taken
+// to be partitioned from this box and is avoided for dataCentreAvoid.
 const (
-	siteWindow = time.Second
-	siteAvoid  = time.Second
+	dataCentreFailureWindow = time.Second
+	dataCentreAvoid         = time.Second
 )
 
-// Avoid notes that an endpoint could not be reached or did not answer at all.
-func (b *Book) Avoid(e endpoint.Endpoint, now time.Time) {
+// Avoid records that an endpoint could not be reached or did not answer at all.
+func (b *Balancer) Avoid(e endpoint.Endpoint, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p := b.page(e.ID)
-	d := min(minAvoid<<min(p.broken, 8), maxAvoid)
-	p.broken++
-	p.until = now.Add(d)
-	s := b.site(e.DataCentre)
-	if s.endpoint != e.ID && now.Sub(s.failed) < siteWindow || now.Sub(s.until) < siteWindow {
-		s.until = now.Add(siteAvoid)
+	st := b.state(e.ID)
+	d := min(minAvoid<<min(st.consecutiveFailures, 8), maxAvoid)
+	st.consecutiveFailures++
+	st.avoidedUntil = now.Add(d)
+	dc := b.dataCentre(e.DataCentre)
+	if dc.lastEndpoint != e.ID && now.Sub(dc.lastFailure) < dataCentreFailureWindow || now.Sub(dc.avoidedUntil) < dataCentreFailureWindow {
+		dc.avoidedUntil = now.Add(dataCentreAvoid)
 	}
-	s.endpoint, s.failed = e.ID, now
+	dc.lastEndpoint, dc.lastFailure = e.ID, now
 }
 
-// endedFor is how long an endpoint that was found to have ended is avoided: its record goes
-// after three heartbeats. It is not taken out at once, since a box that is cut off by a
-// refusal sees the same.
-const endedFor = 4 * time.Second
+// crashAvoid is how long an endpoint reported as crashed is avoided: its registration expires after
+// three heartbeats. It is avoided rather than excluded, because a box that is partitioned from the
+// endpoint and gets its connections refused reports the same.
+const crashAvoid = 4 * time.Second
 
-// Ended notes that some box found that an endpoint has ended. What it sends this box
-// afterwards shows that it has not.
-func (b *Book) Ended(endpoint string, now time.Time) {
+// Crashed records that some box found that an endpoint crashed. Anything that the endpoint sends
+// this box later revokes the finding.
+func (b *Balancer) Crashed(endpoint string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.page(endpoint).until = now.Add(endedFor)
+	b.state(endpoint).avoidedUntil = now.Add(crashAvoid)
 }
 
-func (b *Book) site(dc string) *site {
-	if b.sites == nil {
-		b.sites = map[string]*site{}
+func (b *Balancer) dataCentre(dc string) *dataCentreState {
+	if b.dataCentres == nil {
+		b.dataCentres = map[string]*dataCentreState{}
 	}
-	s := b.sites[dc]
-	if s == nil {
-		s = &site{}
-		b.sites[dc] = s
+	d := b.dataCentres[dc]
+	if d == nil {
+		d = &dataCentreState{}
+		b.dataCentres[dc] = d
 	}
-	return s
+	return d
 }
--- a/balance/entry.go
+++ b/balance/entry.go
@@ -7,11 +7,11 @@
 	"birchlink.dev/birchlink/estimate"
 )
 
-// Entry is one call at an endpoint, from its sending to its end.
-type Entry struct {
-	book  *Book
-	page  *page
-	model *estimate.Model
+// Attempt is one call at an endpoint, from when it is sent until it ends.
+type Attempt struct {
+	balancer *Balancer
+	state    *endpointState
+	model    *estimate.Model
 
 	incarnation string
 	dataCentre  string
@@ -19,104 +19,104 @@
 	load        estimate.Load
 	expected    time.Duration
 	objective   time.Duration
-	began       time.Time
-	trial       bool      // it began after a rest, and shows whether the endpoint runs calls again
-	first       time.Time // when the endpoint first sent something; zero before
-	last        time.Time // when it last did
+	start       time.Time
+	trial       bool      // began after a back-off period, to find out whether the endpoint runs calls
+	firstEvent  time.Time // when the endpoint first sent something; zero before
+	lastEvent   time.Time // when the endpoint last sent something
 	events      int
 }
 
-// Begin notes that a call is sent.
-func (b *Book) Begin(e endpoint.Endpoint, c Choice, now time.Time) *Entry {
+// Begin records that a call is sent.
+func (b *Balancer) Begin(e endpoint.Endpoint, c Choice, now time.Time) *Attempt {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p := b.page(e.ID)
-	if p.running == 0 {
-		p.since = now
+	st := b.state(e.ID)
+	if st.running == 0 {
+		st.busySince = now
 	}
-	p.running++
-	p.tokens += c.Tokens
-	p.parts.sent(c.Parts, now)
-	trial := !p.proves.IsZero() && !now.Before(p.proves)
+	st.running++
+	st.tokens += c.Tokens
+	st.cached.add(c.Parts, now)
+	trial := !st.probationFrom.IsZero() && !now.Before(st.probationFrom)
 	if trial {
-		p.trying++
+		st.trials++
 	}
-	return &Entry{
-		book: b, page: p, model: b.model(e.Service), incarnation: e.Incarnation(), dataCentre: e.DataCentre, tokens: c.Tokens, load: c.Load,
-		expected: c.Expected, objective: c.Objective, began: now, trial: trial,
+	return &Attempt{
+		balancer: b, state: st, model: b.model(e.Service), incarnation: e.Incarnation(), dataCentre: e.DataCentre, tokens: c.Tokens, load: c.Load,
+		expected: c.Expected, objective: c.Objective, start: now, trial: trial,
 	}
 }
 
-// Progress notes that the endpoint sent something for this call, which it runs.
-func (n *Entry) Progress(now time.Time) {
-	n.book.mu.Lock()
-	defer n.book.mu.Unlock()
-	n.heard(now)
-	if n.trial {
-		n.page.proves = time.Time{}
+// Progress records that the endpoint, which runs the call, sent something for it.
+func (a *Attempt) Progress(now time.Time) {
+	a.balancer.mu.Lock()
+	defer a.balancer.mu.Unlock()
+	a.recordEvent(now)
+	if a.trial {
+		a.state.probationFrom = time.Time{}
 	}
 }
 
-// Refused notes that the endpoint answered that it does not run this call.
-func (n *Entry) Refused(now time.Time) {
-	n.book.mu.Lock()
-	defer n.book.mu.Unlock()
-	n.heard(now)
+// Refused records that the endpoint answered that it does not run the call.
+func (a *Attempt) Refused(now time.Time) {
+	a.balancer.mu.Lock()
+	defer a.balancer.mu.Unlock()
+	a.recordEvent(now)
 }
 
-// heard notes that the endpoint sent something. The lock is held.
-func (n *Entry) heard(now time.Time) {
-	n.page.progress = now
-	n.page.broken = 0
-	n.page.until = time.Time{}
-	n.book.site(n.dataCentre).until = time.Time{}
-	n.events++
-	n.last = now
-	if !n.first.IsZero() {
+// recordEvent records that the endpoint sent something. The balancer's lock must be held.
+func (a *Attempt) recordEvent(now time.Time) {
+	a.state.lastProgress = now
+	a.state.consecutiveFailures = 0
+	a.state.avoidedUntil = time.Time{}
+	a.balancer.dataCentre(a.dataCentre).avoidedUntil = time.Time{}
+	a.events++
+	a.lastEvent = now
+	if !a.firstEvent.IsZero() {
 		return
 	}
-	n.first = now
-	n.page.tokens -= n.tokens
+	a.firstEvent = now
+	a.state.tokens -= a.tokens
 }
 
-// Answered notes that what the endpoint sent first was an answer and no failure: its
-// time tells how fast the endpoint is.
-func (n *Entry) Answered() {
-	n.book.mu.Lock()
-	defer n.book.mu.Unlock()
-	took := n.first.Sub(n.began)
-	n.model.Observe(n.load, took, n.objective, n.last)
-	if n.expected > 0 {
-		r := min(max(float64(took)/float64(n.expected), 0.3), 20)
-		n.page.slowness += slownessWeight * (r - n.page.slowness)
+// Answered records that the first event belonged to an answer, not to a failure. Its latency is a
+// sample of the endpoint's speed.
+func (a *Attempt) Answered() {
+	a.balancer.mu.Lock()
+	defer a.balancer.mu.Unlock()
+	took := a.firstEvent.Sub(a.start)
+	a.model.Observe(a.load, took, a.objective, a.lastEvent)
+	if a.expected > 0 {
+		r := min(max(float64(took)/float64(a.expected), 0.3), 20)
+		a.state.slowness += slownessWeight * (r - a.state.slowness)
 	}
 }
 
-// End notes that the call is over, and whether the endpoint failed or refused it. A refusal
-// counts as a failure: it is the fastest answer of all, and would draw the calls to who gives
-// it. Where a third of the endpoints refuse nine in ten calls for some seconds 0.056 of a day's
-// requests are refused without that, 0.024 with it (means of nine days).
-func (n *Entry) End(failed bool, now time.Time) {
-	n.book.mu.Lock()
-	defer n.book.mu.Unlock()
-	if n.events > 1 {
-		n.model.ObservePause(n.load.Running, n.last.Sub(n.first)/time.Duration(n.events-1), n.last)
+// End records that the call is over, and whether the endpoint failed or refused it. A refusal
+// counts as a failure: refusals are faster than answers and would otherwise attract calls to the
+// endpoints that refuse. Where a third of the endpoints refuse nine in ten calls for some seconds,
+// this reduces the refused requests of a day from 0.056 to 0.024.
+func (a *Attempt) End(failed bool, now time.Time) {
+	a.balancer.mu.Lock()
+	defer a.balancer.mu.Unlock()
+	if a.events > 1 {
+		a.model.ObservePause(a.load.Running, a.lastEvent.Sub(a.firstEvent)/time.Duration(a.events-1), a.lastEvent)
 	}
-	if n.first.IsZero() {
-		n.page.tokens -= n.tokens
+	if a.firstEvent.IsZero() {
+		a.state.tokens -= a.tokens
 	}
-	n.page.running--
-	if n.trial {
-		n.page.trying--
+	a.state.running--
+	if a.trial {
+		a.state.trials--
 	}
-	if !failed && n.events > 0 {
-		n.model.ObserveSlotTime(now.Sub(n.began), now)
+	if !failed && a.events > 0 {
+		a.model.ObserveSlotTime(now.Sub(a.start), now)
 	}
-	v := 0.0
+	outcome := 0.0
 	if failed {
-		v = 1
+		outcome = 1
 	}
-	f := n.page.ownFailing(now)
-	n.page.failures, n.page.failedAt = f+failureWeight*(v-f), now
-	n.page.calls.add(failed, now)
+	f := a.state.ownFailureRate(now)
+	a.state.failureRate, a.state.failureRateAt = f+failureWeight*(outcome-f), now
+	a.state.ownCalls.add(failed, now)
 }
--- a/balance/speeds.go
+++ b/balance/speeds.go
@@ -6,14 +6,14 @@
 	"birchlink.dev/birchlink/estimate"
 )
 
-// Model returns what is known of how fast a service's endpoints are.
-func (b *Book) Model(service string) *estimate.Model {
+// Model returns the latency model of a service's endpoints.
+func (b *Balancer) Model(service string) *estimate.Model {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.model(service)
 }
 
-func (b *Book) model(service string) *estimate.Model {
+func (b *Balancer) model(service string) *estimate.Model {
 	if b.models == nil {
 		b.models = map[string]*estimate.Model{}
 	}
@@ -25,17 +25,17 @@
 	return m
 }
 
-// Recall takes in what a box before this one had observed.
-func (b *Book) Recall(speeds map[string]estimate.Stats, now time.Time) {
+// Restore adds the statistics that another box observed before this one started, by service.
+func (b *Balancer) Restore(stats map[string]estimate.Stats, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for n, s := range speeds {
+	for n, s := range stats {
 		b.model(n).Restore(s, now)
 	}
 }
 
-// Speeds returns what this box has observed of each service.
-func (b *Book) Speeds(now time.Time) map[string]estimate.Stats {
+// OwnStats returns the statistics that this box has observed, by service.
+func (b *Balancer) OwnStats(now time.Time) map[string]estimate.Stats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[string]estimate.Stats{}
@@ -45,8 +45,8 @@
 	return out
 }
 
-// AllSpeeds returns what all boxes have observed of each service.
-func (b *Book) AllSpeeds(now time.Time) map[string]estimate.Stats {
+// Stats returns the statistics that all boxes have observed, by service.
+func (b *Balancer) Stats(now time.Time) map[string]estimate.Stats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[string]estimate.Stats{}
@@ -56,8 +56,8 @@
 	return out
 }
 
-// TellSpeeds replaces what the other boxes have observed of the services.
-func (b *Book) TellSpeeds(sum map[string]estimate.Stats) {
+// SetRemoteStats replaces the statistics that the other boxes have observed, by service.
+func (b *Balancer) SetRemoteStats(sum map[string]estimate.Stats) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for n, s := range sum {
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -82,7 +82,7 @@
 
 	// Demand returns the load of a service by data centre. Data centres that do not report
 	// their load are missing.
-	Demand func(service string) map[string]demand.Figure
+	Demand func(service string) map[string]demand.Stats
 
 	// Limited reports whether an endpoint accepts a bounded rate of requests.
 	Limited func(endpoint.Endpoint) bool
--- a/orders/watch.go
+++ b/orders/watch.go
@@ -44,7 +44,7 @@
 // demandKnown reports whether the demand for a service can be relied on: it began at least
 // observationPeriod ago, or there was some earlier and there is none now. Before that the
 // fleet keeps its initial size.
-func (o *Orders) demandKnown(service string, load map[string]demand.Figure, now time.Time) bool {
+func (o *Orders) demandKnown(service string, load map[string]demand.Stats, now time.Time) bool {
 	busy := false
 	for _, f := range load {
 		busy = busy || f.Tokens > 0 || f.Running > 0
--- a/rest/rest.go
+++ b/rest/rest.go
@@ -1,5 +1,5 @@
-// Package rest keeps until when endpoints want no calls of this box, as they asked when they
-// refused one.
+// Package rest records until when endpoints accept no calls of this box, as they asked in the
+// Retry-After header of a refusal.
 package rest
 
 import (
@@ -10,42 +10,43 @@
 	"time"
 )
 
-// Longest bounds the rest that an endpoint is believed to ask for, so that no number is too
-// large for a time.
-const Longest = 24 * time.Hour
+// MaxBackOff is the longest back-off period that is accepted. It keeps large numbers from
+// overflowing a time.Duration.
+const MaxBackOff = 24 * time.Hour
 
-// header is where an answer says when to come back.
-const header = "Retry-After"
+// retryAfterHeader is the header that says when to retry.
+const retryAfterHeader = "Retry-After"
 
-// Rests are the rests that were asked for, by the names of endpoints' incarnations. The zero
-// value is ready.
-type Rests struct {
-	mu    sync.Mutex
-	until map[string]time.Time
-	last  time.Time // when the last of them ends
+// BackOffs holds the back-off periods of endpoints by the names of their incarnations. The zero
+// value is ready to use, and its methods may be called concurrently.
+type BackOffs struct {
+	mu      sync.Mutex
+	until   map[string]time.Time
+	lastEnd time.Time // latest end of any period
 }
 
-// Of returns the rest that the head of a refusal asks for, in seconds or up to a time of day by
-// the clock of who asks; zero where it does not, or where it cannot be read.
-func Of(h http.Header) time.Duration {
-	v := h.Get(header)
+// ParseRetryAfter returns the back-off period that the header of a refusal asks for, as a number of
+// seconds, which may have a fraction, or as a date relative to the Date header. It returns 0 if
+// there is none or it cannot be parsed, and at most MaxBackOff.
+func ParseRetryAfter(h http.Header) time.Duration {
+	v := h.Get(retryAfterHeader)
 	if s, err := strconv.ParseFloat(v, 64); err == nil {
 		if !(s > 0) {
 			return 0
 		}
-		return time.Duration(min(s, Longest.Seconds()) * float64(time.Second))
+		return time.Duration(min(s, MaxBackOff.Seconds()) * float64(time.Second))
 	}
 	at, err1 := http.ParseTime(v)
 	now, err2 := http.ParseTime(h.Get("Date"))
 	if err1 != nil || err2 != nil {
 		return 0
 	}
-	return min(max(at.Sub(now), 0), Longest)
+	return min(max(at.Sub(now), 0), MaxBackOff)
 }
 
-// Ask notes that an endpoint wants no calls for a while; zero is none. A shorter rest does not
-// end a longer one.
-func (r *Rests) Ask(name string, d time.Duration, now time.Time) {
+// Extend records that an endpoint asks for no calls for the time d. It does nothing if d is not
+// positive, and does not shorten a period that ends later.
+func (r *BackOffs) Extend(name string, d time.Duration, now time.Time) {
 	if d <= 0 {
 		return
 	}
@@ -59,37 +60,37 @@
 	if end.After(r.until[name]) {
 		r.until[name] = end
 	}
-	if end.After(r.last) {
-		r.last = end
+	if end.After(r.lastEnd) {
+		r.lastEnd = end
 	}
 }
 
-// None reports whether no endpoint rests, without a look at each.
-func (r *Rests) None(now time.Time) bool {
+// IsEmpty reports whether no endpoint backs off, without looking at each.
+func (r *BackOffs) IsEmpty(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !now.Before(r.last)
+	return !now.Before(r.lastEnd)
 }
 
-// Left returns how long an endpoint still rests; zero if it takes calls.
-func (r *Rests) Left(name string, now time.Time) time.Duration {
+// Remaining returns how long an endpoint still backs off. It returns 0 if it accepts calls.
+func (r *BackOffs) Remaining(name string, now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.left(name, now)
+	return r.remaining(name, now)
 }
 
-func (r *Rests) left(name string, now time.Time) time.Duration {
+func (r *BackOffs) remaining(name string, now time.Time) time.Duration {
 	return max(r.until[name].Sub(now), 0)
 }
 
-// First returns when the first of some endpoints takes calls again; zero if one does now, or
-// there is none. Name gives the name of an endpoint's incarnation.
-func First[E any](r *Rests, es []E, name func(E) string, now time.Time) time.Duration {
+// MinRemaining returns how long until the first of the endpoints accepts calls. It returns 0 if one
+// does now or es is empty. The function name returns the name of an endpoint's incarnation.
+func MinRemaining[E any](r *BackOffs, es []E, name func(E) string, now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var first time.Duration
 	for _, e := range es {
-		d := r.left(name(e), now)
+		d := r.remaining(name(e), now)
 		if d == 0 {
 			return 0
 		}
@@ -100,8 +101,8 @@
 	return first
 }
 
-// Len returns how many endpoints rest.
-func (r *Rests) Len(now time.Time) int {
+// Len returns the number of endpoints that back off.
+func (r *BackOffs) Len(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
--- a/router/baseline.go
+++ b/router/baseline.go
@@ -6,14 +6,14 @@
 	"sync/atomic"
 )
 
-// LeastLoaded sends a request to the target with the most free slots for its
-// size. It is a baseline, and the choice when no target is within its bound.
+// LeastLoaded sends a request to the target with the lowest ratio of busy to total slots. It is a
+// baseline, and the fallback of Affinity if no target is within its bound.
 type LeastLoaded struct{}
 
-// Pick returns the target with the least share of its slots busy.
+// Pick returns the target with the lowest ratio of busy to total slots.
 func (LeastLoaded) Pick(ts []Target, q Query) Choice {
 	if len(ts) == 0 {
-		return none
+		return noTarget
 	}
 	best := 0
 	for i := range ts {
@@ -21,7 +21,7 @@
 			best = i
 		}
 	}
-	return Choice{Index: best, Expected: expected(&ts[best], q, false), Reason: "least loaded"}
+	return Choice{Index: best, Expected: expectedTime(&ts[best], q, false), Reason: "least loaded"}
 }
 
 // RoundRobin sends requests to the targets in turn. It is a baseline.
@@ -32,35 +32,36 @@
 // Pick returns the next target.
 func (r *RoundRobin) Pick(ts []Target, q Query) Choice {
 	if len(ts) == 0 {
-		return none
+		return noTarget
 	}
 	i := int((r.n.Add(1) - 1) % uint64(len(ts)))
-	return Choice{Index: i, Expected: expected(&ts[i], q, false), Reason: "next in turn"}
+	return Choice{Index: i, Expected: expectedTime(&ts[i], q, false), Reason: "next in turn"}
 }
 
-// Random sends a request anywhere. It is a baseline.
+// Random sends a request to a random target. It is a baseline. Int returns a random number in [0,
+// n); if it is nil, rand.IntN is used.
 type Random struct {
 	Int func(n int) int
 }
 
-// Pick returns a target at random.
+// Pick returns a random target.
 func (r Random) Pick(ts []Target, q Query) Choice {
 	if len(ts) == 0 {
-		return none
+		return noTarget
 	}
 	f := r.Int
 	if f == nil {
 		f = rand.IntN
 	}
 	i := f(len(ts))
-	return Choice{Index: i, Expected: expected(&ts[i], q, false), Reason: "at random"}
+	return Choice{Index: i, Expected: expectedTime(&ts[i], q, false), Reason: "at random"}
 }
 
-// New returns the policy of a name, as the settings have it.
+// New returns the policy with the given name in the settings. It returns an error if there is none.
 func New(name string, bound, recompute float64) (Policy, error) {
 	switch name {
 	case "affinity":
-		return Affinity{Bound: bound, Recompute: recompute}, nil
+		return Affinity{LoadBound: bound, RecomputeWeight: recompute}, nil
 	case "least_loaded":
 		return LeastLoaded{}, nil
 	case "round_robin":
