--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -152,7 +152,7 @@
 	p.known.Roster.Box, p.known.Roster.DataCentre = s.Box, s.DataCentre
 	p.quota.Incarnation = p.incarnation
 	p.budget.Chance = rand.Float64
-	p.budget.Boxes(p.quota.MostBoxes())
+	p.budget.Boxes(p.quota.MaxBoxes())
 	q := p.gossip.Quarantine
 	q.Log = log
 	p.gossip.OnEnded = p.ended
--- a/daemon/tell.go
+++ b/daemon/tell.go
@@ -36,7 +36,7 @@
 		}
 	}
 	g.OnChange, g.Quota, g.Clock = p.heard, p.quota, p.clock
-	g.BeforeKey, g.Expect = beforeKey, p.quota.Expect
+	g.BeforeKey, g.Expect = beforeKey, p.quota.Restore
 	g.Recall = func(s map[string]estimate.Stats) { p.book.Recall(s, boottime.Now()) }
 	g.Speeds = func() map[string]estimate.Stats { return p.book.AllSpeeds(boottime.Now()) }
 	g.Before = func(boxes int) quota.Before {
@@ -44,7 +44,7 @@
 		if t == nil {
 			return quota.Before{Boxes: boxes}
 		}
-		return p.quota.Before(boxes, t.Document.Accounts, boottime.Now())
+		return p.quota.Snapshot(boxes, t.Document.Accounts, boottime.Now())
 	}
 }
 
@@ -52,7 +52,7 @@
 func (p *entryParts) heard(others gossip.Status) {
 	now := boottime.Now()
 	p.boxes.Store(int64(others.Boxes + 1))
-	p.budget.Boxes(p.quota.MostBoxes())
+	p.budget.Boxes(p.quota.MaxBoxes())
 	p.follow()
 	p.book.Forget(func(id string) bool { _, ok := p.known.Roster.Get(id); return ok })
 	p.book.Available.Rates.Forget(func(incarnation string) bool {
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -120,7 +120,7 @@
 	}
 	b.BeforeKey = "before"
 	b.Before = func(boxes int) quota.Before {
-		p := b.Quota.Before(boxes, nil, time.Now())
+		p := b.Quota.Snapshot(boxes, nil, time.Now())
 		p.Short = map[string]float64{"a": -7}
 		return p
 	}
@@ -136,7 +136,7 @@
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		b.before = p
-		b.Quota.Expect(p)
+		b.Quota.Restore(p)
 	}
 	set(b)
 	k := &kernel.Kernel{}
--- a/gossip/limit.go
+++ b/gossip/limit.go
@@ -19,13 +19,13 @@
 	g.mu.Lock()
 	switch {
 	case relay:
-		v.Counted = g.counted()
+		v.Represented = g.counted()
 	case boottime.Since(g.at) >= recent || g.forItself():
-		v.Counted = 1
+		v.Represented = 1
 	}
 	v.Division = g.world.Division
 	g.mu.Unlock()
-	g.Quota.Round(v, t.Document.Accounts, boottime.Now())
+	g.Quota.Update(v, t.Document.Accounts, boottime.Now())
 }
 
 // forItself reports whether this process has just started, and speaks for itself alone:
--- a/gossip/relay.go
+++ b/gossip/relay.go
@@ -128,7 +128,7 @@
 func (g *Gossip) fromRelay(_ context.Context, in Status) (Status, error) {
 	g.hearRelay(in)
 	s := g.together()
-	s.Limits, s.Now = g.Quota.Tell(in.Box, boottime.Now()), g.Clock.Now()
+	s.Limits, s.Now = g.Quota.IssueLease(in.Box, boottime.Now()), g.Clock.Now()
 	s.Leavers = g.known.Roster.Leavers(in.Leavers.Sum)
 	s.Rates = g.Rates.Report(in.Rates.Sum, boottime.Now())
 	return s, nil
@@ -136,7 +136,7 @@
 
 func (g *Gossip) hearRelay(in Status) {
 	now := boottime.Now()
-	g.Quota.Hear(in.Limits, now)
+	g.Quota.AcceptLease(in.Limits, now)
 	g.Quarantine.Hear(in.Suspects, now)
 	g.hearLeavers(in.Leavers)
 	g.hearRates(in.Rates.Words)
@@ -180,7 +180,7 @@
 		w.Go(func() {
 			var in Status
 			out := status
-			out.Limits, out.Now = g.Quota.Tell(s.box, boottime.Now()), g.Clock.Now()
+			out.Limits, out.Now = g.Quota.IssueLease(s.box, boottime.Now()), g.Clock.Now()
 			told := g.otherRelay(s.box)
 			out.Leavers = g.known.Roster.Leavers(told.Leavers.Sum)
 			out.Rates = g.Rates.Report(told.Rates.Sum, boottime.Now())
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -38,22 +38,22 @@
 )
 
 // one is what a box knows that is alone.
-var one = quota.View{Counted: 1, Boxes: map[string]int{"": 1}}
+var one = quota.View{Represented: 1, Boxes: map[string]int{"": 1}}
 
 // books are the limits of a box that is alone.
 type books struct{ *quota.Quota }
 
 func (b books) Take(_ context.Context, x quota.Question) (quota.Answer, quota.Arbiter) {
-	b.Round(one, document.Accounts, time.Now())
+	b.Update(one, document.Accounts, time.Now())
 	return b.Ask(x, time.Now()), b.Self
 }
 
 // alone returns the limits of a box that has run for a while.
 func alone() books {
 	q := &quota.Quota{Self: quota.Arbiter{Box: "x"}, Started: time.Now().Add(-time.Minute), Chance: rand.Float64}
-	q.Expect(quota.Before{Division: quota.Division{Version: 1, Boxes: one.Boxes}})
+	q.Restore(quota.Before{Division: quota.Division{Version: 1, Boxes: one.Boxes}})
 	b := books{q}
-	b.Round(one, document.Accounts, time.Now().Add(-time.Second))
+	b.Update(one, document.Accounts, time.Now().Add(-time.Second))
 	return b
 }
 
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -67,8 +67,8 @@
 // somebody is a relay.
 func (b *box) knows(counted int, among ...quota.Arbiter) {
 	boxes := map[string]int{"dc": 3}
-	v := quota.View{Arbiters: among, Counted: counted, Boxes: boxes, Division: quota.Division{Version: 1, Boxes: boxes}}
-	b.Quota.Round(v, accounts, time.Now())
+	v := quota.View{Arbiters: among, Represented: counted, Boxes: boxes, Division: quota.Division{Version: 1, Boxes: boxes}}
+	b.Quota.Update(v, accounts, time.Now())
 }
 
 func (b *box) unanswered() int64 {
--- a/quota/arbiter.go
+++ b/quota/arbiter.go
@@ -18,12 +18,12 @@
 // shards is into how many groups accounts are dealt, each with arbiters of its own:
 // enough to spread them over the relays of nine data centres, and few enough to be
 // told in one message.
-const shards = 16
+const shardCount = 16
 
-func shard(account string) int { return int(rendezvous.Key(account) % shards) }
+func shard(account string) int { return int(rendezvous.Key(account) % shardCount) }
 
 // ranked orders boxes by rendezvous for a shard.
-func ranked(among []Arbiter, shard int) []Arbiter {
+func rankByRendezvous(among []Arbiter, shard int) []Arbiter {
 	s := slices.Clone(among)
 	slices.SortFunc(s, func(a, b Arbiter) int {
 		k := uint64(shard) + 1
@@ -34,9 +34,9 @@
 
 // pick returns a shard's arbiters: the first by rendezvous, and the first of another
 // data centre, if there is one.
-func pick(among []Arbiter, shard int) []Arbiter {
-	s := ranked(among, shard)
-	if len(s) <= perShard {
+func pickArbiters(among []Arbiter, shard int) []Arbiter {
+	s := rankByRendezvous(among, shard)
+	if len(s) <= arbitersPerShard {
 		return s
 	}
 	second := slices.IndexFunc(s, func(a Arbiter) bool { return a.DataCentre != s[0].DataCentre })
@@ -44,16 +44,16 @@
 }
 
 // pickHome returns the relay that keeps what stays in this data centre of a shard.
-func pickHome(self Arbiter, among []Arbiter, shard int) Arbiter {
+func pickHomeRelay(self Arbiter, among []Arbiter, shard int) Arbiter {
 	near := slices.DeleteFunc(slices.Clone(among), func(a Arbiter) bool { return a.DataCentre != self.DataCentre })
 	if len(near) == 0 {
 		return self
 	}
-	return ranked(near, shard)[0]
+	return rankByRendezvous(near, shard)[0]
 }
 
 // staying returns those that do not leave.
-func staying(among []Arbiter) []Arbiter {
+func withoutLeaving(among []Arbiter) []Arbiter {
 	return slices.DeleteFunc(slices.Clone(among), func(a Arbiter) bool { return a.Leaving })
 }
 
@@ -61,21 +61,21 @@
 // in its data centre, the account's arbiters, and the other relays of the data centre,
 // to which leases may have moved. Those that leave hold what was leased to them for a
 // while.
-func order(self Arbiter, among []Arbiter, account string) []Arbiter {
-	stay, sh := staying(among), shard(account)
+func askOrder(self Arbiter, among []Arbiter, account string) []Arbiter {
+	stay, sh := withoutLeaving(among), shard(account)
 	var out []Arbiter
 	add := func(as ...Arbiter) {
 		for _, a := range as {
-			if !contains(out, a.Box) {
+			if !containsBox(out, a.Box) {
 				out = append(out, a)
 			}
 		}
 	}
-	if h := pickHome(self, stay, sh); contains(among, h.Box) {
+	if h := pickHomeRelay(self, stay, sh); containsBox(among, h.Box) {
 		add(h)
 	}
-	far := pick(stay, sh)
-	if swaps(self) {
+	far := pickArbiters(stay, sh)
+	if asksSecondFirst(self) {
 		slices.Reverse(far)
 	}
 	add(far...)
@@ -88,13 +88,13 @@
 }
 
 // swaps reports whether a box asks a shard's second arbiter first, as half of all boxes do.
-func swaps(self Arbiter) bool { return rendezvous.Key(self.Box)%perShard == 1 }
+func asksSecondFirst(self Arbiter) bool { return rendezvous.Key(self.Box)%arbitersPerShard == 1 }
 
-func contains(among []Arbiter, box string) bool {
+func containsBox(among []Arbiter, box string) bool {
 	return slices.ContainsFunc(among, func(a Arbiter) bool { return a.Box == box })
 }
 
-func names(among []Arbiter) []string {
+func boxNames(among []Arbiter) []string {
 	out := make([]string, 0, len(among))
 	for _, a := range among {
 		out = append(out, a.Box)
--- a/quota/ask.go
+++ b/quota/ask.go
@@ -9,10 +9,10 @@
 // arbiters. If none lets it in, the answer is that of the one with the soonest way
 // back; ask reports false for one that did not answer.
 func (q *Quota) Take(x Question, now time.Time, ask func(Arbiter, Question) (Answer, bool)) (Answer, Arbiter) {
-	soonest, from := Answer{After: unheardRetry}, Arbiter{}
+	soonest, from := Answer{After: unreachableRetryAfter}, Arbiter{}
 	heard := false
 	x.DataCentre = q.Self.DataCentre
-	for _, a := range q.order(x.Account, now) {
+	for _, a := range q.askOrder(x.Account, now) {
 		v, ok := ask(a, x)
 		if ok && v.OK {
 			return v, a
@@ -26,17 +26,17 @@
 
 // unheardRetry is when a caller is told to come back whom nobody could be asked for: by
 // then leases have moved on.
-const unheardRetry = leaseFor / 2
+const unreachableRetryAfter = leaseDuration / 2
 
 // order returns whom to ask for an account, in turn.
-func (q *Quota) order(account string, now time.Time) []Arbiter {
+func (q *Quota) askOrder(account string, now time.Time) []Arbiter {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	out := order(q.Self, q.arbiters, account)
-	if contains(out, q.Self.Box) {
+	out := askOrder(q.Self, q.arbiters, account)
+	if containsBox(out, q.Self.Box) {
 		return out
 	}
-	if _, part := q.lessee.given(account, shard(account), now, now); part > 0 {
+	if _, part := q.lessee.granted(account, shard(account), now, now); part > 0 {
 		return append([]Arbiter{q.Self}, out...)
 	}
 	return out
@@ -63,7 +63,7 @@
 
 // longestRetry bounds when a refused caller is told to come back: the longest that
 // a window takes to be empty.
-const longestRetry = defaultWindow
+const maxRetryAfter = defaultWindow
 
 // Ask answers a question by this box's bucket. A request may be larger than what a
 // bucket ever holds, so it is let in while anything is left, and what it takes beyond
@@ -74,35 +74,35 @@
 	defer q.mu.Unlock()
 	b := q.buckets[x.Account]
 	if b == nil {
-		return Answer{After: unheardRetry}
+		return Answer{After: unreachableRetryAfter}
 	}
 	part := q.fill(b, now)
 	if part <= 0 && b.level <= 0 {
-		return Answer{After: unheardRetry, Level: b.level}
+		return Answer{After: unreachableRetryAfter, Level: b.level}
 	}
 	if x.DataCentre == q.Self.DataCentre {
 		b.demand.add(x.Size, now)
 	}
 	need := 0.0
 	if !x.Urgent {
-		need = urgentPart * part * b.burst
+		need = urgentReserve * part * b.burst
 	}
-	if part < smallPart {
+	if part < smallShare {
 		need = max(need, x.Size*q.Chance())
 	}
 	if b.level > 0 && b.level >= need {
 		b.level -= x.Size
 		return Answer{OK: true, Level: b.level, Part: part}
 	}
-	b.queue = min(b.queue+x.Size, b.rate*longestRetry.Seconds())
-	wait := b.queue/max(b.rate, 1) + (need-b.level)/max(b.rate*part, 1)
-	return Answer{After: min(time.Duration(wait*float64(time.Second)), longestRetry), Level: b.level, Part: part}
+	b.backlog = min(b.backlog+x.Size, b.rate*maxRetryAfter.Seconds())
+	wait := b.backlog/max(b.rate, 1) + (need-b.level)/max(b.rate*part, 1)
+	return Answer{After: min(time.Duration(wait*float64(time.Second)), maxRetryAfter), Level: b.level, Part: part}
 }
 
 // urgentPart is the part of its bucket that an account short of its rate keeps for
 // its most urgent requests; smallPart the part of the rate below which a bucket is one
 // of many.
 const (
-	urgentPart = 0.1
-	smallPart  = 0.12
+	urgentReserve = 0.1
+	smallShare    = 0.12
 )
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -10,30 +10,30 @@
 // debtPart is the most that a bucket may owe, as a part of what its account's rate
 // gives in a window: one request may be larger than that, and the account is not to be
 // refused for minutes.
-const debtPart = 0.75
+const maxDebtShare = 0.75
 
 // bucket is the token bucket of one account at one box, which fills by the leases
 // that the box holds.
 type bucket struct {
-	account string
-	shard   int
-	rate    float64 // the account's, units a second
-	burst   float64
-	level   float64
-	queue   float64 // what callers were told to come back for, and may not have
-	demand  demand
-	filled  time.Time
+	account  string
+	shard    int
+	rate     float64 // the account's, units a second
+	burst    float64
+	level    float64
+	backlog  float64 // what callers were told to come back for, and may not have
+	demand   demand
+	filledAt time.Time
 }
 
 // bucket returns an account's bucket under its limit of now.
-func (q *Quota) bucket(a *catalog.Account, now time.Time) *bucket {
+func (q *Quota) updateBucket(a *catalog.Account, now time.Time) *bucket {
 	if q.buckets == nil {
 		q.buckets = map[string]*bucket{}
 	}
-	rate, burst := q.limit(a)
+	rate, burst := q.bucketLimit(a)
 	b := q.buckets[a.Name]
 	if b == nil {
-		b = &bucket{account: a.Name, shard: shard(a.Name), rate: rate, burst: burst, filled: now}
+		b = &bucket{account: a.Name, shard: shard(a.Name), rate: rate, burst: burst, filledAt: now}
 		q.buckets[a.Name] = b
 	}
 	if b.rate != rate || b.burst != burst {
@@ -59,25 +59,25 @@
 // of its burst, 32 of 140 are refused in 2.5 s, and 61 where the burst bounds it
 // (TestManyRestartedUnderTheRate). All parts together are given no more than the rate.
 func (q *Quota) fill(b *bucket, now time.Time) float64 {
-	given, part := q.lessee.given(b.account, b.shard, b.filled, now)
-	passed := max(now.Sub(b.filled), 0).Seconds()
-	b.filled = now
+	given, part := q.lessee.granted(b.account, b.shard, b.filledAt, now)
+	passed := max(now.Sub(b.filledAt), 0).Seconds()
+	b.filledAt = now
 	b.level += given * b.rate
-	if q.age(now) > seedFor {
+	if q.age(now) > restoreMaxAge {
 		b.level = min(b.level, part*b.burst)
 	}
-	b.level = max(b.level, -debtPart*b.rate*q.window().Seconds())
-	b.queue = max(b.queue-passed*b.rate, 0)
+	b.level = max(b.level, -maxDebtShare*b.rate*q.window().Seconds())
+	b.backlog = max(b.backlog-passed*b.rate, 0)
 	return part
 }
 
 // lack returns what the buckets of this box lack, of accounts that lack a twentieth or
 // more of what it may hold.
-func (q *Quota) lack() map[string]float64 {
+func (q *Quota) deficits() map[string]float64 {
 	const least = 0.05
 	var out map[string]float64
 	for n, b := range q.buckets {
-		_, part := q.lessee.given(b.account, b.shard, b.filled, b.filled)
+		_, part := q.lessee.granted(b.account, b.shard, b.filledAt, b.filledAt)
 		d := part*b.burst - b.level
 		if d <= least*part*b.burst || d <= 0 {
 			continue
@@ -91,7 +91,7 @@
 }
 
 // asked returns what accounts are asked for here by boxes of this data centre.
-func (q *Quota) asked(now time.Time) map[string]float64 {
+func (q *Quota) localDemand(now time.Time) map[string]float64 {
 	out := map[string]float64{}
 	for n, b := range q.buckets {
 		b.demand.decay(now)
--- a/quota/division.go
+++ b/quota/division.go
@@ -18,10 +18,10 @@
 // thereFor is how long a division is kept to after another has replaced it, and a box
 // counted after it was last heard: a box that is cut off may not know better. Cuts of
 // 12 s are usual.
-const thereFor = 20 * time.Second
+const retainFor = 20 * time.Second
 
 // assumed is the number of boxes taken where no division is known.
-const assumed = 100
+const assumedBoxes = 100
 
 // weight is a data centre's part of an account.
 func (d *Division) weight(account, dc string) float64 {
@@ -35,43 +35,43 @@
 }
 
 // all is the number of boxes.
-func (d *Division) all() int { return all(d.Boxes) }
+func (d *Division) totalBoxes() int { return sumCounts(d.Boxes) }
 
 // divisions are those that some box may keep to. The zero value knows of none.
-type divisions struct {
-	tables []table // the newest last
+type divisionHistory struct {
+	entries []divisionEntry // the newest last
 }
 
-type table struct {
+type divisionEntry struct {
 	Division
-	replaced time.Time // zero while it is the newest
+	replacedAt time.Time // zero while it is the newest
 }
 
 // take adds a division that is newer than those known.
-func (s *divisions) take(d Division, now time.Time) {
+func (s *divisionHistory) add(d Division, now time.Time) {
 	if len(d.Boxes) == 0 || d.Version <= s.version() {
 		return
 	}
-	if n := len(s.tables); n > 0 {
-		s.tables[n-1].replaced = now
+	if n := len(s.entries); n > 0 {
+		s.entries[n-1].replacedAt = now
 	}
-	s.tables = append(s.tables, table{Division: d})
+	s.entries = append(s.entries, divisionEntry{Division: d})
 }
 
 // settle forgets the divisions before the newest, which nobody keeps to any more.
-func (s *divisions) settle() {
-	s.tables = s.tables[max(len(s.tables)-1, 0):]
+func (s *divisionHistory) dropReplaced() {
+	s.entries = s.entries[max(len(s.entries)-1, 0):]
 }
 
 // newest returns the division in force, nil if none is known.
-func (s *divisions) newest() *Division {
-	if len(s.tables) == 0 {
+func (s *divisionHistory) newest() *Division {
+	if len(s.entries) == 0 {
 		return nil
 	}
-	return &s.tables[len(s.tables)-1].Division
+	return &s.entries[len(s.entries)-1].Division
 }
 
-func (s *divisions) version() uint64 {
+func (s *divisionHistory) version() uint64 {
 	if d := s.newest(); d != nil {
 		return d.Version
 	}
@@ -81,13 +81,13 @@
 // part returns the part of an account that some boxes of a data centre have, of those
 // heard there. It is the least by any division that a box which is not heard may keep
 // to, so that all parts together are never more than the whole.
-func (s *divisions) part(account, dc string, boxes, heard int, now time.Time) float64 {
-	s.tables = slices.DeleteFunc(s.tables, func(t table) bool { return !t.replaced.IsZero() && now.Sub(t.replaced) > thereFor })
-	if len(s.tables) == 0 {
-		return float64(boxes) / assumed
+func (s *divisionHistory) share(account, dc string, boxes, heard int, now time.Time) float64 {
+	s.entries = slices.DeleteFunc(s.entries, func(t divisionEntry) bool { return !t.replacedAt.IsZero() && now.Sub(t.replacedAt) > retainFor })
+	if len(s.entries) == 0 {
+		return float64(boxes) / assumedBoxes
 	}
 	least := 1.0
-	for _, t := range s.tables {
+	for _, t := range s.entries {
 		n := max(t.Boxes[dc], heard, boxes, 1)
 		least = min(least, t.weight(account, dc)*float64(boxes)/float64(n))
 	}
@@ -95,12 +95,12 @@
 }
 
 // even returns the part that some boxes of a data centre have of a rate that is divided evenly.
-func (s *divisions) even(dc string, boxes, heard int, now time.Time) float64 {
-	return s.part(everything, dc, boxes, heard, now)
+func (s *divisionHistory) evenShare(dc string, boxes, heard int, now time.Time) float64 {
+	return s.share(evenlyDivided, dc, boxes, heard, now)
 }
 
 // everything stands for all rates that are divided evenly. No account has this name.
-const everything = ""
+const evenlyDivided = ""
 
 // evenWeight is the part of an account that is divided evenly over the data centres:
 // what is asked for there may move.
@@ -108,7 +108,7 @@
 
 // divide returns a new division, by the boxes that were heard and by what accounts are
 // asked for in each data centre.
-func divide(boxes map[string]int, asked map[string]map[string]float64) Division {
+func computeDivision(boxes map[string]int, asked map[string]map[string]float64) Division {
 	d := Division{Boxes: boxes, Weights: map[string]map[string]float64{}}
 	even := 1 / float64(max(len(boxes), 1))
 	for a, by := range asked {
--- a/quota/lease.go
+++ b/quota/lease.go
@@ -26,7 +26,7 @@
 	Version  uint64
 	Division Division
 
-	Even Even // of rates that are divided evenly
+	Even EvenLease // of rates that are divided evenly
 
 	Lacks map[string]float64 // what the lessor's own buckets lack, by account
 	Asked map[string]float64 // what boxes of its data centre ask it for, by account
@@ -37,15 +37,15 @@
 // round of half a second may be missed. A member of a relay is counted there for up to
 // memberFor after it last told it.
 const (
-	leaseFor  = 2 * time.Second
-	memberFor = 2500 * time.Millisecond
+	leaseDuration = 2 * time.Second
+	memberTimeout = 2500 * time.Millisecond
 )
 
 // homePart is the part that stays in a data centre. Its boxes go on with it when they
 // are cut off, before the leases have moved on: with a tenth 69 of 402 requests were
 // refused in the first two seconds of such a cut, and 9 in 1,000 on that whole day; with a
 // half 4 in 1,000 on the day.
-const homePart = 0.5
+const homeShare = 0.5
 
 // Pieces is a set of the pieces into which a lessor cuts its part of each shard: one for
 // its data centre and one for each of the shard's arbiters.
@@ -54,9 +54,9 @@
 // perShard is how many arbiters a shard has: with two, an account under half of its
 // rate does not notice the loss of one. The piece home comes before theirs.
 const (
-	home     = 0
-	perShard = 2
-	pieces   = 1 + perShard
+	homePiece        = 0
+	arbitersPerShard = 2
+	pieceCount       = 1 + arbitersPerShard
 )
 
 func (p Pieces) has(i int) bool { return p&(1<<i) != 0 }
@@ -64,15 +64,15 @@
 func (p Pieces) with(i int) Pieces { return p | 1<<i }
 
 // size is the part of the whole that the pieces are.
-func (p Pieces) size() float64 {
+func (p Pieces) share() float64 {
 	n := 0.0
-	for i := range pieces {
+	for i := range pieceCount {
 		switch {
 		case !p.has(i):
-		case i == home:
-			n += homePart
+		case i == homePiece:
+			n += homeShare
 		default:
-			n += (1 - homePart) / perShard
+			n += (1 - homeShare) / arbitersPerShard
 		}
 	}
 	return n
@@ -80,32 +80,32 @@
 
 // lessor gives out the parts that a box speaks for. Its zero value has given none.
 type lessor struct {
-	parts map[string]float64
-	given [shards][pieces]promise
-	left  time.Time // when a relay last counted this box
+	shares      map[string]float64
+	grants      [shardCount][pieceCount]grant
+	suspendedAt time.Time // when a relay last counted this box
 }
 
 // promise is one piece that is leased. It is renewed while its holder is an arbiter.
-type promise struct {
-	to      string
+type grant struct {
+	holder  string
 	until   time.Time
 	renewed bool
 }
 
 // leave notes that a relay counts this box.
-func (l *lessor) leave(now time.Time) {
-	l.parts, l.left = nil, now
-	for s := range l.given {
-		for i := range l.given[s] {
-			l.given[s][i].renewed = false
+func (l *lessor) suspend(now time.Time) {
+	l.shares, l.suspendedAt = nil, now
+	for s := range l.grants {
+		for i := range l.grants[s] {
+			l.grants[s][i].renewed = false
 		}
 	}
 }
 
 // speaksFor returns for how many boxes this one may speak: without itself while a
 // relay may count it still.
-func (l *lessor) speaksFor(counted int, now time.Time) int {
-	if !l.left.IsZero() && now.Sub(l.left) < memberFor {
+func (l *lessor) represented(counted int, now time.Time) int {
+	if !l.suspendedAt.IsZero() && now.Sub(l.suspendedAt) < memberTimeout {
 		counted--
 	}
 	return counted
@@ -115,23 +115,23 @@
 // one of those that homes returns for a shard. A piece that another may still spend is given
 // to nobody. What a lessee was told of a part that has become smaller it still spends for up
 // to leaseFor.
-func (l *lessor) lease(among []Arbiter, homes func(shard int) []string, parts map[string]float64, now time.Time) {
-	l.parts = parts
-	for s := range shards {
-		g := &l.given[s]
-		g[home].move(homes(s), now)
-		to := names(pick(among, s))
-		if slices.Contains(to, g[1].to) {
-			g[1].move(to, now)
+func (l *lessor) assign(among []Arbiter, homes func(shard int) []string, parts map[string]float64, now time.Time) {
+	l.shares = parts
+	for s := range shardCount {
+		g := &l.grants[s]
+		g[homePiece].renewOrMove(homes(s), now)
+		to := boxNames(pickArbiters(among, s))
+		if slices.Contains(to, g[1].holder) {
+			g[1].renewOrMove(to, now)
 		} else {
-			g[1].move(without(to, g[2].to), now)
+			g[1].renewOrMove(excluding(to, g[2].holder), now)
 		}
-		g[2].move(without(to, g[1].to), now)
+		g[2].renewOrMove(excluding(to, g[1].holder), now)
 	}
 }
 
 // without returns those but one, or all where there is no other.
-func without(boxes []string, box string) []string {
+func excluding(boxes []string, box string) []string {
 	if len(boxes) == 1 {
 		return boxes
 	}
@@ -140,24 +140,24 @@
 
 // move renews a piece whose holder is one of those that may have it. Else it goes to
 // the first of them once its time is over.
-func (p *promise) move(to []string, now time.Time) {
-	if !slices.Contains(to, p.to) {
+func (p *grant) renewOrMove(to []string, now time.Time) {
+	if !slices.Contains(to, p.holder) {
 		p.renewed = false
 		if now.Before(p.until) {
 			return
 		}
-		p.to = to[0]
+		p.holder = to[0]
 	}
-	p.renewed, p.until = true, now.Add(leaseFor)
+	p.renewed, p.until = true, now.Add(leaseDuration)
 }
 
 // pieces returns which pieces of each shard a box has, to be told now.
 func (l *lessor) pieces(to string, now time.Time) []Pieces {
-	out := make([]Pieces, shards)
-	for s := range l.given {
-		for i := range l.given[s] {
-			if p := &l.given[s][i]; p.to == to && p.renewed {
-				p.until = now.Add(leaseFor)
+	out := make([]Pieces, shardCount)
+	for s := range l.grants {
+		for i := range l.grants[s] {
+			if p := &l.grants[s][i]; p.holder == to && p.renewed {
+				p.until = now.Add(leaseDuration)
 				out[s] = out[s].with(i)
 			}
 		}
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -28,7 +28,7 @@
 // hold the rate's and the burst, not only the first. With 0.5 nearly one in a hundred
 // requests of an account at 0.7 of its rate is refused where some are a third of its
 // burst, with 0.25 none (TestLargeFleetUnderTheRate).
-const evenPart = 0.25
+const spreadBurstShare = 0.25
 
 // What boxes may be over a limit in a window is given to the account in part, so that
 // what is within the limit is not refused: toleratedRate of it over the window, and
@@ -37,8 +37,8 @@
 // they move. With more an account goes over its limit in some of the courses of
 // TestAnyCourse.
 const (
-	toleratedRate  = 0.25
-	toleratedBurst = 0.2
+	toleratedRateShare  = 0.25
+	toleratedBurstShare = 0.2
 )
 
 // defaultWindow stands in for terms that name none.
@@ -53,15 +53,15 @@
 
 // limit returns the rate and the burst of a bucket that keeps an account to its
 // limit in each window.
-func (t Terms) limit(a *catalog.Account) (rate, burst float64) {
-	even := evenPart * a.Burst
-	over := t.tolerated(a)
+func (t Terms) bucketLimit(a *catalog.Account) (rate, burst float64) {
+	even := spreadBurstShare * a.Burst
+	over := t.toleratedOverage(a)
 	w := t.window().Seconds()
-	return a.Rate + even/w + toleratedRate*over/w, a.Burst - even + toleratedBurst*over
+	return a.Rate + even/w + toleratedRateShare*over/w, a.Burst - even + toleratedBurstShare*over
 }
 
 // tolerated is what boxes together may be over an account's limit in a window.
-func (t Terms) tolerated(a *catalog.Account) float64 {
+func (t Terms) toleratedOverage(a *catalog.Account) float64 {
 	return t.Overage*(a.Rate*t.window().Seconds()+a.Burst) + t.Slack
 }
 
@@ -72,7 +72,7 @@
 
 	// Counted is how many boxes of its data centre this one speaks for: itself and
 	// those that it counts as a relay; zero while a relay counts it.
-	Counted int
+	Represented int
 
 	// Boxes is how many boxes of each data centre are heard, this one included.
 	Boxes map[string]int
@@ -94,72 +94,72 @@
 	// Chance returns numbers from 0 to 1, at random.
 	Chance func() float64
 
-	mu        sync.Mutex
-	arbiters  []Arbiter
-	divisions divisions
-	boxes     boxes
-	apart     bool // fewer boxes are heard than there are
-	buckets   map[string]*bucket
-	lessor    lessor
-	lessee    lessee
-	even      even
-	heard     map[string]Lease              // what other relays told last
-	before    *Before                       // what was before this process started, if known
-	first     bool                          // nothing was
-	seeds     map[string]map[string]float64 // by lessor and account, the parts that began with what was left before
+	mu          sync.Mutex
+	arbiters    []Arbiter
+	divisions   divisionHistory
+	boxHistory  boxHistory
+	partitioned bool // fewer boxes are heard than there are
+	buckets     map[string]*bucket
+	lessor      lessor
+	lessee      lessee
+	evenLeases  evenLeases
+	received    map[string]Lease              // what other relays told last
+	saved       *Before                       // what was before this process started, if known
+	firstStart  bool                          // nothing was
+	restored    map[string]map[string]float64 // by lessor and account, the parts that began with what was left before
 }
 
 // apartBelow is the part of all boxes below which those that are heard are a part of
 // the fleet only.
-const apartBelow = 0.9
+const partitionedBelow = 0.9
 
 // Round leases this box's part anew, by what it now knows of the fleet. Accounts are
 // those of the configuration in force.
-func (q *Quota) Round(v View, accounts []catalog.Account, now time.Time) {
+func (q *Quota) Update(v View, accounts []catalog.Account, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.divisions.take(v.Division, now)
-	q.boxes.hear(v.Boxes, now)
+	q.divisions.add(v.Division, now)
+	q.boxHistory.record(v.Boxes, now)
 	d, n := q.divisions.newest(), Division{Boxes: v.Boxes}
-	q.apart = d != nil && float64(n.all()) < apartBelow*float64(d.all())
+	q.partitioned = d != nil && float64(n.totalBoxes()) < partitionedBelow*float64(d.totalBoxes())
 	q.arbiters = v.Arbiters
 	q.lessee.leaving = slices.ContainsFunc(v.Arbiters, func(a Arbiter) bool { return a.Box == q.Self.Box && a.Leaving })
-	q.even.lessee.leaving = q.lessee.leaving
-	if !q.apart && q.agreed() {
-		q.divisions.settle()
+	q.evenLeases.lessee.leaving = q.lessee.leaving
+	if !q.partitioned && q.relaysAgree() {
+		q.divisions.dropReplaced()
 	}
 	for i := range accounts {
-		q.bucket(&accounts[i], now)
+		q.updateBucket(&accounts[i], now)
 	}
 	q.fillAll(now)
-	if v.Counted == 0 {
-		q.lessor.leave(now)
+	if v.Represented == 0 {
+		q.lessor.suspend(now)
 		q.lessee.drop(q.Self.Box)
-		q.even.leave(q.Self.Box, now)
+		q.evenLeases.suspend(q.Self.Box, now)
 		return
 	}
-	among := staying(v.Arbiters)
-	if !contains(v.Arbiters, q.Self.Box) || len(among) == 0 {
+	among := withoutLeaving(v.Arbiters)
+	if !containsBox(v.Arbiters, q.Self.Box) || len(among) == 0 {
 		among = []Arbiter{q.Self}
 	}
-	boxes := q.lessor.speaksFor(v.Counted, now)
-	heard := q.boxes.most()[q.Self.DataCentre]
+	boxes := q.lessor.represented(v.Represented, now)
+	heard := q.boxHistory.peak()[q.Self.DataCentre]
 	parts := map[string]float64{}
 	for a := range q.buckets {
-		parts[a] = q.divisions.part(a, q.Self.DataCentre, boxes, heard, now)
+		parts[a] = q.divisions.share(a, q.Self.DataCentre, boxes, heard, now)
 	}
-	homes := func(shard int) []string { return []string{pickHome(q.Self, among, shard).Box} }
-	q.lessor.lease(among, homes, parts, now)
-	h := hold{q.Self.Box, parts, q.lessor.pieces(q.Self.Box, now), now.Add(leaseFor)}
-	q.seed(h, now)
-	q.lessee.take(h, now)
-	q.even.lease(q.Self.Box, among, q.divisions.even(q.Self.DataCentre, boxes, heard, now), now)
+	homes := func(shard int) []string { return []string{pickHomeRelay(q.Self, among, shard).Box} }
+	q.lessor.assign(among, homes, parts, now)
+	h := heldLease{q.Self.Box, parts, q.lessor.pieces(q.Self.Box, now), now.Add(leaseDuration)}
+	q.restoreLevels(h, now)
+	q.lessee.replace(h, now)
+	q.evenLeases.assign(q.Self.Box, among, q.divisions.evenShare(q.Self.DataCentre, boxes, heard, now), now)
 }
 
 // agreed reports whether all relays that are heard keep to this box's division.
-func (q *Quota) agreed() bool {
+func (q *Quota) relaysAgree() bool {
 	for _, a := range q.arbiters {
-		if a.Box != q.Self.Box && q.heard[a.Box].Version < q.divisions.version() {
+		if a.Box != q.Self.Box && q.received[a.Box].Version < q.divisions.version() {
 			return false
 		}
 	}
@@ -180,50 +180,50 @@
 func (q *Quota) Adopt(d Division, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.divisions.take(d, now)
+	q.divisions.add(d, now)
 }
 
 // Tell returns what this relay tells another: its lease, what accounts lack here, and
 // what they are asked for.
-func (q *Quota) Tell(to string, now time.Time) Lease {
+func (q *Quota) IssueLease(to string, now time.Time) Lease {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.fillAll(now)
-	l := Lease{From: q.Self.Box, DataCentre: q.Self.DataCentre, Now: q.stamp(now), Seen: q.heard[to].Now, Version: q.divisions.version(), Lacks: q.lack(), Asked: q.asked(now)}
-	if d := q.divisions.newest(); d != nil && q.heard[to].Version < d.Version {
+	l := Lease{From: q.Self.Box, DataCentre: q.Self.DataCentre, Now: q.stamp(now), Seen: q.received[to].Now, Version: q.divisions.version(), Lacks: q.deficits(), Asked: q.localDemand(now)}
+	if d := q.divisions.newest(); d != nil && q.received[to].Version < d.Version {
 		l.Division = *d
 	}
-	l.Pieces, l.Parts = q.lessor.pieces(to, now), q.lessor.parts
-	l.Even = q.even.tell(to, now)
+	l.Pieces, l.Parts = q.lessor.pieces(to, now), q.lessor.shares
+	l.Even = q.evenLeases.issue(to, now)
 	return l
 }
 
 // Hear takes what another relay tells. A lease counts from the moment that its
 // lessor had last heard of here, so that one which was held up on the way, or read
 // after a pause of this process, has no more time than its lessor gave it.
-func (q *Quota) Hear(l Lease, now time.Time) {
+func (q *Quota) AcceptLease(l Lease, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.heard == nil {
-		q.heard = map[string]Lease{}
+	if q.received == nil {
+		q.received = map[string]Lease{}
 	}
-	if old, ok := q.heard[l.From]; ok && old.Now.Incarnation != l.Now.Incarnation {
+	if old, ok := q.received[l.From]; ok && old.Now.Incarnation != l.Now.Incarnation {
 		// What the process before leased is leased anew.
 		q.fillAll(now)
 		q.lessee.drop(l.From)
-		q.even.drop(l.From, now)
+		q.evenLeases.drop(l.From, now)
 	}
-	q.heard[l.From] = l
-	q.divisions.take(l.Division, now)
+	q.received[l.From] = l
+	q.divisions.add(l.Division, now)
 	if l.Seen.Incarnation != q.Incarnation {
 		return
 	}
 	q.fillAll(now)
-	until := q.Started.Add(l.Seen.At).Add(leaseFor)
-	h := hold{l.From, l.Parts, l.Pieces, until}
-	q.seed(h, now)
-	q.lessee.take(h, now)
-	q.even.hear(l.From, l.Even, until, now)
+	until := q.Started.Add(l.Seen.At).Add(leaseDuration)
+	h := heldLease{l.From, l.Parts, l.Pieces, until}
+	q.restoreLevels(h, now)
+	q.lessee.replace(h, now)
+	q.evenLeases.accept(l.From, l.Even, until, now)
 }
 
 // Forget drops what a relay told that is not heard any more; its leases end by
@@ -231,7 +231,7 @@
 func (q *Quota) Forget(relay string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	delete(q.heard, relay)
+	delete(q.received, relay)
 }
 
 func (q *Quota) age(now time.Time) time.Duration { return now.Sub(q.Started) }
--- a/quota/rates_test.go
+++ b/quota/rates_test.go
@@ -21,35 +21,35 @@
 // What boxes that have been told may send an endpoint in rateWindow, from rateSettles after a
 // limit was first named.
 const (
-	rateWindow  = 4 * time.Second
-	rateSettles = 3 * time.Second
-	rateOver    = 1.5
-	rateMore    = 5
+	rateWindow     = 4 * time.Second
+	rateSettleTime = 3 * time.Second
+	rateTolerance  = 1.5
+	rateAllowance  = 5
 )
 
 // limited is an endpoint that may name a limit.
-type limited struct {
+type limitedEndpoint struct {
 	endpoint.Endpoint
-	limit endpoint.Limit
-	past  []past
-	sent  []sent
-	turns int // requests that it got
+	limit      endpoint.Limit
+	pastLimits []pastLimit
+	sent       []sentRequest
+	received   int // requests that it got
 }
 
 // past is a limit that was named until a time; infinite for none.
-type past struct {
+type pastLimit struct {
 	perSecond float64
 	until     time.Time
 }
 
 // most returns the highest limit that a window up to now may rest on.
-func (e *limited) most(now time.Time) float64 {
+func (e *limitedEndpoint) highestLimit(now time.Time) float64 {
 	m := math.Inf(1)
 	if e.limit.Named {
 		m = e.limit.PerSecond
 	}
-	for _, p := range e.past {
-		if now.Sub(p.until) < rateSettles+rateWindow {
+	for _, p := range e.pastLimits {
+		if now.Sub(p.until) < rateSettleTime+rateWindow {
 			m = max(m, p.perSecond)
 		}
 	}
@@ -57,21 +57,21 @@
 }
 
 // sent is one request that an endpoint got.
-type sent struct {
-	at   time.Time
-	box  int
-	knew bool // its box had been told of the limit
+type sentRequest struct {
+	at       time.Time
+	box      int
+	notified bool // its box had been told of the limit
 }
 
 // equal is an equal part of each rate for a box, by the number of boxes that it hears.
-type equal struct {
+type equalShare struct {
 	fleet *fleet
 	box   int
 	at    time.Time
 	given float64
 }
 
-func (e *equal) Given(_ string, now time.Time) (seconds, part float64) {
+func (e *equalShare) Given(_ string, now time.Time) (seconds, part float64) {
 	n := 0
 	for _, k := range e.fleet.view(e.box).Boxes {
 		n += k
@@ -85,14 +85,14 @@
 }
 
 func (f *fleet) leases(i int) throttle.Leases {
-	if f.evenly {
-		return &equal{fleet: f, box: i}
+	if f.equalShares {
+		return &equalShare{fleet: f, box: i}
 	}
 	return f.nodes[i].Quota
 }
 
 // tellRates lets two boxes tell each other the rates that they know.
-func (f *fleet) tellRates(a, b *node) {
+func (f *fleet) exchangeRates(a, b *node) {
 	p := a.available.Rates.Report(b.available.Rates.Sum(), f.now)
 	b.available.Rates.Hear(p.Words, f.now)
 	p = b.available.Rates.Report(a.available.Rates.Sum(), f.now)
@@ -100,19 +100,19 @@
 }
 
 // spread tells all boxes what one was told: through its relay, and that one's fellows.
-func (f *fleet) spread(i int, w stated.Word) {
+func (f *fleet) broadcastRate(i int, w stated.Word) {
 	from := i
 	if !f.isRelay(i) {
 		from = f.nodes[i].relay
-		if from < 0 || !f.hears(i, from) {
+		if from < 0 || !f.reaches(i, from) {
 			return
 		}
 		f.nodes[from].available.Rates.Hear([]stated.Word{w}, f.now)
 	}
 	relays := []int{from}
-	for dc := range f.cells {
+	for dc := range f.dataCentres {
 		for _, r := range f.relays(dc) {
-			if r != from && f.hears(from, r) {
+			if r != from && f.reaches(from, r) {
 				f.nodes[r].available.Rates.Hear([]stated.Word{w}, f.now)
 				relays = append(relays, r)
 			}
@@ -120,7 +120,7 @@
 	}
 	for _, r := range relays {
 		for m := range f.nodes[r].members {
-			if f.hears(r, m) {
+			if f.reaches(r, m) {
 				f.nodes[m].available.Rates.Hear([]stated.Word{w}, f.now)
 			}
 		}
@@ -128,33 +128,33 @@
 }
 
 // limitEach adds endpoints that name limits; zero or less is none.
-func (f *fleet) limitEach(perSecond ...float64) {
+func (f *fleet) addEndpoints(perSecond ...float64) {
 	for _, x := range perSecond {
-		e := &limited{Endpoint: endpoint.Endpoint{ID: fmt.Sprint("e", len(f.endpoints))}}
+		e := &limitedEndpoint{Endpoint: endpoint.Endpoint{ID: fmt.Sprint("e", len(f.endpoints))}}
 		f.endpoints = append(f.endpoints, e)
-		f.name(e, x)
+		f.setLimit(e, x)
 	}
 }
 
 // name lets an endpoint name another limit from now on.
-func (f *fleet) name(e *limited, perSecond float64) {
+func (f *fleet) setLimit(e *limitedEndpoint, perSecond float64) {
 	old := math.Inf(1)
 	if e.limit.Named {
 		old = e.limit.PerSecond
 	}
-	e.past = append(e.past, past{old, f.now})
+	e.pastLimits = append(e.pastLimits, pastLimit{old, f.now})
 	e.limit = endpoint.Limit{Named: perSecond > 0, PerSecond: max(perSecond, 0)}
 }
 
 // permit asks for one request to an endpoint as a box does, and defers it if it may not be sent.
-func (f *fleet) permit(i int, e *limited) bool {
+func (f *fleet) requestPermit(i int, e *limitedEndpoint) bool {
 	n := f.nodes[i]
 	l, age := n.available.Rates.Limit(e.ID, f.now)
 	if !l.Named {
 		return true
 	}
 	x := throttle.Question{Endpoint: e.ID, PerSecond: l.PerSecond, Age: age}
-	if f.evenly {
+	if f.equalShares {
 		a := n.throttle.Ask(x, f.now)
 		if !a.OK {
 			n.available.Defer(e.ID, l.PerSecond, a.After, f.now)
@@ -163,12 +163,12 @@
 	}
 	soonest := throttle.Answer{After: time.Second}
 	for _, a := range n.Arbiters(e.ID, f.now) {
-		j := index(a)
+		j := boxIndex(a)
 		f.calls++
-		if i != j && !f.hears(i, j) {
+		if i != j && !f.reaches(i, j) {
 			continue
 		}
-		v := f.answerFor(f.nodes[j], x)
+		v := f.answerPermit(f.nodes[j], x)
 		if v.OK {
 			return true
 		}
@@ -181,7 +181,7 @@
 }
 
 // answerFor is what an arbiter answers.
-func (f *fleet) answerFor(n *node, x throttle.Question) throttle.Answer {
+func (f *fleet) answerPermit(n *node, x throttle.Question) throttle.Answer {
 	n.available.Rates.Hear([]stated.Word{{Incarnation: x.Endpoint, Named: true, PerSecond: x.PerSecond, Age: x.Age}}, f.now)
 	l, _ := n.available.Rates.Limit(x.Endpoint, f.now)
 	if !l.Named {
@@ -193,27 +193,27 @@
 
 // request sends a box's request to the first endpoint that takes it, in an order at random: those
 // with a limit first, which have the least to do.
-func (f *fleet) request(i int) {
-	f.asked++
+func (f *fleet) sendRequest(i int) {
+	f.attempted++
 	n := f.nodes[i]
 	for _, k := range f.rng.Perm(len(f.endpoints)) {
 		e := f.endpoints[k]
-		if n.available.Left(e.ID, f.now) > 0 || !f.permit(i, e) {
+		if n.available.Left(e.ID, f.now) > 0 || !f.requestPermit(i, e) {
 			continue
 		}
-		f.done++
-		e.turns++
+		f.admitted++
+		e.received++
 		knew := n.available.Limited(e.ID, f.now)
-		e.sent = append(e.sent, sent{f.now, i, knew})
+		e.sent = append(e.sent, sentRequest{f.now, i, knew})
 		if w, news := n.available.Rates.Say(e.ID, e.limit, f.now); news {
-			f.spread(i, w)
+			f.broadcastRate(i, w)
 		}
 		return
 	}
 }
 
 // ask sends requests a second at random boxes for a time, and looks after each step.
-func (f *fleet) ask(d time.Duration, perSecond float64, look func()) {
+func (f *fleet) sendRequests(d time.Duration, perSecond float64, look func()) {
 	for range int(d / tick) {
 		f.step()
 		for _, e := range f.endpoints {
@@ -224,7 +224,7 @@
 		look()
 		for n := perSecond * tick.Seconds(); n > 0 && f.rng.Float64() < n; n-- {
 			if i := f.rng.IntN(len(f.nodes)); !f.nodes[i].dead && !f.nodes[i].frozen {
-				f.request(i)
+				f.sendRequest(i)
 			}
 		}
 	}
@@ -232,17 +232,17 @@
 
 // kept returns what holds that no endpoint got more in the last window than its limit allows from
 // boxes that had been told, whatever happens to them.
-func (f *fleet) kept(t *testing.T) func() {
+func (f *fleet) rateCheck(t *testing.T) func() {
 	return func() {
 		t.Helper()
 		for _, e := range f.endpoints {
 			n := 0
 			for _, s := range e.sent {
-				if s.knew {
+				if s.notified {
 					n++
 				}
 			}
-			require.LessOrEqual(t, float64(n), rateOver*rateWindow.Seconds()*e.most(f.now)+rateMore, "%s with %v at %v", e.ID, e.limit, f.now)
+			require.LessOrEqual(t, float64(n), rateTolerance*rateWindow.Seconds()*e.highestLimit(f.now)+rateAllowance, "%s with %v at %v", e.ID, e.limit, f.now)
 		}
 	}
 }
@@ -250,78 +250,78 @@
 // An endpoint that takes a rate gets about that, from few boxes and from many, and nobody is
 // refused while others have room.
 func TestRateIsUsed(t *testing.T) {
-	for _, n := range []int{few, many} {
+	for _, n := range []int{smallFleet, largeFleet} {
 		for _, rate := range []float64{0.3, 1, 10} {
 			t.Run(fmt.Sprint(n, "/", rate), func(t *testing.T) {
 				t.Parallel()
-				f := settled(n, 1)
-				f.limitEach(rate, 0, 0)
-				f.ask(10*time.Second, 60, f.kept(t))
-				f.endpoints[0].turns = 0
-				f.reset()
+				f := newSettledFleet(n, 1)
+				f.addEndpoints(rate, 0, 0)
+				f.sendRequests(10*time.Second, 60, f.rateCheck(t))
+				f.endpoints[0].received = 0
+				f.resetCounts()
 				const d = 60 * time.Second
-				f.ask(d, 60, f.kept(t))
-				require.Equal(t, f.asked, f.done)
-				require.InEpsilon(t, rate*d.Seconds(), f.endpoints[0].turns, 0.2)
+				f.sendRequests(d, 60, f.rateCheck(t))
+				require.Equal(t, f.attempted, f.admitted)
+				require.InEpsilon(t, rate*d.Seconds(), f.endpoints[0].received, 0.2)
 			})
 		}
 	}
 }
 
 // The whole fleet keeps to rates of which each box alone would have a thousandth, and uses them.
-func TestRatesOfTheLargestFleet(t *testing.T) {
+func TestRatesOfLargestFleet(t *testing.T) {
 	t.Parallel()
 	f := newFleet(985, 5, 1)
 	f.idle(6 * time.Second)
 	rates := []float64{0.5, 1, 10, 0, 0, 0, 0, 0, 0, 0}
-	f.limitEach(rates...)
-	f.ask(5*time.Second, 520, f.kept(t))
-	f.reset()
+	f.addEndpoints(rates...)
+	f.sendRequests(5*time.Second, 520, f.rateCheck(t))
+	f.resetCounts()
 	for _, e := range f.endpoints {
-		e.turns = 0
+		e.received = 0
 	}
 	const d = 8 * time.Second
-	f.ask(d, 520, f.kept(t))
-	require.Equal(t, f.asked, f.done)
+	f.sendRequests(d, 520, f.rateCheck(t))
+	require.Equal(t, f.attempted, f.admitted)
 	for i, e := range f.endpoints[:3] {
-		require.InDelta(t, rates[i]*d.Seconds(), e.turns, 2)
+		require.InDelta(t, rates[i]*d.Seconds(), e.received, 2)
 	}
 }
 
 // Where all endpoints name limits, boxes together send what these take and no less.
-func TestRatesOfAll(t *testing.T) {
+func TestRatesOfAllEndpoints(t *testing.T) {
 	t.Parallel()
-	for _, n := range []int{few, many} {
-		f := settled(n, 1)
-		f.limitEach(10, 10, 10)
-		f.ask(10*time.Second, 60, f.kept(t))
-		f.reset()
-		f.ask(20*time.Second, 60, f.kept(t))
-		require.InEpsilon(t, 600, f.done, 0.1, "%d boxes", n)
-		f.reset()
-		f.ask(20*time.Second, 20, f.kept(t))
-		require.GreaterOrEqual(t, f.served(), 0.95, "%d boxes", n)
+	for _, n := range []int{smallFleet, largeFleet} {
+		f := newSettledFleet(n, 1)
+		f.addEndpoints(10, 10, 10)
+		f.sendRequests(10*time.Second, 60, f.rateCheck(t))
+		f.resetCounts()
+		f.sendRequests(20*time.Second, 60, f.rateCheck(t))
+		require.InEpsilon(t, 600, f.admitted, 0.1, "%d boxes", n)
+		f.resetCounts()
+		f.sendRequests(20*time.Second, 20, f.rateCheck(t))
+		require.GreaterOrEqual(t, f.admittedShare(), 0.95, "%d boxes", n)
 	}
 }
 
 // A limit that an endpoint names no more is gone within seconds, also a low one.
-func TestRateEnds(t *testing.T) {
+func TestLiftedLimit(t *testing.T) {
 	for _, rate := range []float64{0.01, 1} {
-		f := settled(few, 1)
-		f.limitEach(rate, 0)
-		f.ask(20*time.Second, 60, f.kept(t))
-		f.name(f.endpoints[0], 0)
-		f.ask(12*time.Second, 60, f.kept(t))
-		f.endpoints[0].turns = 0
-		f.ask(2*time.Second, 60, f.kept(t))
-		require.Greater(t, f.endpoints[0].turns, 30, "%v a second", rate)
+		f := newSettledFleet(smallFleet, 1)
+		f.addEndpoints(rate, 0)
+		f.sendRequests(20*time.Second, 60, f.rateCheck(t))
+		f.setLimit(f.endpoints[0], 0)
+		f.sendRequests(12*time.Second, 60, f.rateCheck(t))
+		f.endpoints[0].received = 0
+		f.sendRequests(2*time.Second, 60, f.rateCheck(t))
+		require.Greater(t, f.endpoints[0].received, 30, "%v a second", rate)
 	}
 }
 
 // TestAnyRates holds endpoints to the rates that they take, whatever happens to the boxes, and
 // while limits are named by many at once, raised, lowered and ended. RATES_SEEDS asks for that many
 // courses of each small fleet.
-func TestAnyRates(t *testing.T) {
+func TestRatesUnderRandomFaults(t *testing.T) {
 	seeds, err := strconv.ParseUint(cmp.Or(os.Getenv("RATES_SEEDS"), "15"), 10, 64)
 	require.NoError(t, err)
 	for n, courses := range map[int]uint64{3: seeds, 6: seeds, 8: seeds, 24: 3, 95: 1} {
@@ -330,14 +330,14 @@
 				t.Parallel()
 				f := newFleet(n, min(n/2, 5), seed)
 				f.idle(10 * time.Second)
-				f.limitEach(0, 0, 0, 0, 0)
+				f.addEndpoints(0, 0, 0, 0, 0)
 				for i := range 12 {
 					if i%4 == 0 {
-						f.nameSome()
+						f.changeLimits()
 					}
-					f.trouble(anyTrouble + 1)
-					f.ask(time.Duration(1+f.rng.IntN(8))*time.Second, []float64{5, 40, 200}[f.rng.IntN(3)], f.kept(t))
-					f.mend()
+					f.injectFault(faultKinds + 1)
+					f.sendRequests(time.Duration(1+f.rng.IntN(8))*time.Second, []float64{5, 40, 200}[f.rng.IntN(3)], f.rateCheck(t))
+					f.repair()
 				}
 			})
 		}
@@ -345,9 +345,9 @@
 }
 
 // nameSome lets some endpoints name other limits, or all of them.
-func (f *fleet) nameSome() {
+func (f *fleet) changeLimits() {
 	for _, e := range f.endpoints[:1+rand.New(rand.NewPCG(f.rng.Uint64(), 3)).IntN(len(f.endpoints))] {
-		f.name(e, []float64{0, 0.1, 0.5, 1, 3, 10, 40}[f.rng.IntN(7)])
+		f.setLimit(e, []float64{0, 0.1, 0.5, 1, 3, 10, 40}[f.rng.IntN(7)])
 	}
 }
 
@@ -356,11 +356,11 @@
 // each box.
 func BenchmarkRates(b *testing.B) {
 	for _, evenly := range []bool{false, true} {
-		for _, n := range []int{few, many} {
+		for _, n := range []int{smallFleet, largeFleet} {
 			for _, rate := range []float64{0.3, 1, 10} {
 				b.Run(fmt.Sprintf("evenly=%v/boxes=%d/rate=%v", evenly, n, rate), func(b *testing.B) {
 					for b.Loop() {
-						compareRates(b, n, rate, evenly)
+						measureRates(b, n, rate, evenly)
 					}
 				})
 			}
@@ -368,25 +368,25 @@
 	}
 }
 
-func compareRates(b *testing.B, n int, rate float64, evenly bool) {
+func measureRates(b *testing.B, n int, rate float64, evenly bool) {
 	b.Helper()
 	f := newFleet(n, min(n/2, 5), 1)
-	f.evenly = evenly
+	f.equalShares = evenly
 	f.restartAll(nil)
 	f.idle(10 * time.Second)
-	f.limitEach(rate, 0, 0)
+	f.addEndpoints(rate, 0, 0)
 	e := f.endpoints[0]
-	f.ask(10*time.Second, 60, func() {})
-	e.turns = 0
+	f.sendRequests(10*time.Second, 60, func() {})
+	e.received = 0
 	most := 0
-	f.ask(time.Minute, 60, func() { most = max(most, len(e.sent)) })
-	b.ReportMetric(float64(e.turns)/(rate*time.Minute.Seconds()), "used")
+	f.sendRequests(time.Minute, 60, func() { most = max(most, len(e.sent)) })
+	b.ReportMetric(float64(e.received)/(rate*time.Minute.Seconds()), "used")
 	b.ReportMetric(float64(most)/(rate*rateWindow.Seconds()), "window")
 }
 
 // A box finds one of the two arbiters of a rate before the other as often as not.
-func TestArbitersOfRates(t *testing.T) {
-	f := settled(many, 1)
+func TestRateArbiters(t *testing.T) {
+	f := newSettledFleet(largeFleet, 1)
 	for i := range 5 {
 		as := f.nodes[40].Arbiters(fmt.Sprint("e", i), f.now)
 		require.GreaterOrEqual(t, len(as), 2)
--- a/quota/retries_test.go
+++ b/quota/retries_test.go
@@ -11,11 +11,11 @@
 )
 
 // retryTerms are what all boxes together may repeat.
-var retryTerms = budget.Terms{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}
+var retryBudget = budget.Terms{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}
 
 // failAll sends requests a second for a time, all of which fail and are repeated as often as the
 // boxes' budgets allow. It returns the requests and the repeats.
-func (f *fleet) failAll(d time.Duration, perSecond float64) (requests, repeats int) {
+func (f *fleet) sendFailing(d time.Duration, perSecond float64) (requests, repeats int) {
 	for range int(d / tick) {
 		f.step()
 		for n := perSecond * tick.Seconds(); n > 0 && f.rng.Float64() < n; n-- {
@@ -39,18 +39,18 @@
 // it if it heard none. Nine boxes that are cut off from each other repeated 199 times in 10 s what
 // 76 may be, and 80 boxes 480 times what 84 may be.
 // They divide it by how many boxes there may be.
-func TestRetriesTogether(t *testing.T) {
-	for _, n := range []int{9, many} {
+func TestRetryBudgetPartitioned(t *testing.T) {
+	for _, n := range []int{9, largeFleet} {
 		for name, apart := range map[string]func(f *fleet){
 			"started": func(f *fleet) { f.restartAll(nil) },
 			"cut": func(f *fleet) {
 				for i, x := range f.nodes {
-					x.side = i % f.cells
+					x.partition = i % f.dataCentres
 				}
 			},
 			"alone": func(f *fleet) {
 				for i, x := range f.nodes {
-					x.side = i
+					x.partition = i
 				}
 			},
 		} {
@@ -59,20 +59,20 @@
 				f := newFleet(n, 3, 1)
 				f.idle(10 * time.Second)
 				apart(f)
-				requests, repeats := f.failAll(10*time.Second, 15)
-				require.LessOrEqual(t, float64(repeats), retryTerms.Ratio*float64(requests)+retryTerms.Slack)
+				requests, repeats := f.sendFailing(10*time.Second, 15)
+				require.LessOrEqual(t, float64(repeats), retryBudget.Ratio*float64(requests)+retryBudget.Slack)
 			})
 		}
 	}
 }
 
 // While all boxes hear each other, they have what the terms leave them.
-func TestRetriesAreUsed(t *testing.T) {
+func TestRetryBudgetUsed(t *testing.T) {
 	f := newFleet(9, 3, 1)
 	f.idle(30 * time.Second)
 	for _, n := range f.nodes {
-		require.Equal(t, 9, n.MostBoxes())
+		require.Equal(t, 9, n.MaxBoxes())
 	}
-	_, repeats := f.failAll(10*time.Second, 15)
+	_, repeats := f.sendFailing(10*time.Second, 15)
 	require.Greater(t, repeats, 30)
 }
