--- a/quota/arbiter.go
+++ b/quota/arbiter.go
@@ -7,24 +7,24 @@
 	"birchlink.dev/birchlink/rendezvous"
 )
 
-// Arbiter is a box that others may ask.
+// Arbiter is a relay that other boxes ask to admit requests.
 type Arbiter struct {
 	Box        string
 	DataCentre string
 	Address    string
-	Leaving    bool // it answers, and leases are to go to others
+	Leaving    bool // still answers, but gets no new leases
 }
 
-// shards is into how many groups accounts are dealt, each with arbiters of its own:
-// enough to spread them over the relays of nine data centres, and few enough to be
-// told in one message.
+// shardCount is the number of groups of accounts, each with its own arbiters. Sixteen
+// spread over the relays of nine data centres, and the pieces of all of them fit in one
+// message.
 const shardCount = 16
 
 func shard(account string) int { return int(rendezvous.Key(account) % shardCount) }
 
-// ranked orders boxes by rendezvous for a shard.
-func rankByRendezvous(among []Arbiter, shard int) []Arbiter {
-	s := slices.Clone(among)
+// rankByRendezvous sorts arbiters by their rendezvous weight for a shard, highest first.
+func rankByRendezvous(arbiters []Arbiter, shard int) []Arbiter {
+	s := slices.Clone(arbiters)
 	slices.SortFunc(s, func(a, b Arbiter) int {
 		k := uint64(shard) + 1
 		return cmp.Or(cmp.Compare(rendezvous.Weight(k, b.Box), rendezvous.Weight(k, a.Box)), cmp.Compare(a.Box, b.Box))
@@ -32,10 +32,10 @@
 	return s
 }
 
-// pick returns a shard's arbiters: the first by rendezvous, and the first of another
-// data centre, if there is one.
-func pickArbiters(among []Arbiter, shard int) []Arbiter {
-	s := rankByRendezvous(among, shard)
+// pickArbiters returns a shard's arbiters: the highest-ranked one and the highest-ranked
+// one of another data centre, or the second-ranked one if there is no other data centre.
+func pickArbiters(arbiters []Arbiter, shard int) []Arbiter {
+	s := rankByRendezvous(arbiters, shard)
 	if len(s) <= arbitersPerShard {
 		return s
 	}
@@ -43,26 +43,27 @@
 	return []Arbiter{s[0], s[max(second, 1)]}
 }
 
-// pickHome returns the relay that keeps what stays in this data centre of a shard.
-func pickHomeRelay(self Arbiter, among []Arbiter, shard int) Arbiter {
-	near := slices.DeleteFunc(slices.Clone(among), func(a Arbiter) bool { return a.DataCentre != self.DataCentre })
-	if len(near) == 0 {
+// pickHomeRelay returns the relay that holds the home piece of a shard in self's data
+// centre, or self if there is none.
+func pickHomeRelay(self Arbiter, arbiters []Arbiter, shard int) Arbiter {
+	local := slices.DeleteFunc(slices.Clone(arbiters), func(a Arbiter) bool { return a.DataCentre != self.DataCentre })
+	if len(local) == 0 {
 		return self
 	}
-	return rankByRendezvous(near, shard)[0]
+	return rankByRendezvous(local, shard)[0]
 }
 
-// staying returns those that do not leave.
-func withoutLeaving(among []Arbiter) []Arbiter {
-	return slices.DeleteFunc(slices.Clone(among), func(a Arbiter) bool { return a.Leaving })
+// withoutLeaving returns the arbiters that are not leaving.
+func withoutLeaving(arbiters []Arbiter) []Arbiter {
+	return slices.DeleteFunc(slices.Clone(arbiters), func(a Arbiter) bool { return a.Leaving })
 }
 
-// order returns whom a box asks for an account, in turn: the relay that keeps what stays
-// in its data centre, the account's arbiters, and the other relays of the data centre,
-// to which leases may have moved. Those that leave hold what was leased to them for a
-// while.
-func askOrder(self Arbiter, among []Arbiter, account string) []Arbiter {
-	stay, sh := withoutLeaving(among), shard(account)
+// askOrder returns the arbiters that a box asks for an account, in order: the home relay
+// of its data centre, the account's arbiters, and the other relays of the data centre,
+// since leases may have moved to them. Leaving arbiters are included because they can
+// spend their leases until these expire.
+func askOrder(self Arbiter, arbiters []Arbiter, account string) []Arbiter {
+	staying, sh := withoutLeaving(arbiters), shard(account)
 	var out []Arbiter
 	add := func(as ...Arbiter) {
 		for _, a := range as {
@@ -71,15 +72,15 @@
 			}
 		}
 	}
-	if h := pickHomeRelay(self, stay, sh); containsBox(among, h.Box) {
+	if h := pickHomeRelay(self, staying, sh); containsBox(arbiters, h.Box) {
 		add(h)
 	}
-	far := pickArbiters(stay, sh)
+	picked := pickArbiters(staying, sh)
 	if asksSecondFirst(self) {
-		slices.Reverse(far)
+		slices.Reverse(picked)
 	}
-	add(far...)
-	for _, a := range among {
+	add(picked...)
+	for _, a := range arbiters {
 		if a.Leaving || a.DataCentre == self.DataCentre {
 			add(a)
 		}
@@ -87,16 +88,17 @@
 	return out
 }
 
-// swaps reports whether a box asks a shard's second arbiter first, as half of all boxes do.
+// asksSecondFirst reports whether a box asks a shard's second arbiter first. Half of all
+// boxes do, to share the load between both.
 func asksSecondFirst(self Arbiter) bool { return rendezvous.Key(self.Box)%arbitersPerShard == 1 }
 
-func containsBox(among []Arbiter, box string) bool {
-	return slices.ContainsFunc(among, func(a Arbiter) bool { return a.Box == box })
+func containsBox(arbiters []Arbiter, box string) bool {
+	return slices.ContainsFunc(arbiters, func(a Arbiter) bool { return a.Box == box })
 }
 
-func boxNames(among []Arbiter) []string {
-	out := make([]string, 0, len(among))
-	for _, a := range among {
+func boxNames(arbiters []Arbiter) []string {
+	out := make([]string, 0, len(arbiters))
+	for _, a := range arbiters {
 		out = append(out, a.Box)
 	}
 	return out
--- a/quota/ask.go
+++ b/quota/ask.go
@@ -4,31 +4,31 @@
 	"time"
 )
 
-// Take asks for a request in turn until one lets it in: a box that no relay counts
-// itself, the relay of this data centre that keeps a part at home, then the account's
-// arbiters. If none lets it in, the answer is that of the one with the soonest way
-// back; ask reports false for one that did not answer.
+// Take asks arbiters in order until one admits the request, and returns its answer. The
+// order is: this box, if no relay represents it; the home relay of this data centre; the
+// account's arbiters. If none admits the request, Take returns the refusal with the
+// shortest retry delay. ask reports false if the arbiter did not answer.
 func (q *Quota) Take(x Question, now time.Time, ask func(Arbiter, Question) (Answer, bool)) (Answer, Arbiter) {
 	soonest, from := Answer{After: unreachableRetryAfter}, Arbiter{}
-	heard := false
+	answered := false
 	x.DataCentre = q.Self.DataCentre
 	for _, a := range q.askOrder(x.Account, now) {
 		v, ok := ask(a, x)
 		if ok && v.OK {
 			return v, a
 		}
-		if ok && v.Part > 0 && (!heard || v.After < soonest.After) {
-			soonest, from, heard = v, a, true
+		if ok && v.Part > 0 && (!answered || v.After < soonest.After) {
+			soonest, from, answered = v, a, true
 		}
 	}
 	return soonest, from
 }
 
-// unheardRetry is when a caller is told to come back whom nobody could be asked for: by
-// then leases have moved on.
+// unreachableRetryAfter is the retry delay given to a caller if no arbiter could be
+// reached. Leases have moved to other boxes by then.
 const unreachableRetryAfter = leaseDuration / 2
 
-// order returns whom to ask for an account, in turn.
+// askOrder returns the arbiters to ask for an account, in order.
 func (q *Quota) askOrder(account string, now time.Time) []Arbiter {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -36,24 +36,24 @@
 	if containsBox(out, q.Self.Box) {
 		return out
 	}
-	if _, part := q.lessee.granted(account, shard(account), now, now); part > 0 {
+	if _, share := q.lessee.granted(account, shard(account), now, now); share > 0 {
 		return append([]Arbiter{q.Self}, out...)
 	}
 	return out
 }
 
-// Question asks whether a request may be let in. Urgent requests may spend what
-// others leave.
+// Question asks whether a request may be admitted. Size is in units of the account's
+// rate. Urgent requests may spend the reserve that other requests must leave.
 type Question struct {
 	Account    string
 	Size       float64
-	DataCentre string // of the box that asks
+	DataCentre string // of the asking box
 	Urgent     bool
 }
 
-// Answer says whether a request was let in, else when its caller may come back.
-// Level and Part are what the bucket holds that it was judged by, and the part of the
-// account's rate that fills it.
+// Answer reports whether a request was admitted and, if not, after what delay its caller
+// may retry. Level is what the bucket that decided holds, in units, and Part is the share
+// of the account's rate that fills this bucket.
 type Answer struct {
 	OK    bool
 	After time.Duration
@@ -61,14 +61,15 @@
 	Part  float64
 }
 
-// longestRetry bounds when a refused caller is told to come back: the longest that
-// a window takes to be empty.
+// maxRetryAfter bounds the retry delay of a refused caller. A window is empty after at
+// most this time.
 const maxRetryAfter = defaultWindow
 
-// Ask answers a question by this box's bucket. A request may be larger than what a
-// bucket ever holds, so it is let in while anything is left, and what it takes beyond
-// that is owed. Many boxes with a small part each would together let in too much in
-// that way: there a request is let in as often as what is left pays for it.
+// Ask decides a question from this box's bucket. A request may be larger than the
+// capacity of a bucket, so it is admitted while the level is positive, and the level
+// becomes negative. Many boxes with a small share each would together admit too much
+// that way: below smallShare a request is admitted with the probability that the level
+// covers its size.
 func (q *Quota) Ask(x Question, now time.Time) Answer {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -76,8 +77,8 @@
 	if b == nil {
 		return Answer{After: unreachableRetryAfter}
 	}
-	part := q.fill(b, now)
-	if part <= 0 && b.level <= 0 {
+	share := q.fill(b, now)
+	if share <= 0 && b.level <= 0 {
 		return Answer{After: unreachableRetryAfter, Level: b.level}
 	}
 	if x.DataCentre == q.Self.DataCentre {
@@ -85,24 +86,21 @@
 	}
 	need := 0.0
 	if !x.Urgent {
-		need = urgentReserve * part * b.burst
+		need = urgentReserve * share * b.burst
 	}
-	if part < smallShare {
+	if share < smallShare {
 		need = max(need, x.Size*q.Chance())
 	}
 	if b.level > 0 && b.level >= need {
 		b.level -= x.Size
-		return Answer{OK: true, Level: b.level, Part: part}
+		return Answer{OK: true, Level: b.level, Part: share}
 	}
 	b.backlog = min(b.backlog+x.Size, b.rate*maxRetryAfter.Seconds())
-	wait := b.backlog/max(b.rate, 1) + (need-b.level)/max(b.rate*part, 1)
-	return Answer{After: min(time.Duration(wait*float64(time.Second)), maxRetryAfter), Level: b.level, Part: part}
+	wait := b.backlog/max(b.rate, 1) + (need-b.level)/max(b.rate*share, 1)
+	return Answer{After: min(time.Duration(wait*float64(time.Second)), maxRetryAfter), Level: b.level, Part: share}
 }
 
-// urgentPart is the part of its bucket that an account short of its rate keeps for
-// its most urgent requests; smallPart the part of the rate below which a bucket is one
-// of many.
 const (
-	urgentReserve = 0.1
-	smallShare    = 0.12
+	urgentReserve = 0.1  // share of a bucket's capacity that is kept for urgent requests
+	smallShare    = 0.12 // share of the rate below which a bucket is one of many
 )
--- a/quota/before.go
+++ b/quota/before.go
@@ -7,30 +7,32 @@
 	"birchlink.dev/birchlink/catalog"
 )
 
-// startPart is the part of a burst with which an account that was not short begins
-// anew when its boxes do, once at each box and once more where its part is leased to: its
-// windows have room for that, since it asked for less than its rate and nothing ran
-// meanwhile. Until boxes have heard each other each has only its own part of it. With 2.2
-// at once accounts go over their limits in 13 of 372 courses of TestAnyCourse.
+// initialBurstShare is the share of its burst with which an account that was not short
+// starts after a restart of all boxes. It is granted once at each box and once more where
+// the box's share is leased to. The windows have room for that, since the account asked for
+// less than its rate and nothing ran during the restart. Until boxes reach each other, each
+// has only its own share of it. With 2.2, accounts exceed their limits in 13 of 372
+// simulated runs of TestLimitUnderRandomFaults.
 const initialBurstShare = 0.9
 
-// shortPart is the part of its burst below which an account is short, so that its
-// level is written down for a restart of all boxes.
+// shortBelow is the share of its burst below which an account is short. The level of a
+// short account is saved for a restart of all boxes.
 const shortBelow = 0.6
 
-// seedFor is the age up to which a process may begin with what accounts had left
-// before: when all start at once, that is when they have heard each other.
+// restoreMaxAge is the age of the process up to which saved levels are restored. When all
+// boxes start at once, they have exchanged leases by then.
 const restoreMaxAge = 3500 * time.Millisecond
 
-// Before is what the boxes knew together before this process started: how many they
-// were, what was left of the accounts that were short, and how limits were divided.
+// Before is the state saved by the boxes before this process started: how many boxes
+// there were, the levels of the accounts that were short, in units, and the division of
+// the limits.
 type Before struct {
 	Boxes    int
 	Short    map[string]float64
 	Division Division
 }
 
-// left returns what an account begins with.
+// initialLevel returns the level with which an account starts after a restart, in units.
 func (q *Quota) initialLevel(b *bucket) float64 {
 	if n, ok := q.saved.Short[b.account]; ok {
 		return n
@@ -38,13 +40,14 @@
 	return initialBurstShare * b.burst
 }
 
-// Before returns what processes that start anew need to know: the accounts that are
-// short, by what all relays lack together, and a division by what is known now.
+// Snapshot returns the state to save for processes that start later: the accounts that are
+// short by the deficits of all relays together, and a division computed from the current
+// box counts and demand.
 func (q *Quota) Snapshot(boxes int, accounts []catalog.Account, now time.Time) Before {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.fillAll(now)
-	lack := q.deficits()
+	deficits := q.deficits()
 	p := Before{Boxes: boxes, Short: map[string]float64{}, Division: q.nextDivision(now)}
 	for i := range accounts {
 		a := &accounts[i]
@@ -52,19 +55,19 @@
 			continue
 		}
 		_, burst := q.bucketLimit(a)
-		left := burst - lack[a.Name]
+		level := burst - deficits[a.Name]
 		for _, l := range q.received {
-			left -= l.Lacks[a.Name]
+			level -= l.Lacks[a.Name]
 		}
-		if left < shortBelow*burst {
-			p.Short[a.Name] = math.Round(left)
+		if level < shortBelow*burst {
+			p.Short[a.Name] = math.Round(level)
 		}
 	}
 	return p
 }
 
-// divide returns a new division, by what is known now; the last one while only a part
-// of the fleet is heard.
+// nextDivision returns a new division, or the current one while only a part of the fleet
+// is reachable.
 func (q *Quota) nextDivision(now time.Time) Division {
 	if d := q.divisions.newest(); d != nil && q.partitioned {
 		return *d
@@ -72,8 +75,9 @@
 	return computeDivision(q.boxCounts(now), q.demandByDataCentre(now))
 }
 
-// counts returns how many boxes each data centre has: those that were heard within
-// thereFor, and before this process has run for so long those of the last division.
+// boxCounts returns the number of boxes of each data centre: the peak of those reachable
+// within retainFor and, until this process is as old as that, at least those of the
+// current division.
 func (q *Quota) boxCounts(now time.Time) map[string]int {
 	n := q.boxHistory.peak()
 	if d := q.divisions.newest(); d != nil && q.age(now) < retainFor {
@@ -82,11 +86,12 @@
 	return n
 }
 
-// demands returns what accounts are asked for by data centre, as the relays tell.
+// demandByDataCentre returns the demand of each account by data centre, in units a second,
+// as reported by the relays.
 func (q *Quota) demandByDataCentre(now time.Time) map[string]map[string]float64 {
 	out := map[string]map[string]float64{}
-	add := func(dc string, asked map[string]float64) {
-		for a, n := range asked {
+	add := func(dc string, demand map[string]float64) {
+		for a, n := range demand {
 			if out[a] == nil {
 				out[a] = map[string]float64{}
 			}
@@ -100,7 +105,8 @@
 	return out
 }
 
-// Expect tells a process that has started what was before; nothing, if this is the first start.
+// Restore sets the state that was saved before this process started. p.Boxes is zero at the
+// first start of the fleet.
 func (q *Quota) Restore(p Before) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -111,9 +117,9 @@
 	}
 }
 
-// seed lets buckets begin with what was left before, as far as parts are leased to this
-// young process for the first time: what was held of them is lost, here or where they
-// were leased to before.
+// restoreLevels adds the initial levels to the buckets, in proportion to shares that are
+// leased to this process for the first time. What the buckets held of them before the
+// restart is lost, here or at the box to which they were leased.
 func (q *Quota) restoreLevels(h heldLease, now time.Time) {
 	if q.saved == nil || q.age(now) > restoreMaxAge || len(h.pieces) != shardCount {
 		return
@@ -125,8 +131,8 @@
 		q.restored[h.lessor] = map[string]float64{}
 	}
 	for n, b := range q.buckets {
-		more := max(h.share(n, b.shard)-q.restored[h.lessor][n], 0)
-		q.restored[h.lessor][n] += more
-		b.level += more * q.initialLevel(b)
+		added := max(h.share(n, b.shard)-q.restored[h.lessor][n], 0)
+		q.restored[h.lessor][n] += added
+		b.level += added * q.initialLevel(b)
 	}
 }
--- a/quota/boxes.go
+++ b/quota/boxes.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// boxes remembers how many boxes of each data centre were heard within thereFor. Its
-// zero value knows of none.
+// boxHistory records how many boxes of each data centre were reachable within the last
+// retainFor. Its zero value is empty.
 type boxHistory struct {
 	samples []boxSample
 }
@@ -16,17 +16,17 @@
 	byDataCentre map[string]int
 }
 
-// hear takes how many boxes are heard now.
-func (b *boxHistory) record(by map[string]int, now time.Time) {
+// record adds the number of boxes that are reachable now, by data centre.
+func (b *boxHistory) record(counts map[string]int, now time.Time) {
 	b.samples = slices.DeleteFunc(b.samples, func(c boxSample) bool { return now.Sub(c.at) > retainFor })
 	if n := len(b.samples); n > 0 && now.Sub(b.samples[n-1].at) < retainFor/40 {
-		b.samples[n-1].byDataCentre = maxCounts(b.samples[n-1].byDataCentre, by)
+		b.samples[n-1].byDataCentre = maxCounts(b.samples[n-1].byDataCentre, counts)
 		return
 	}
-	b.samples = append(b.samples, boxSample{now, by})
+	b.samples = append(b.samples, boxSample{now, counts})
 }
 
-// most returns the most that were heard at once in each data centre.
+// peak returns the largest number of boxes reachable at once in each data centre.
 func (b *boxHistory) peak() map[string]int {
 	out := map[string]int{}
 	for _, c := range b.samples {
@@ -35,16 +35,16 @@
 	return out
 }
 
-// all is the number of boxes.
-func sumCounts(by map[string]int) int {
+// sumCounts returns the total of all data centres.
+func sumCounts(counts map[string]int) int {
 	n := 0
-	for _, k := range by {
+	for _, k := range counts {
 		n += k
 	}
 	return n
 }
 
-// most returns the larger numbers of two.
+// maxCounts returns the larger of the counts of a and b for each data centre.
 func maxCounts(a, b map[string]int) map[string]int {
 	out := map[string]int{}
 	for _, m := range []map[string]int{a, b} {
@@ -55,9 +55,11 @@
 	return out
 }
 
-// MostBoxes returns how many boxes there may be, also those that are not heard now: a bound on
-// all of them together is divided by it. A process that knows of none before it and has heard few
-// may be one of many that started anew while the store was away.
+// MaxBoxes returns an upper bound on the number of boxes, including those that are not
+// reachable now. Limits on all boxes together are divided by it. A process that knows no
+// division and reaches few boxes may be one of many that restarted while the store was
+// unavailable, so MaxBoxes returns at least assumedBoxes then, unless this is the first
+// start of the fleet.
 func (q *Quota) MaxBoxes() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -7,25 +7,26 @@
 	"birchlink.dev/birchlink/catalog"
 )
 
-// debtPart is the most that a bucket may owe, as a part of what its account's rate
-// gives in a window: one request may be larger than that, and the account is not to be
-// refused for minutes.
+// maxDebtShare is the largest debt of a bucket, as a share of what the account's rate
+// yields in a window. A single request may be larger than that, and must not block its
+// account for minutes.
 const maxDebtShare = 0.75
 
-// bucket is the token bucket of one account at one box, which fills by the leases
-// that the box holds.
+// bucket is the token bucket of one account at one box. The leases that the box holds
+// fill it.
 type bucket struct {
 	account  string
 	shard    int
-	rate     float64 // the account's, units a second
+	rate     float64 // of the whole account, units a second
 	burst    float64
 	level    float64
-	backlog  float64 // what callers were told to come back for, and may not have
+	backlog  float64 // units of refused requests that are expected to be retried
 	demand   demand
 	filledAt time.Time
 }
 
-// bucket returns an account's bucket under its limit of now.
+// updateBucket returns the bucket of an account after setting it to the account's current
+// limit.
 func (q *Quota) updateBucket(a *catalog.Account, now time.Time) *bucket {
 	if q.buckets == nil {
 		q.buckets = map[string]*bucket{}
@@ -49,48 +50,51 @@
 	}
 }
 
-// fill adds what the rate gave since the last time, by the leases that were held, and
-// returns the part of the rate that this box has now. What a lease left behind goes
-// with it: all buckets together never hold more than one burst.
+// fill adds the tokens accrued from leases since the last call and returns the share of
+// the rate that this box has now. The level is capped by the current share of the burst,
+// so tokens of a lease that has ended are dropped and all buckets together never hold more
+// than one burst.
 //
-// A young process keeps what its part gives beyond that, until it is seedFor old. While
-// boxes speak for themselves a part of the burst is less than a request: where 70 boxes
-// have started anew and an account asks for 0.55 of its rate in requests of a twentieth
-// of its burst, 32 of 140 are refused in 2.5 s, and 61 where the burst bounds it
-// (TestManyRestartedUnderTheRate). All parts together are given no more than the rate.
+// The cap does not apply to a process younger than restoreMaxAge. While boxes represent
+// only themselves, a box's share of the burst is smaller than a request. If 70 boxes have
+// restarted and an account asks for 0.55 of its rate in requests of a twentieth of its
+// burst, 32 of 140 are refused in 2.5 s, and 61 with the cap
+// (TestRestartBelowRateWithLargeRequests). All shares together still accrue no more than
+// the rate.
 func (q *Quota) fill(b *bucket, now time.Time) float64 {
-	given, part := q.lessee.granted(b.account, b.shard, b.filledAt, now)
-	passed := max(now.Sub(b.filledAt), 0).Seconds()
+	granted, share := q.lessee.granted(b.account, b.shard, b.filledAt, now)
+	elapsed := max(now.Sub(b.filledAt), 0).Seconds()
 	b.filledAt = now
-	b.level += given * b.rate
+	b.level += granted * b.rate
 	if q.age(now) > restoreMaxAge {
-		b.level = min(b.level, part*b.burst)
+		b.level = min(b.level, share*b.burst)
 	}
 	b.level = max(b.level, -maxDebtShare*b.rate*q.window().Seconds())
-	b.backlog = max(b.backlog-passed*b.rate, 0)
-	return part
+	b.backlog = max(b.backlog-elapsed*b.rate, 0)
+	return share
 }
 
-// lack returns what the buckets of this box lack, of accounts that lack a twentieth or
-// more of what it may hold.
+// deficits returns how many units the buckets of this box are below their capacity, for
+// accounts whose deficit is more than a twentieth of it.
 func (q *Quota) deficits() map[string]float64 {
-	const least = 0.05
+	const minDeficit = 0.05
 	var out map[string]float64
 	for n, b := range q.buckets {
-		_, part := q.lessee.granted(b.account, b.shard, b.filledAt, b.filledAt)
-		d := part*b.burst - b.level
-		if d <= least*part*b.burst || d <= 0 {
+		_, share := q.lessee.granted(b.account, b.shard, b.filledAt, b.filledAt)
+		deficit := share*b.burst - b.level
+		if deficit <= minDeficit*share*b.burst || deficit <= 0 {
 			continue
 		}
 		if out == nil {
 			out = map[string]float64{}
 		}
-		out[n] = d
+		out[n] = deficit
 	}
 	return out
 }
 
-// asked returns what accounts are asked for here by boxes of this data centre.
+// localDemand returns the demand of each account at this box by boxes of its data centre,
+// in units a second.
 func (q *Quota) localDemand(now time.Time) map[string]float64 {
 	out := map[string]float64{}
 	for n, b := range q.buckets {
--- a/quota/division.go
+++ b/quota/division.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Division says how the limits are divided: over the data centres by what accounts
-// are asked for there, and within each over its boxes. It is kept in the store, whose
-// revision is its version, so that of two boxes which take themselves for the one that
-// writes it only one does.
+// Division describes how the limits are divided: over the data centres by the demand for
+// each account there, and within each data centre evenly over its boxes. It is kept in the
+// store, and its version is the store's revision, so that of two boxes that both believe
+// they are the writer only one succeeds.
 type Division struct {
 	Version uint64
 	Boxes   map[string]int                // by data centre
-	Weights map[string]map[string]float64 // by account and data centre; even for none
+	Weights map[string]map[string]float64 // by account and data centre; an account without weights is divided evenly
 }
 
-// thereFor is how long a division is kept to after another has replaced it, and a box
-// counted after it was last heard: a box that is cut off may not know better. Cuts of
-// 12 s are usual.
+// retainFor is how long a division is respected after it was replaced, and how long a box is
+// counted after it was last reachable. A partitioned box may still use the old division.
+// Partitions of 12 s are usual.
 const retainFor = 20 * time.Second
 
-// assumed is the number of boxes taken where no division is known.
+// assumedBoxes is the number of boxes assumed while no division is known.
 const assumedBoxes = 100
 
-// weight is a data centre's part of an account.
+// weight returns a data centre's share of an account.
 func (d *Division) weight(account, dc string) float64 {
 	if w, ok := d.Weights[account]; ok {
 		return w[dc]
@@ -34,20 +34,21 @@
 	return 1 / float64(len(d.Boxes))
 }
 
-// all is the number of boxes.
+// totalBoxes returns the number of boxes in all data centres.
 func (d *Division) totalBoxes() int { return sumCounts(d.Boxes) }
 
-// divisions are those that some box may keep to. The zero value knows of none.
+// divisionHistory holds the divisions that some box may still use. Its zero value is
+// empty.
 type divisionHistory struct {
-	entries []divisionEntry // the newest last
+	entries []divisionEntry // oldest first
 }
 
 type divisionEntry struct {
 	Division
-	replacedAt time.Time // zero while it is the newest
+	replacedAt time.Time // zero for the newest
 }
 
-// take adds a division that is newer than those known.
+// add appends a division that is newer than all known ones and ignores any other.
 func (s *divisionHistory) add(d Division, now time.Time) {
 	if len(d.Boxes) == 0 || d.Version <= s.version() {
 		return
@@ -58,12 +59,12 @@
 	s.entries = append(s.entries, divisionEntry{Division: d})
 }
 
-// settle forgets the divisions before the newest, which nobody keeps to any more.
+// dropReplaced drops all divisions but the newest, once no box uses an older one.
 func (s *divisionHistory) dropReplaced() {
 	s.entries = s.entries[max(len(s.entries)-1, 0):]
 }
 
-// newest returns the division in force, nil if none is known.
+// newest returns the division in force, or nil if none is known.
 func (s *divisionHistory) newest() *Division {
 	if len(s.entries) == 0 {
 		return nil
@@ -78,50 +79,52 @@
 	return 0
 }
 
-// part returns the part of an account that some boxes of a data centre have, of those
-// heard there. It is the least by any division that a box which is not heard may keep
-// to, so that all parts together are never more than the whole.
-func (s *divisionHistory) share(account, dc string, boxes, heard int, now time.Time) float64 {
+// share returns the share of an account that the given number of boxes of a data centre
+// have together. reachable is how many boxes were reachable there. The result is the
+// smallest share by any division that an unreachable box may still use, so that all shares
+// together never exceed the whole.
+func (s *divisionHistory) share(account, dc string, boxes, reachable int, now time.Time) float64 {
 	s.entries = slices.DeleteFunc(s.entries, func(t divisionEntry) bool { return !t.replacedAt.IsZero() && now.Sub(t.replacedAt) > retainFor })
 	if len(s.entries) == 0 {
 		return float64(boxes) / assumedBoxes
 	}
 	least := 1.0
 	for _, t := range s.entries {
-		n := max(t.Boxes[dc], heard, boxes, 1)
+		n := max(t.Boxes[dc], reachable, boxes, 1)
 		least = min(least, t.weight(account, dc)*float64(boxes)/float64(n))
 	}
 	return least
 }
 
-// even returns the part that some boxes of a data centre have of a rate that is divided evenly.
-func (s *divisionHistory) evenShare(dc string, boxes, heard int, now time.Time) float64 {
-	return s.share(evenlyDivided, dc, boxes, heard, now)
+// evenShare returns the share of an evenly divided rate that the given number of boxes of a
+// data centre have together.
+func (s *divisionHistory) evenShare(dc string, boxes, reachable int, now time.Time) float64 {
+	return s.share(evenlyDivided, dc, boxes, reachable, now)
 }
 
-// everything stands for all rates that are divided evenly. No account has this name.
+// evenlyDivided is the key for all rates that are divided evenly. No account has this name.
 const evenlyDivided = ""
 
-// evenWeight is the part of an account that is divided evenly over the data centres:
-// what is asked for there may move.
+// evenWeight is the share of an account that is divided evenly over the data centres,
+// since demand may move between them.
 const evenWeight = 0.3
 
-// divide returns a new division, by the boxes that were heard and by what accounts are
-// asked for in each data centre.
-func computeDivision(boxes map[string]int, asked map[string]map[string]float64) Division {
+// computeDivision returns a new division for the given number of boxes of each data centre
+// and the demand by account and data centre, in units a second.
+func computeDivision(boxes map[string]int, demand map[string]map[string]float64) Division {
 	d := Division{Boxes: boxes, Weights: map[string]map[string]float64{}}
 	even := 1 / float64(max(len(boxes), 1))
-	for a, by := range asked {
-		sum := 0.0
+	for a, byDataCentre := range demand {
+		total := 0.0
 		for dc := range boxes {
-			sum += by[dc]
+			total += byDataCentre[dc]
 		}
-		if sum <= 0 {
+		if total <= 0 {
 			continue
 		}
 		w := map[string]float64{}
 		for dc := range boxes {
-			w[dc] = evenWeight*even + (1-evenWeight)*by[dc]/sum
+			w[dc] = evenWeight*even + (1-evenWeight)*byDataCentre[dc]/total
 		}
 		d.Weights[a] = w
 	}
--- a/quota/even.go
+++ b/quota/even.go
@@ -5,57 +5,59 @@
 	"time"
 )
 
-// Even is what one relay leases to another of rates that are divided evenly: the part of
-// each that the lessor speaks for, and for each shard which pieces of it the other may spend.
+// EvenLease is the lease from one relay to another of the rates that are divided evenly
+// over all boxes. Part is the share of each that the lessor represents. Pieces are the
+// pieces of it that the other may spend, by shard.
 type EvenLease struct {
 	Part   float64
 	Pieces []Pieces
 }
 
-// even are the leases of rates that are divided evenly over all boxes. Nothing of them stays
-// in a data centre: of a rate under one a second a home's part would pay for a request in
-// half a minute. Its zero value has leased nothing.
+// evenLeases holds the leases of rates that are divided evenly over all boxes, both those
+// granted and those held. No share of them stays in a data centre: for a rate under one a
+// second, the home piece would yield one request in half a minute. Its zero value has no
+// leases.
 type evenLeases struct {
 	lessor    lessor
 	lessee    lessee
-	granted   [shardCount]float64 // seconds' worth of a rate, by shard
-	accruedTo time.Time           // up to when
+	granted   [shardCount]float64 // seconds' worth of a rate accrued, by shard
+	accruedTo time.Time           // time of the last accrual
 }
 
-// lease leases the part that this box speaks for to the arbiters among some.
-func (e *evenLeases) assign(self string, among []Arbiter, part float64, now time.Time) {
-	homes := func(shard int) []string { return boxNames(pickArbiters(among, shard)) }
-	e.lessor.assign(among, homes, map[string]float64{evenlyDivided: part}, now)
+// assign leases the share that this box represents to the arbiters of each shard.
+func (e *evenLeases) assign(self string, arbiters []Arbiter, share float64, now time.Time) {
+	candidates := func(shard int) []string { return boxNames(pickArbiters(arbiters, shard)) }
+	e.lessor.assign(arbiters, candidates, map[string]float64{evenlyDivided: share}, now)
 	e.accept(self, e.issue(self, now), now.Add(leaseDuration), now)
 }
 
-// leave notes that a relay counts this box.
+// suspend stops leasing because a relay represents this box.
 func (e *evenLeases) suspend(self string, now time.Time) {
 	e.lessor.suspend(now)
 	e.drop(self, now)
 }
 
-// tell returns what a box is told of its lease now.
+// issue returns the lease of another box and renews it.
 func (e *evenLeases) issue(to string, now time.Time) EvenLease {
 	return EvenLease{e.lessor.shares[evenlyDivided], e.lessor.pieces(to, now)}
 }
 
-// hear holds a lease in place of its lessor's last.
+// accept replaces the last lease of a lessor with a newer one.
 func (e *evenLeases) accept(from string, l EvenLease, until, now time.Time) {
 	e.accrue(now)
 	e.lessee.replace(heldLease{from, map[string]float64{evenlyDivided: l.Part}, l.Pieces, until}, now)
 }
 
-// drop gives up what a lessor has leased.
+// drop removes the leases of a lessor.
 func (e *evenLeases) drop(from string, now time.Time) {
 	e.accrue(now)
 	e.lessee.drop(from)
 }
 
-// fill counts what the leases have given since the last time.
+// accrue adds what the leases have granted since the last call.
 func (e *evenLeases) accrue(now time.Time) {
 	if now.Before(e.accruedTo) {
-		return // the caller took its time before another's
+		return // a concurrent call with a later time came first
 	}
 	for s := range e.granted {
 		seconds, _ := e.lessee.granted(evenlyDivided, s, e.accruedTo, now)
@@ -64,21 +66,23 @@
 	e.accruedTo = now
 }
 
-// Given returns how many seconds' worth of a rate that is divided evenly this box was given
-// up to now, counted from some moment of its own, and the part of the rate that it has now.
-func (q *Quota) Given(name string, now time.Time) (seconds, part float64) {
+// Given returns how many seconds' worth of an evenly divided rate this box has accrued up to
+// now, and the share of the rate that it has now. The seconds count from an arbitrary
+// origin, so only differences are meaningful.
+func (q *Quota) Given(name string, now time.Time) (seconds, share float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.evenLeases.accrue(now)
 	s := shard(name)
-	_, part = q.evenLeases.lessee.granted(evenlyDivided, s, now, now)
-	return q.evenLeases.granted[s], part
+	_, share = q.evenLeases.lessee.granted(evenlyDivided, s, now, now)
+	return q.evenLeases.granted[s], share
 }
 
-// Arbiters returns whom to ask for a rate that is divided evenly, in turn: this box while no
-// relay counts it, the rate's two arbiters, and those to which its pieces may still be leased.
+// Arbiters returns the arbiters to ask for an evenly divided rate, in order: this box while
+// no relay represents it, the two arbiters of the rate, and leaving relays, which may still
+// hold pieces of it.
 func (q *Quota) Arbiters(name string, now time.Time) []Arbiter {
-	_, part := q.Given(name, now)
+	_, share := q.Given(name, now)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	out := pickArbiters(withoutLeaving(q.arbiters), shard(name))
@@ -90,7 +94,7 @@
 			out = append(out, a)
 		}
 	}
-	if part > 0 && !containsBox(out, q.Self.Box) {
+	if share > 0 && !containsBox(out, q.Self.Box) {
 		out = append([]Arbiter{q.Self}, out...)
 	}
 	return out
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -19,33 +19,33 @@
 
 var account = &catalog.Account{Name: "a", Tokens: true, Rate: 100000, Burst: 100000}
 
-// limit is what any window may hold.
+// windowLimit is the number of units that any window may hold.
 func windowLimit() float64 {
 	return (account.Rate*terms.Window.Seconds()+account.Burst)*(1+terms.Overage) + terms.Slack
 }
 
 const (
 	round           = 500 * time.Millisecond
-	startupPeriod   = 3 * time.Second // up to which boxes tell each other more often
-	selfRepresented = 2 * time.Second // up to which boxes speak for themselves
+	startupPeriod   = 3 * time.Second // age up to which boxes exchange state more often
+	selfRepresented = 2 * time.Second // age up to which a box represents itself
 	startupRound    = 150 * time.Millisecond
 	tick            = 10 * time.Millisecond
-	memberTimeout   = 2 * time.Second // after which a box that is not heard is not counted
-	relayTimeout    = 1200 * time.Millisecond
-	stopDuration    = 3 * time.Second // from a box's word that it leaves to its end
+	memberTimeout   = 2 * time.Second         // after which an unreachable box is not represented
+	relayTimeout    = 1200 * time.Millisecond // after which an unreachable relay is not asked
+	stopDuration    = 3 * time.Second         // from a box's announcement that it stops to its exit
 )
 
-// node is one box of a fleet.
+// node is one box of the fleet.
 type node struct {
 	*quota.Quota
-	starts    int
-	gossiped  bool
-	relay     int // the box that counts it; itself for a relay
-	servedAt  time.Time
+	starts    int       // number of process starts
+	gossiped  bool      // its first round is done
+	relay     int       // the relay that represents it
+	servedAt  time.Time // last exchange with the relay
 	dead      bool
 	frozen    bool
-	stopsAt   time.Time // when a box that stops ends; zero for one that does not stop
-	partition int       // boxes reach those of their side
+	stopsAt   time.Time // when the process exits; zero if it is not stopping
+	partition int       // boxes reach only those of the same partition
 	members   map[int]time.Time
 	relays    map[int]relayReport
 	known     relayView
@@ -66,17 +66,17 @@
 	division quota.Division
 }
 
-// fleet is boxes in memory which tell each other as the service does: two relays a
-// data centre count the other boxes, and exchange their leases each round.
+// fleet simulates boxes in memory that exchange state as the service does: two relays of
+// each data centre represent the other boxes and exchange their leases each round.
 type fleet struct {
 	now         time.Time
 	rng         *rand.Rand
 	nodes       []*node
 	dataCentres int
 	accounts    []catalog.Account
-	delayed     map[int][]quota.Lease // what a frozen box has not read yet
-	lossRate    float64               // of messages
-	stored      *quota.Before         // what one relay wrote last
+	delayed     map[int][]quota.Lease // messages that a frozen box has not read yet
+	lossRate    float64               // fraction of messages that are lost
+	stored      *quota.Before         // last snapshot written by a relay
 	storedAt    time.Time
 	version     uint64
 	admissions  []admission
@@ -84,7 +84,7 @@
 	admitted    int
 	calls       int
 
-	equalShares bool // boxes keep an equal part of each endpoint's rate, and ask nobody
+	equalShares bool // each box has an equal share of each endpoint's rate and asks no arbiter
 	endpoints   []*limitedEndpoint
 }
 
@@ -93,8 +93,11 @@
 	size float64
 }
 
-func newFleet(n, cells int, seed uint64) *fleet {
-	f := &fleet{now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(seed, 1)), dataCentres: cells, accounts: []catalog.Account{*account}, delayed: map[int][]quota.Lease{}}
+func newFleet(n, dataCentres int, seed uint64) *fleet {
+	f := &fleet{
+		now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(seed, 1)), dataCentres: dataCentres,
+		accounts: []catalog.Account{*account}, delayed: map[int][]quota.Lease{},
+	}
 	for i := range n {
 		f.nodes = append(f.nodes, &node{})
 		f.startProcess(i, nil)
@@ -102,9 +105,9 @@
 	return f
 }
 
-// begin starts the process of a box anew. It knows what was before if the store
-// answers it.
-func (f *fleet) startProcess(i int, before *quota.Before) {
+// startProcess starts the process of a box. saved is the state read from the store, or nil
+// if the store is unavailable.
+func (f *fleet) startProcess(i int, saved *quota.Before) {
 	n := f.nodes[i]
 	*n = node{starts: n.starts + 1, partition: n.partition, relay: -1, members: map[int]time.Time{}, relays: map[int]relayReport{}}
 	n.Quota = &quota.Quota{
@@ -115,8 +118,8 @@
 	n.retries = budget.New(retryBudget)
 	n.retries.Chance = f.rng.Float64
 	n.retries.Boxes(n.MaxBoxes())
-	if before != nil {
-		n.Restore(*before)
+	if saved != nil {
+		n.Restore(*saved)
 	}
 	delete(f.delayed, i)
 }
@@ -134,14 +137,14 @@
 	return i
 }
 
-// hears reports whether one box's call to another is answered now.
+// reaches reports whether a call of box a to box b is answered now.
 func (f *fleet) reaches(a, b int) bool {
 	x, y := f.nodes[a], f.nodes[b]
 	return !x.dead && !x.frozen && !y.dead && !y.frozen && x.partition == y.partition && f.rng.Float64() >= f.lossRate
 }
 
-// relays returns the boxes that have the places of a data centre: the first two
-// that have power, as leases in the store would give them after a while.
+// relays returns the relays of a data centre: its first two live boxes, which would
+// eventually hold the leases in the store.
 func (f *fleet) relays(dc int) []int {
 	var out []int
 	for i := dc; i < len(f.nodes) && len(out) < 2; i += f.dataCentres {
@@ -158,15 +161,15 @@
 	n := f.nodes[i]
 	dc := n.Self.DataCentre
 	if !f.isRelay(i) {
-		counted := 0
+		represented := 0
 		if f.now.Sub(n.servedAt) >= relayTimeout || f.now.Sub(n.Started) < selfRepresented {
-			counted = 1
+			represented = 1
 		}
 		boxes := n.known.boxes
 		if f.now.Sub(n.servedAt) >= memberTimeout {
 			boxes = map[string]int{dc: 1}
 		}
-		return quota.View{Arbiters: n.known.arbiters, Represented: counted, Boxes: boxes, Division: n.known.division}
+		return quota.View{Arbiters: n.known.arbiters, Represented: represented, Boxes: boxes, Division: n.known.division}
 	}
 	v := quota.View{Arbiters: []quota.Arbiter{f.arbiter(i)}, Represented: 1, Boxes: map[string]int{}}
 	v.Boxes[dc] = 1
@@ -193,18 +196,18 @@
 	return v
 }
 
-// counted is how many boxes a relay hears itself.
+// representedBoxes returns the number of boxes that a relay represents, by data centre.
 func (f *fleet) representedBoxes(i int) map[string]int {
-	boxes := 1
+	n := 1
 	for _, at := range f.nodes[i].members {
 		if f.now.Sub(at) < memberTimeout {
-			boxes++
+			n++
 		}
 	}
-	return map[string]int{f.nodes[i].Self.DataCentre: boxes}
+	return map[string]int{f.nodes[i].Self.DataCentre: n}
 }
 
-// write lets the first relay that reaches the store write what is kept there.
+// writeStore makes the first relay that reaches the store write a snapshot.
 func (f *fleet) writeStore() {
 	if f.now.Sub(f.storedAt) < time.Second {
 		return
@@ -214,7 +217,7 @@
 		return
 	}
 	if f.stored != nil {
-		n.Adopt(f.stored.Division, f.now) // it writes only over what it has read
+		n.Adopt(f.stored.Division, f.now) // a writer replaces only the version that it has read
 	}
 	p := f.snapshot()
 	if f.stored != nil && maps.Equal(p.Short, f.stored.Short) && f.now.Sub(f.storedAt) < 10*time.Second {
@@ -226,6 +229,7 @@
 	n.Adopt(p.Division, f.now)
 }
 
+// writer returns the relay that writes the snapshot, or nil.
 func (f *fleet) writer() *node {
 	for i, n := range f.nodes {
 		if f.isRelay(i) && !n.dead && !n.frozen && n.partition == 0 && f.now.Sub(n.Started) >= 1500*time.Millisecond {
@@ -235,7 +239,7 @@
 	return nil
 }
 
-// gossip is one round of one box.
+// gossipRound runs one round of one box.
 func (f *fleet) gossipRound(i int) {
 	n := f.nodes[i]
 	if n.dead || n.frozen {
@@ -250,7 +254,7 @@
 			return
 		}
 		if !slices.Contains(rs, n.relay) || !f.reaches(i, n.relay) {
-			n.relay = rs[f.rng.IntN(len(rs))] // counted there from the next round on
+			n.relay = rs[f.rng.IntN(len(rs))] // represents the box from the next round on
 			return
 		}
 		r := f.nodes[n.relay]
@@ -269,7 +273,7 @@
 			o := f.nodes[j]
 			l := n.IssueLease(o.Self.Box, f.now)
 			if o.frozen && o.partition == n.partition && !o.dead {
-				f.delayed[j] = append(f.delayed[j], l) // it is read when the box wakes
+				f.delayed[j] = append(f.delayed[j], l) // read when the box wakes
 				continue
 			}
 			if !f.reaches(i, j) {
@@ -287,7 +291,7 @@
 	}
 }
 
-// wake lets a frozen box go on: it reads what came meanwhile.
+// wake resumes a frozen box, which first reads the messages that arrived meanwhile.
 func (f *fleet) wake(i int) {
 	n := f.nodes[i]
 	n.frozen = false
@@ -297,23 +301,24 @@
 	delete(f.delayed, i)
 }
 
-// kill ends a box's process; start begins it again.
+// kill ends the process of a box at once.
 func (f *fleet) kill(i int) { f.nodes[i].dead = true }
 
-// stop lets a box say that it leaves, and end some seconds later.
+// stop makes a box announce that it is leaving and exit after stopDuration.
 func (f *fleet) stop(i int) {
 	if n := f.nodes[i]; n.stopsAt.IsZero() {
 		n.stopsAt = f.now.Add(stopDuration)
 	}
 }
 
+// restart starts the process of a box again if it has ended.
 func (f *fleet) restart(i int, p *quota.Before) {
 	if f.nodes[i].dead {
 		f.startProcess(i, p)
 	}
 }
 
-// before is what the writer would write down now.
+// snapshot returns the snapshot that the writer would write now, or nil without a writer.
 func (f *fleet) snapshot() *quota.Before {
 	n := f.writer()
 	if n == nil {
@@ -323,8 +328,8 @@
 	return &p
 }
 
-// restartAll starts all boxes anew after a moment in which none ran. They read what
-// stands in the store, unless that is away.
+// restartAll restarts all boxes after half a second in which none ran. p is the state that
+// they read from the store, or nil if the store is unavailable.
 func (f *fleet) restartAll(p *quota.Before) {
 	f.now = f.now.Add(500 * time.Millisecond)
 	for i := range f.nodes {
@@ -333,12 +338,12 @@
 	}
 }
 
-// mix is requests as the users' sheets have them, in tokens: many short ones, some
-// drafts, and few that are large against the least account's rate.
+// requestMix is a typical mix of request sizes in tokens: many short ones, some of medium
+// length, and a few that are large compared with the smallest account's rate.
 var requestMix = []float64{2000, 9000, 2000, 2000, 700, 9000, 2000, 700, 30000, 2000, 700, 2000}
 
-// sizeOf returns the size of a box's request of some number: a size, or for zero
-// one of the mix.
+// requestSize returns the size of the n-th request of a box: size, or one of requestMix if
+// size is zero.
 func requestSize(size float64, box, n int) float64 {
 	if size > 0 {
 		return size
@@ -346,7 +351,7 @@
 	return requestMix[(5*box+n)%len(requestMix)]
 }
 
-// take asks for one request at a box.
+// take sends one request to a box and returns the answer of the quota.
 func (f *fleet) take(i int, size float64) quota.Answer {
 	n := f.nodes[i]
 	x := quota.Question{Account: account.Name, Size: size, Urgent: true}
@@ -366,7 +371,7 @@
 	return v
 }
 
-// step is one tick: each box exchanges once a round.
+// step advances the clock by one tick. Each box runs one exchange a round.
 func (f *fleet) step() {
 	f.now = f.now.Add(tick)
 	f.writeStore()
@@ -385,15 +390,15 @@
 	}
 }
 
-// idle lets time pass.
+// idle advances the clock by d without requests.
 func (f *fleet) idle(d time.Duration) {
 	for range int(d / tick) {
 		f.step()
 	}
 }
 
-// send asks for tokens a second at weights over the boxes, in requests of a size,
-// or of the mix for zero.
+// send requests perSecond tokens a second for d, distributed over the boxes by weights, in
+// requests of the given size, or of requestMix if size is zero.
 func (f *fleet) send(d time.Duration, perSecond, size float64, weights ...int) {
 	if len(weights) == 0 {
 		weights = slices.Repeat([]int{1}, len(f.nodes))
@@ -402,19 +407,19 @@
 	for _, w := range weights {
 		total += w
 	}
-	owed := make([]float64, len(f.nodes))
-	sent := make([]int, len(f.nodes))
-	for i := range owed {
-		// Equal boxes would all send at the same moments.
-		owed[i] = requestSize(size, i, 0) * math.Mod(float64(i)*math.Phi, 1)
+	pending := make([]float64, len(f.nodes))
+	count := make([]int, len(f.nodes))
+	for i := range pending {
+		// Offset the boxes; otherwise all would send at the same moments.
+		pending[i] = requestSize(size, i, 0) * math.Mod(float64(i)*math.Phi, 1)
 	}
 	for range int(d / tick) {
 		f.step()
 		for i, n := range f.nodes {
-			owed[i] += perSecond * tick.Seconds() * float64(weights[i]) / float64(total)
-			for ; owed[i] >= requestSize(size, i, sent[i]); sent[i]++ {
-				s := requestSize(size, i, sent[i])
-				owed[i] -= s
+			pending[i] += perSecond * tick.Seconds() * float64(weights[i]) / float64(total)
+			for ; pending[i] >= requestSize(size, i, count[i]); count[i]++ {
+				s := requestSize(size, i, count[i])
+				pending[i] -= s
 				if !n.dead && !n.frozen {
 					f.take(i, s)
 				}
@@ -423,13 +428,13 @@
 	}
 }
 
-// reset forgets what was counted so far, but not what windows hold.
+// resetCounts resets the counters but not the admissions in the windows.
 func (f *fleet) resetCounts() { f.attempted, f.admitted, f.calls = 0, 0, 0 }
 
-// served is the part of what was asked that was let in.
+// admittedShare returns the share of the attempted requests that were admitted.
 func (f *fleet) admittedShare() float64 { return float64(f.admitted) / float64(max(f.attempted, 1)) }
 
-// most is the most that any window held.
+// peakWindow returns the largest number of units admitted in any window.
 func (f *fleet) peakWindow() float64 {
 	top, sum, from := 0.0, 0.0, 0
 	for _, e := range f.admissions {
--- a/quota/hold.go
+++ b/quota/hold.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// lessee holds what this box may spend. Its zero value holds nothing.
+// lessee holds the leases that this box may spend. Its zero value holds none.
 type lessee struct {
-	leases  []heldLease // by lessor, so that the same sums come out each time
-	leaving bool        // this box stops
+	leases  []heldLease // sorted by lessor, so that sums of floats are reproducible
+	leaving bool        // this box is stopping
 }
 
-// hold is what one lessor has leased: pieces of its part of each account, by the
+// heldLease is a lease by one lessor: pieces of its share of each account, by the
 // account's shard.
 type heldLease struct {
 	lessor string
@@ -21,26 +21,29 @@
 	until  time.Time
 }
 
-// of is the part of an account that the lease gives.
+// share returns the share of an account that the lease grants.
 func (h heldLease) share(account string, shard int) float64 {
 	return h.shares[account] * h.pieces[shard].share()
 }
 
-// without takes pieces out of the lease, and reports whether any are left.
+// removePieces removes pieces from the lease and reports whether any remain.
 func (h heldLease) removePieces(pieces []Pieces) bool {
-	left := false
+	remaining := false
 	for s := range h.pieces {
 		h.pieces[s] &^= pieces[s]
-		left = left || h.pieces[s] != 0
+		remaining = remaining || h.pieces[s] != 0
 	}
-	return left
+	return remaining
 }
 
-// take holds a lease in place of its lessor's last. A box that stops keeps pieces that the
-// new one lacks for the time that they were leased for: until then their lessor gives them
-// to nobody else, and nobody could spend them. Where three of six relays stop at once, an
-// account at half of its rate has all its requests let in, and without that 54 or 85 in 100
-// where all of its pieces were at those three (TestRelaysStop). All buckets must have been filled up to now, which drops what has ended.
+// replace replaces the last lease of a lessor with a newer one. All buckets must have been
+// filled up to now, since replace drops leases that have ended.
+//
+// A box that is stopping keeps pieces that the new lease lacks until their lease ends.
+// Their lessor leases them to no other box before that, so nobody else could spend them. If
+// three of six relays stop at once, all requests of an account at half of its rate are
+// admitted; otherwise 54 or 85 in 100 are, if those three hold all of its pieces
+// (TestRelaysStop).
 func (l *lessee) replace(h heldLease, now time.Time) {
 	valid := len(h.pieces) == shardCount
 	l.leases = slices.DeleteFunc(l.leases, func(o heldLease) bool {
@@ -48,7 +51,7 @@
 	})
 	for i := range l.leases {
 		if l.leases[i].lessor == h.lessor {
-			l.leases[i].shares = h.shares // what the lessor speaks for may be less by now
+			l.leases[i].shares = h.shares // the lessor may represent fewer boxes now
 		}
 	}
 	if !valid || !now.Before(h.until) {
@@ -58,23 +61,23 @@
 	l.leases = slices.Insert(l.leases, at, h)
 }
 
-// drop gives up what a lessor has leased. All buckets must have been filled up to now.
+// drop removes the leases of a lessor. All buckets must have been filled up to now.
 func (l *lessee) drop(from string) {
 	l.leases = slices.DeleteFunc(l.leases, func(o heldLease) bool { return o.lessor == from })
 }
 
-// given returns how many seconds' worth of its rate an account was given between two
-// moments, and the part of the rate that it has at the second.
-func (l *lessee) granted(account string, shard int, since, now time.Time) (seconds, part float64) {
+// granted returns how many seconds' worth of its rate an account accrued from since to
+// now, and the share of the rate that it has at now.
+func (l *lessee) granted(account string, shard int, since, now time.Time) (seconds, share float64) {
 	for _, h := range l.leases {
-		p := h.share(account, shard)
+		s := h.share(account, shard)
 		end := now
 		if h.until.Before(now) {
 			end = h.until
 		} else {
-			part += p
+			share += s
 		}
-		seconds += p * max(end.Sub(since), 0).Seconds()
+		seconds += s * max(end.Sub(since), 0).Seconds()
 	}
-	return seconds, part
+	return seconds, share
 }
--- a/quota/lease.go
+++ b/quota/lease.go
@@ -5,57 +5,58 @@
 	"time"
 )
 
-// Stamp is a moment on the steady clock of one process.
+// Stamp is a reading of the monotonic clock of one process.
 type Stamp struct {
 	Incarnation string
 	At          time.Duration // since the process started
 }
 
-// Lease is what one relay tells another: the parts of the accounts that it speaks for,
-// and for each shard which pieces of them the other may spend.
+// Lease is the message from one relay to another with the shares of the accounts that the
+// sender represents and, for each shard, the pieces of them that the receiver may spend.
 type Lease struct {
 	From       string
 	DataCentre string
-	Now        Stamp // of the lessor
-	Seen       Stamp // of the lessee, as its lessor last heard it
-	Parts      map[string]float64
-	Pieces     []Pieces // by shard
+	Now        Stamp              // of the lessor
+	Seen       Stamp              // of the lessee, as last received by the lessor
+	Parts      map[string]float64 // shares that the lessor represents, by account
+	Pieces     []Pieces           // by shard
 
-	// Version is that of the lessor's division, and Division itself if the lessee's is
-	// older.
+	// Version is the version of the lessor's division. Division is set only if the
+	// lessee's is older.
 	Version  uint64
 	Division Division
 
-	Even EvenLease // of rates that are divided evenly
+	Even EvenLease // for rates that are divided evenly
 
-	Lacks map[string]float64 // what the lessor's own buckets lack, by account
-	Asked map[string]float64 // what boxes of its data centre ask it for, by account
+	Lacks map[string]float64 // deficits of the lessor's own buckets in units, by account
+	Asked map[string]float64 // demand at the lessor by its data centre in units a second, by account
 }
 
-// A lease holds for leaseFor after the lessee's stamp that its lessor has seen, and its
-// lessor gives the same part to nobody else before leaseFor after it was last told: a
-// round of half a second may be missed. A member of a relay is counted there for up to
-// memberFor after it last told it.
 const (
+	// leaseDuration is the time for which a lease is valid after the lessee's stamp that
+	// the lessor has received. The lessor leases the same piece to no other box until
+	// leaseDuration after it last issued it. Exchanges are half a second apart, so one may
+	// be lost.
 	leaseDuration = 2 * time.Second
+
+	// memberTimeout is the time for which a relay may represent a box after the box last
+	// reported to it.
 	memberTimeout = 2500 * time.Millisecond
 )
 
-// homePart is the part that stays in a data centre. Its boxes go on with it when they
-// are cut off, before the leases have moved on: with a tenth 69 of 402 requests were
-// refused in the first two seconds of such a cut, and 9 in 1,000 on that whole day; with a
-// half 4 in 1,000 on the day.
+// homeShare is the share that stays in a data centre, for its boxes to spend while they are
+// partitioned and the leases have not moved yet. With 0.1, 69 of 402 requests are refused in
+// the first two seconds of a partition, and 9 in 1,000 over a day; with 0.5, 4 in 1,000 over
+// a day.
 const homeShare = 0.5
 
-// Pieces is a set of the pieces into which a lessor cuts its part of each shard: one for
-// its data centre and one for each of the shard's arbiters.
+// Pieces is a bit set of the pieces into which a lessor divides its share of each shard:
+// one for its data centre and one for each of the shard's arbiters.
 type Pieces uint8
 
-// perShard is how many arbiters a shard has: with two, an account under half of its
-// rate does not notice the loss of one. The piece home comes before theirs.
 const (
-	homePiece        = 0
-	arbitersPerShard = 2
+	homePiece        = 0 // index of the home piece; those of the arbiters follow
+	arbitersPerShard = 2 // the loss of one does not affect an account below half of its rate
 	pieceCount       = 1 + arbitersPerShard
 )
 
@@ -63,7 +64,7 @@
 
 func (p Pieces) with(i int) Pieces { return p | 1<<i }
 
-// size is the part of the whole that the pieces are.
+// share returns the share of the whole that the pieces make up.
 func (p Pieces) share() float64 {
 	n := 0.0
 	for i := range pieceCount {
@@ -78,21 +79,23 @@
 	return n
 }
 
-// lessor gives out the parts that a box speaks for. Its zero value has given none.
+// lessor leases the shares of the accounts that a box represents. Its zero value has granted
+// no leases.
 type lessor struct {
 	shares      map[string]float64
 	grants      [shardCount][pieceCount]grant
-	suspendedAt time.Time // when a relay last counted this box
+	suspendedAt time.Time // when a relay last represented this box
 }
 
-// promise is one piece that is leased. It is renewed while its holder is an arbiter.
+// grant is the lease of one piece of a shard. It is renewed while its holder remains a
+// candidate for the piece.
 type grant struct {
 	holder  string
 	until   time.Time
 	renewed bool
 }
 
-// leave notes that a relay counts this box.
+// suspend stops renewing all leases because a relay represents this box.
 func (l *lessor) suspend(now time.Time) {
 	l.shares, l.suspendedAt = nil, now
 	for s := range l.grants {
@@ -102,35 +105,35 @@
 	}
 }
 
-// speaksFor returns for how many boxes this one may speak: without itself while a
-// relay may count it still.
-func (l *lessor) represented(counted int, now time.Time) int {
+// represented returns how many of the given number of boxes this one may represent:
+// one fewer, without itself, while a relay may still represent it.
+func (l *lessor) represented(boxes int, now time.Time) int {
 	if !l.suspendedAt.IsZero() && now.Sub(l.suspendedAt) < memberTimeout {
-		counted--
+		boxes--
 	}
-	return counted
+	return boxes
 }
 
-// lease gives the pieces of all shards to their arbiters among some, and the piece home to
-// one of those that homes returns for a shard. A piece that another may still spend is given
-// to nobody. What a lessee was told of a part that has become smaller it still spends for up
-// to leaseFor.
-func (l *lessor) assign(among []Arbiter, homes func(shard int) []string, parts map[string]float64, now time.Time) {
-	l.shares = parts
+// assign leases the pieces of all shards to their arbiters, and the home piece of a shard to
+// one of the boxes that homeBoxes returns for it. A piece that another box may still spend
+// is not reassigned. A lessee may spend a share that has become smaller for up to
+// leaseDuration.
+func (l *lessor) assign(arbiters []Arbiter, homeBoxes func(shard int) []string, shares map[string]float64, now time.Time) {
+	l.shares = shares
 	for s := range shardCount {
-		g := &l.grants[s]
-		g[homePiece].renewOrMove(homes(s), now)
-		to := boxNames(pickArbiters(among, s))
-		if slices.Contains(to, g[1].holder) {
-			g[1].renewOrMove(to, now)
+		grants := &l.grants[s]
+		grants[homePiece].renewOrMove(homeBoxes(s), now)
+		names := boxNames(pickArbiters(arbiters, s))
+		if slices.Contains(names, grants[1].holder) {
+			grants[1].renewOrMove(names, now)
 		} else {
-			g[1].renewOrMove(excluding(to, g[2].holder), now)
+			grants[1].renewOrMove(excluding(names, grants[2].holder), now)
 		}
-		g[2].renewOrMove(excluding(to, g[1].holder), now)
+		grants[2].renewOrMove(excluding(names, grants[1].holder), now)
 	}
 }
 
-// without returns those but one, or all where there is no other.
+// excluding returns the boxes without one of them, or that box if there is no other.
 func excluding(boxes []string, box string) []string {
 	if len(boxes) == 1 {
 		return boxes
@@ -138,20 +141,20 @@
 	return slices.DeleteFunc(slices.Clone(boxes), func(b string) bool { return b == box })
 }
 
-// move renews a piece whose holder is one of those that may have it. Else it goes to
-// the first of them once its time is over.
-func (p *grant) renewOrMove(to []string, now time.Time) {
-	if !slices.Contains(to, p.holder) {
-		p.renewed = false
-		if now.Before(p.until) {
+// renewOrMove renews a lease whose holder is one of the candidates. Otherwise it moves the
+// piece to the first candidate once the lease has ended.
+func (g *grant) renewOrMove(candidates []string, now time.Time) {
+	if !slices.Contains(candidates, g.holder) {
+		g.renewed = false
+		if now.Before(g.until) {
 			return
 		}
-		p.holder = to[0]
+		g.holder = candidates[0]
 	}
-	p.renewed, p.until = true, now.Add(leaseDuration)
+	g.renewed, g.until = true, now.Add(leaseDuration)
 }
 
-// pieces returns which pieces of each shard a box has, to be told now.
+// pieces returns the pieces of each shard that are leased to a box, and renews them.
 func (l *lessor) pieces(to string, now time.Time) []Pieces {
 	out := make([]Pieces, shardCount)
 	for s := range l.grants {
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,9 +1,9 @@
-// Package quota holds accounts to their rates over all boxes together, so that a
-// limit is kept because nobody can spend what was not given to it. Each box has an
-// equal part of every account's rate. A relay speaks for the boxes that it counts,
-// and leases their parts to two arbiters of each account, which the other boxes ask.
-// Rates that are not of accounts, and are known only once they are met, are divided
-// and leased in the same way (Given, Arbiters).
+// Package quota enforces the rate limits of accounts over all boxes together. Each box
+// has an equal share of its data centre's share of every account's rate. A relay
+// represents the boxes that it serves and leases their shares to two arbiters of each
+// account, which the other boxes ask. A box can spend only what is leased to it, so limits
+// hold during partitions and restarts. Rates that do not belong to accounts and are not
+// configured are divided evenly over all boxes and leased in the same way (Given, Arbiters).
 package quota
 
 import (
@@ -14,34 +14,33 @@
 	"birchlink.dev/birchlink/catalog"
 )
 
-// Terms say how an account's limit is judged: in each Window it may spend its
-// rate over the window and its burst. Overage, a part of that, and Slack, in
-// units, are what boxes together may be over it; they are kept for what is let in
-// beyond what a bucket holds, and for what is forgotten at a restart.
+// Terms define how the limit of an account is enforced: in each Window it may spend its
+// rate over the window plus its burst. All boxes together may exceed that by Overage, a
+// fraction of it, plus Slack, in units. The tolerance covers requests that are larger than
+// the level of a bucket, and state that is lost at a restart.
 type Terms struct {
 	Window  time.Duration
 	Overage float64
 	Slack   float64
 }
 
-// evenPart is the part of a burst that is dealt out over a window: each window may
-// hold the rate's and the burst, not only the first. With 0.5 nearly one in a hundred
-// requests of an account at 0.7 of its rate is refused where some are a third of its
-// burst, with 0.25 none (TestLargeFleetUnderTheRate).
+// spreadBurstShare is the share of a burst that is added to the rate over a window, since
+// every window, not only the first, may hold the rate's tokens and the burst. 0.5 refuses
+// nearly 1% of the requests of an account at 0.7 of its rate if some requests are a third
+// of its burst; 0.25 refuses none (TestLargeFleetBelowRate).
 const spreadBurstShare = 0.25
 
-// What boxes may be over a limit in a window is given to the account in part, so that
-// what is within the limit is not refused: toleratedRate of it over the window, and
-// toleratedBurst at once. The rest is kept for requests that are larger than what is
-// left, for what is forgotten at a restart, and for boxes that are counted twice while
-// they move. With more an account goes over its limit in some of the courses of
-// TestAnyCourse.
+// Part of the tolerated overage of a window is granted to the account, so that requests
+// within its limit are not refused. The rest covers requests that are larger than the
+// level, state that is lost at a restart, and boxes that two relays represent while they
+// move. With larger shares an account exceeds its limit in some of the simulated runs of
+// TestLimitUnderRandomFaults.
 const (
-	toleratedRateShare  = 0.25
-	toleratedBurstShare = 0.2
+	toleratedRateShare  = 0.25 // share granted over the window
+	toleratedBurstShare = 0.2  // share granted at once
 )
 
-// defaultWindow stands in for terms that name none.
+// defaultWindow is used if Terms.Window is zero.
 const defaultWindow = 8 * time.Second
 
 func (t Terms) window() time.Duration {
@@ -51,70 +50,73 @@
 	return defaultWindow
 }
 
-// limit returns the rate and the burst of a bucket that keeps an account to its
-// limit in each window.
+// bucketLimit returns the rate, in units a second, and the burst, in units, of a token
+// bucket that keeps an account within its limit in every window.
 func (t Terms) bucketLimit(a *catalog.Account) (rate, burst float64) {
-	even := spreadBurstShare * a.Burst
-	over := t.toleratedOverage(a)
+	spread := spreadBurstShare * a.Burst
+	overage := t.toleratedOverage(a)
 	w := t.window().Seconds()
-	return a.Rate + even/w + toleratedRateShare*over/w, a.Burst - even + toleratedBurstShare*over
+	return a.Rate + spread/w + toleratedRateShare*overage/w, a.Burst - spread + toleratedBurstShare*overage
 }
 
-// tolerated is what boxes together may be over an account's limit in a window.
+// toleratedOverage returns by how many units all boxes together may exceed an account's
+// limit in a window.
 func (t Terms) toleratedOverage(a *catalog.Account) float64 {
 	return t.Overage*(a.Rate*t.window().Seconds()+a.Burst) + t.Slack
 }
 
-// View is what a box knows of the fleet.
+// View is the fleet as one box sees it.
 type View struct {
-	// Arbiters are the relays that this box hears, or that its relay names.
+	// Arbiters are the relays that this box can reach or that its relay reported.
 	Arbiters []Arbiter
 
-	// Counted is how many boxes of its data centre this one speaks for: itself and
-	// those that it counts as a relay; zero while a relay counts it.
+	// Represented is the number of boxes of its data centre that this box represents:
+	// itself and the boxes that it serves as a relay. It is zero while a relay represents
+	// this box.
 	Represented int
 
-	// Boxes is how many boxes of each data centre are heard, this one included.
+	// Boxes is the number of reachable boxes of each data centre, including this one.
 	Boxes map[string]int
 
-	// Division is that of this box's relay.
+	// Division is the division that the relay of this box uses.
 	Division Division
 }
 
-// Quota is one box's part. Its zero value, with the exported fields set, is ready.
+// Quota enforces the limits at one box. Its zero value with the exported fields set is
+// ready to use. It is safe for concurrent use.
 type Quota struct {
 	Terms
 	Self        Arbiter
 	Incarnation string
 
-	// Started is when the process began. What an account had left then is known if
-	// the store tells (Expect); else its buckets fill from nothing.
+	// Started is when the process started. If the store has the levels of the accounts,
+	// they are passed to Restore; otherwise buckets start empty.
 	Started time.Time
 
-	// Chance returns numbers from 0 to 1, at random.
+	// Chance returns random numbers in [0, 1).
 	Chance func() float64
 
 	mu          sync.Mutex
 	arbiters    []Arbiter
 	divisions   divisionHistory
 	boxHistory  boxHistory
-	partitioned bool // fewer boxes are heard than there are
+	partitioned bool // only a part of the fleet is reachable
 	buckets     map[string]*bucket
 	lessor      lessor
 	lessee      lessee
 	evenLeases  evenLeases
-	received    map[string]Lease              // what other relays told last
-	saved       *Before                       // what was before this process started, if known
-	firstStart  bool                          // nothing was
-	restored    map[string]map[string]float64 // by lessor and account, the parts that began with what was left before
+	received    map[string]Lease              // last lease received from each relay
+	saved       *Before                       // state before this process started; nil if unknown
+	firstStart  bool                          // there was no state before
+	restored    map[string]map[string]float64 // by lessor and account, the shares whose initial levels are restored
 }
 
-// apartBelow is the part of all boxes below which those that are heard are a part of
-// the fleet only.
+// partitionedBelow is the share of all boxes below which the reachable boxes are taken to
+// be only a part of the fleet.
 const partitionedBelow = 0.9
 
-// Round leases this box's part anew, by what it now knows of the fleet. Accounts are
-// those of the configuration in force.
+// Update renews the leases of the shares that this box represents, according to its current
+// view of the fleet. accounts are those of the configuration in force.
 func (q *Quota) Update(v View, accounts []catalog.Account, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -138,25 +140,25 @@
 		q.evenLeases.suspend(q.Self.Box, now)
 		return
 	}
-	among := withoutLeaving(v.Arbiters)
-	if !containsBox(v.Arbiters, q.Self.Box) || len(among) == 0 {
-		among = []Arbiter{q.Self}
+	arbiters := withoutLeaving(v.Arbiters)
+	if !containsBox(v.Arbiters, q.Self.Box) || len(arbiters) == 0 {
+		arbiters = []Arbiter{q.Self}
 	}
-	boxes := q.lessor.represented(v.Represented, now)
-	heard := q.boxHistory.peak()[q.Self.DataCentre]
-	parts := map[string]float64{}
+	represented := q.lessor.represented(v.Represented, now)
+	reachable := q.boxHistory.peak()[q.Self.DataCentre]
+	shares := map[string]float64{}
 	for a := range q.buckets {
-		parts[a] = q.divisions.share(a, q.Self.DataCentre, boxes, heard, now)
+		shares[a] = q.divisions.share(a, q.Self.DataCentre, represented, reachable, now)
 	}
-	homes := func(shard int) []string { return []string{pickHomeRelay(q.Self, among, shard).Box} }
-	q.lessor.assign(among, homes, parts, now)
-	h := heldLease{q.Self.Box, parts, q.lessor.pieces(q.Self.Box, now), now.Add(leaseDuration)}
+	homeBoxes := func(shard int) []string { return []string{pickHomeRelay(q.Self, arbiters, shard).Box} }
+	q.lessor.assign(arbiters, homeBoxes, shares, now)
+	h := heldLease{q.Self.Box, shares, q.lessor.pieces(q.Self.Box, now), now.Add(leaseDuration)}
 	q.restoreLevels(h, now)
 	q.lessee.replace(h, now)
-	q.evenLeases.assign(q.Self.Box, among, q.divisions.evenShare(q.Self.DataCentre, boxes, heard, now), now)
+	q.evenLeases.assign(q.Self.Box, arbiters, q.divisions.evenShare(q.Self.DataCentre, represented, reachable, now), now)
 }
 
-// agreed reports whether all relays that are heard keep to this box's division.
+// relaysAgree reports whether all reachable relays use this box's division or a newer one.
 func (q *Quota) relaysAgree() bool {
 	for _, a := range q.arbiters {
 		if a.Box != q.Self.Box && q.received[a.Box].Version < q.divisions.version() {
@@ -166,7 +168,7 @@
 	return true
 }
 
-// Division returns how this box divides the limits.
+// Division returns the division in force at this box, or the zero value if none is known.
 func (q *Quota) Division() Division {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -176,20 +178,23 @@
 	return Division{}
 }
 
-// Adopt takes a division that this box has written.
+// Adopt adds a division that this box has written to the store or read from it.
 func (q *Quota) Adopt(d Division, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.divisions.add(d, now)
 }
 
-// Tell returns what this relay tells another: its lease, what accounts lack here, and
-// what they are asked for.
+// IssueLease renews the lease of another relay and returns it, with the deficits of the
+// accounts and the demand for them at this box.
 func (q *Quota) IssueLease(to string, now time.Time) Lease {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.fillAll(now)
-	l := Lease{From: q.Self.Box, DataCentre: q.Self.DataCentre, Now: q.stamp(now), Seen: q.received[to].Now, Version: q.divisions.version(), Lacks: q.deficits(), Asked: q.localDemand(now)}
+	l := Lease{
+		From: q.Self.Box, DataCentre: q.Self.DataCentre, Now: q.stamp(now), Seen: q.received[to].Now,
+		Version: q.divisions.version(), Lacks: q.deficits(), Asked: q.localDemand(now),
+	}
 	if d := q.divisions.newest(); d != nil && q.received[to].Version < d.Version {
 		l.Division = *d
 	}
@@ -198,9 +203,9 @@
 	return l
 }
 
-// Hear takes what another relay tells. A lease counts from the moment that its
-// lessor had last heard of here, so that one which was held up on the way, or read
-// after a pause of this process, has no more time than its lessor gave it.
+// AcceptLease processes a lease from another relay. The lease is valid from this box's
+// stamp that the lessor last received, so a lease that is delayed in the network, or read
+// after a pause of this process, does not outlast the time for which it was granted.
 func (q *Quota) AcceptLease(l Lease, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -208,7 +213,7 @@
 		q.received = map[string]Lease{}
 	}
 	if old, ok := q.received[l.From]; ok && old.Now.Incarnation != l.Now.Incarnation {
-		// What the process before leased is leased anew.
+		// The lessor restarted and assigns its pieces anew.
 		q.fillAll(now)
 		q.lessee.drop(l.From)
 		q.evenLeases.drop(l.From, now)
@@ -226,8 +231,8 @@
 	q.evenLeases.accept(l.From, l.Even, until, now)
 }
 
-// Forget drops what a relay told that is not heard any more; its leases end by
-// themselves.
+// Forget removes the last message of a relay that is unreachable. Its leases expire on
+// their own.
 func (q *Quota) Forget(relay string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -12,20 +12,20 @@
 	"birchlink.dev/birchlink/quota"
 )
 
-// few is a small site, many one after growth.
+// Numbers of boxes of a small and of a large fleet.
 const (
 	smallFleet = 6
 	largeFleet = 80
 )
 
-// settled returns a fleet whose boxes have heard each other.
+// newSettledFleet returns a fleet whose boxes have exchanged their state.
 func newSettledFleet(n int, seed uint64) *fleet {
 	f := newFleet(n, min(n/2, 5), seed)
 	f.idle(10 * time.Second)
 	return f
 }
 
-// An account under its rate is not refused, however uneven its boxes are.
+// An account below its rate is not refused, however unevenly its requests arrive at the boxes.
 func TestAdmitsAllBelowRate(t *testing.T) {
 	f := newSettledFleet(smallFleet, 1)
 	f.send(5*time.Second, 1000, 500)
@@ -33,7 +33,7 @@
 	require.Equal(t, f.attempted, f.admitted)
 }
 
-// An account at many times its rate stays within its limit, and gets most of it.
+// An account at six times its rate stays within its limit and can use most of it.
 func TestLimitUnderOverload(t *testing.T) {
 	f := newSettledFleet(smallFleet, 1)
 	f.send(5*time.Second, 0.5*account.Rate, 8000, 1, 2, 3, 1, 1, 1)
@@ -42,7 +42,7 @@
 	require.GreaterOrEqual(t, f.peakWindow(), 0.94*(account.Rate*terms.Window.Seconds()+account.Burst))
 }
 
-// Killing every box, twice within a window, gives nobody its burst again.
+// Restarting all boxes twice within a window does not grant a second burst.
 func TestLimitAfterRestartOfAll(t *testing.T) {
 	f := newSettledFleet(8, 1)
 	f.send(10*time.Second, 5*account.Rate, 8000)
@@ -53,8 +53,8 @@
 	require.LessOrEqual(t, f.peakWindow(), windowLimit())
 }
 
-// TestFewRestartedUnderTheRate refuses little of an account that is asked for less than
-// its rate when all boxes start anew just after a large request has taken half of its burst.
+// Few requests of an account that was below its rate are refused if all boxes restart just
+// after a large request has taken half of its burst.
 func TestSmallFleetRestartBelowRate(t *testing.T) {
 	f := newSettledFleet(7, 1)
 	weights := []int{3, 1, 2, 1, 1, 2, 1}
@@ -68,7 +68,7 @@
 	require.LessOrEqual(t, f.peakWindow(), windowLimit())
 }
 
-// A box that comes anew among others gives the account nothing that was spent.
+// A box that restarts while others run does not admit again what was already spent.
 func TestLimitAfterRestartOfOne(t *testing.T) {
 	f := newSettledFleet(smallFleet, 1)
 	f.send(10*time.Second, 5*account.Rate, 8000)
@@ -79,8 +79,8 @@
 	require.LessOrEqual(t, f.peakWindow(), windowLimit())
 }
 
-// A refusal says when there may be room, later to those that come later, and no later
-// than a window.
+// The retry delay of a refusal grows with the number of refused requests and is at most one
+// window.
 func TestRetryAfter(t *testing.T) {
 	f := newSettledFleet(smallFleet, 1)
 	var after []time.Duration
@@ -95,8 +95,8 @@
 	require.LessOrEqual(t, after[199], terms.Window)
 }
 
-// TestNoPartNoAnswer tells a caller when to come back by what those say that have a part of
-// the account: a box that has given its part away knows nothing of it.
+// The retry delay comes only from arbiters that have a share of the account. A box that has
+// leased its share to others does not know the level.
 func TestRetryAfterIgnoresArbiterWithoutShare(t *testing.T) {
 	f := newSettledFleet(smallFleet, 1)
 	for f.take(0, 20000).OK {
@@ -117,16 +117,16 @@
 	require.Equal(t, first, by)
 }
 
-// Boxes that all start at once, and do not know of each other yet, do not spend
-// what they then have to owe.
+// Boxes that all start at once and do not know of each other yet admit no more than the rate
+// and one request each.
 func TestLimitAtFirstStart(t *testing.T) {
 	f := newFleet(8, 3, 1)
 	f.send(round, 100*account.Rate, 2000)
 	require.LessOrEqual(t, f.peakWindow(), account.Rate*round.Seconds()+8*2000)
 }
 
-// TestCutOff holds an account to its limit when data centres do not hear each other:
-// each goes on with the part of its boxes.
+// An account stays within its limit while the data centres are partitioned, and each data
+// centre continues with the share of its boxes.
 func TestPartitionedDataCentres(t *testing.T) {
 	f := newSettledFleet(9, 1)
 	f.send(10*time.Second, 0.4*account.Rate, 4000)
@@ -142,7 +142,7 @@
 	require.GreaterOrEqual(t, f.peakWindow(), 0.8*account.Rate*terms.Window.Seconds())
 }
 
-// uneven gives a few of the boxes most of the requests, as clients that keep their
+// unevenWeights sends most of the requests to a few of the boxes, as clients with persistent
 // connections do.
 func unevenWeights() []int {
 	w := make([]int, largeFleet)
@@ -152,8 +152,8 @@
 	return w
 }
 
-// TestLargeFleet holds an account to its limit when it suddenly asks for five times
-// its rate, and lets it have nearly all of that.
+// An account whose demand jumps to five times its rate stays within its limit and can use
+// nearly all of it.
 func TestLargeFleetOverload(t *testing.T) {
 	for _, size := range []float64{1000, 9000, 0} {
 		f := newSettledFleet(largeFleet, 1)
@@ -164,7 +164,7 @@
 	}
 }
 
-// TestLargeFleetUnderTheRate refuses hardly anything of an account that is under its rate.
+// Less than 1% of the requests of an account below its rate are refused.
 func TestLargeFleetBelowRate(t *testing.T) {
 	f := newSettledFleet(largeFleet, 1)
 	f.send(10*time.Second, 0.5*account.Rate, 0, unevenWeights()...)
@@ -172,7 +172,7 @@
 	require.Greater(t, f.admittedShare(), 0.99)
 }
 
-// TestLargeFleetRestarted gives nobody a burst again when all boxes start anew.
+// Restarting all boxes of a large fleet twice does not grant a second burst.
 func TestLimitAfterRestartOfLargeFleet(t *testing.T) {
 	f := newSettledFleet(largeFleet, 1)
 	f.send(10*time.Second, 5*account.Rate, 9000, unevenWeights()...)
@@ -183,8 +183,7 @@
 	require.LessOrEqual(t, f.peakWindow(), windowLimit())
 }
 
-// TestShort writes an account down from which a large request has taken most of what
-// it may hold.
+// The snapshot lists an account after large requests have taken most of its burst.
 func TestSnapshotListsShortAccount(t *testing.T) {
 	for _, n := range []int{7, largeFleet} {
 		f := newSettledFleet(n, 1)
@@ -198,8 +197,8 @@
 	}
 }
 
-// TestLargeFleetRestartedUnderTheRate refuses little of an account that had nearly
-// all left when all boxes start anew.
+// Few requests of an account are refused after a restart of all boxes if its level was
+// nearly full.
 func TestLargeFleetRestartBelowRate(t *testing.T) {
 	f := newSettledFleet(largeFleet, 1)
 	f.send(10*time.Second, 0.5*account.Rate, 0, unevenWeights()...)
@@ -209,12 +208,11 @@
 	require.Greater(t, f.admittedShare(), 0.95)
 }
 
-// TestManyRestartedUnderTheRate refuses little of an account that asks for half of its
-// rate when 70 boxes lose power at once: the load is that of one of sixteen accounts, in
-// requests that are larger than a box's part of the burst.
+// Few requests of an account at about half of its rate are refused after 70 boxes restart at
+// once, although requests are larger than a box's share of the burst.
 func TestRestartBelowRateWithLargeRequests(t *testing.T) {
-	for size, least := range map[float64]float64{2000: 0.97, 5000: 0.7, 0: 0.97} {
-		asked, done := 0, 0
+	for size, minShare := range map[float64]float64{2000: 0.97, 5000: 0.7, 0: 0.97} {
+		attempted, admitted := 0, 0
 		for seed := range uint64(5) {
 			f := newFleet(70, 3, seed)
 			f.idle(10 * time.Second)
@@ -222,15 +220,15 @@
 			f.restartAll(f.stored)
 			f.resetCounts()
 			f.send(2500*time.Millisecond, 0.55*account.Rate, size)
-			asked, done = asked+f.attempted, done+f.admitted
+			attempted, admitted = attempted+f.attempted, admitted+f.admitted
 			require.LessOrEqual(t, f.peakWindow(), windowLimit())
 		}
-		require.Greater(t, float64(done), least*float64(asked), "requests of %.0f: %d of %d", size, done, asked)
+		require.Greater(t, float64(admitted), minShare*float64(attempted), "requests of %.0f: %d of %d", size, admitted, attempted)
 	}
 }
 
-// TestLargeFleetCutOff holds an account to its limit when a third of the boxes are cut
-// off from all, and all are then asked for many times the rate.
+// An account stays within its limit if a third of the boxes are each isolated and demand then
+// rises to three times the rate.
 func TestLargeFleetPartitioned(t *testing.T) {
 	f := newSettledFleet(largeFleet, 1)
 	f.send(10*time.Second, 0.5*account.Rate, 0, unevenWeights()...)
@@ -242,8 +240,8 @@
 	require.LessOrEqual(t, f.peakWindow(), windowLimit())
 }
 
-// TestArbiterFreezes holds an account to its limit when a relay is frozen for longer than its
-// leases last, wakes, and reads what came meanwhile.
+// An account stays within its limit when a relay freezes for longer than its leases last,
+// wakes, and reads the messages that arrived meanwhile.
 func TestArbiterFreezes(t *testing.T) {
 	for i := range smallFleet {
 		f := newSettledFleet(smallFleet, 1)
@@ -256,8 +254,7 @@
 	}
 }
 
-// TestArbiterKilled serves an account under half of its rate through the loss of any
-// one relay.
+// An account below half of its rate is served through the loss of any one relay.
 func TestArbiterKilled(t *testing.T) {
 	for i := range smallFleet {
 		f := newSettledFleet(smallFleet, 1)
@@ -269,8 +266,8 @@
 	}
 }
 
-// TestRelaysStop serves an account under half of its rate while a relay of each data
-// centre stops: those that stop spend what was leased to them until it is another's.
+// An account at half of its rate is served while one relay of each data centre stops. Relays
+// that stop spend their leases until these end.
 func TestRelaysStop(t *testing.T) {
 	for relays := range 8 {
 		f := newFleet(70, 3, 1)
@@ -285,8 +282,8 @@
 	}
 }
 
-// TestAddedBoxes holds an account to its limit when as many boxes again are added at once,
-// before the division tells of them.
+// An account stays within its limit when the number of boxes doubles at once, before the
+// division includes the new ones.
 func TestAddedBoxes(t *testing.T) {
 	for _, size := range []float64{0, 2000, 8000} {
 		f := newFleet(12, 3, 1)
@@ -303,14 +300,14 @@
 	}
 }
 
-// TestNewAccount lets requests of an account in that the configuration did not have
-// before, and holds it to a lower limit.
+// Requests of an account that is new in the configuration are admitted up to its own, lower
+// limit.
 func TestNewAccount(t *testing.T) {
 	f := newSettledFleet(smallFleet, 1)
 	b := catalog.Account{Name: "b", Tokens: true, Rate: 50000, Burst: 50000}
 	f.accounts = append(f.accounts, b)
 	f.idle(3 * time.Second)
-	taken := 0.0
+	admitted := 0.0
 	x := quota.Question{Account: "b", Size: 1000, Urgent: true}
 	ask := func(a quota.Arbiter, x quota.Question) (quota.Answer, bool) {
 		return f.nodes[boxIndex(a)].Ask(x, f.now), true
@@ -320,18 +317,18 @@
 		if !v.OK {
 			break
 		}
-		taken += x.Size
+		admitted += x.Size
 	}
-	require.Greater(t, taken, 10000.0)
-	require.Less(t, taken, 2*b.Burst)
+	require.Greater(t, admitted, 10000.0)
+	require.Less(t, admitted, 2*b.Burst)
 }
 
-// TestAnyCourse holds an account to its limit in every window, whatever happens to the
-// boxes: kills, freezes, cuts of boxes and of data centres, restarts of all, lost
-// messages, and demand that jumps.
+// An account stays within its limit in every window under random faults (killed and frozen
+// boxes, partitions of boxes and of data centres, restarts of all boxes, lost messages) and
+// sudden changes of demand.
 func TestLimitUnderRandomFaults(t *testing.T) {
-	for n, courses := range map[int]uint64{3: 40, 6: 40, 8: 20, 24: 3, 95: 1} {
-		for seed := range courses {
+	for n, runs := range map[int]uint64{3: 40, 6: 40, 8: 20, 24: 3, 95: 1} {
+		for seed := range runs {
 			t.Run(fmt.Sprint(n, "/", seed), func(t *testing.T) {
 				t.Parallel()
 				f := simulateFaults(n, seed, faultKinds)
@@ -341,10 +338,10 @@
 	}
 }
 
-// TestAnyCourseWithStops is the same where boxes also stop as they are asked to.
+// The same as TestLimitUnderRandomFaults, but boxes also stop in an orderly way.
 func TestLimitUnderRandomFaultsWithStops(t *testing.T) {
-	for n, courses := range map[int]uint64{6: 30, 8: 20, 24: 3} {
-		for seed := range courses {
+	for n, runs := range map[int]uint64{6: 30, 8: 20, 24: 3} {
+		for seed := range runs {
 			t.Run(fmt.Sprint(n, "/", seed), func(t *testing.T) {
 				t.Parallel()
 				f := simulateFaults(n, seed, faultKinds+1)
@@ -354,10 +351,10 @@
 	}
 }
 
-// anyTrouble is how many kinds of trouble there are without stops.
+// faultKinds is the number of kinds of faults without stops.
 const faultKinds = 7
 
-// course plays half a minute of trouble of some kinds.
+// simulateFaults runs eight rounds of faults of some kinds, each of one to five seconds.
 func simulateFaults(n int, seed uint64, kinds int) *fleet {
 	f := newSettledFleet(n, seed)
 	size := []float64{0, 2000, 9000}[f.rng.IntN(3)]
@@ -370,19 +367,20 @@
 	return f
 }
 
+// injectFault injects a random fault of the first kinds of faults.
 func (f *fleet) injectFault(kinds int) {
-	some := rand.New(rand.NewPCG(f.rng.Uint64(), 2)).Perm(len(f.nodes))[:1+f.rng.IntN(1+len(f.nodes)/3)]
+	affected := rand.New(rand.NewPCG(f.rng.Uint64(), 2)).Perm(len(f.nodes))[:1+f.rng.IntN(1+len(f.nodes)/3)]
 	switch f.rng.IntN(kinds) {
 	case 0:
-		for _, i := range some {
+		for _, i := range affected {
 			f.kill(i)
 		}
 	case 1:
-		for _, i := range some {
+		for _, i := range affected {
 			f.nodes[i].frozen = true
 		}
 	case 2:
-		for _, i := range some {
+		for _, i := range affected {
 			f.nodes[i].partition = 1 + i
 		}
 	case 3:
@@ -401,13 +399,13 @@
 	case 6:
 		f.lossRate = 0.1
 	case faultKinds:
-		for _, i := range some {
+		for _, i := range affected {
 			f.stop(i)
 		}
 	}
 }
 
-// mend ends some of the trouble: the rest goes on beside the next.
+// repair ends some of the faults. The others continue along with the next fault.
 func (f *fleet) repair() {
 	f.lossRate = 0
 	for i, n := range f.nodes {
@@ -418,16 +416,16 @@
 		if n.frozen {
 			f.wake(i)
 		}
-		// The store may not answer a box that starts.
-		p := f.stored
+		// The store may be unavailable to a box that starts.
+		saved := f.stored
 		if f.rng.IntN(3) == 0 {
-			p = nil
+			saved = nil
 		}
-		f.restart(i, p)
+		f.restart(i, saved)
 	}
 }
 
-// BenchmarkAsk is one question at its arbiter.
+// BenchmarkAsk measures one question at its arbiter.
 func BenchmarkAsk(b *testing.B) {
 	f := newSettledFleet(largeFleet, 1)
 	x := quota.Question{Account: account.Name, Size: 1}
--- a/quota/rates_test.go
+++ b/quota/rates_test.go
@@ -18,8 +18,9 @@
 	"birchlink.dev/birchlink/throttle"
 )
 
-// What boxes that have been told may send an endpoint in rateWindow, from rateSettles after a
-// limit was first named.
+// Bound on the requests that boxes which know an endpoint's limit may send it in rateWindow, from
+// rateSettleTime after the limit was first reported: rateTolerance times the limit plus
+// rateAllowance requests.
 const (
 	rateWindow     = 4 * time.Second
 	rateSettleTime = 3 * time.Second
@@ -27,22 +28,23 @@
 	rateAllowance  = 5
 )
 
-// limited is an endpoint that may name a limit.
+// limitedEndpoint is an endpoint that may report a rate limit.
 type limitedEndpoint struct {
 	endpoint.Endpoint
 	limit      endpoint.Limit
 	pastLimits []pastLimit
 	sent       []sentRequest
-	received   int // requests that it got
+	received   int // number of requests received
 }
 
-// past is a limit that was named until a time; infinite for none.
+// pastLimit is a limit in requests a second that was reported until a time; infinite for none.
 type pastLimit struct {
 	perSecond float64
 	until     time.Time
 }
 
-// most returns the highest limit that a window up to now may rest on.
+// highestLimit returns the highest limit in requests a second that boxes may have used in the window
+// up to now.
 func (e *limitedEndpoint) highestLimit(now time.Time) float64 {
 	m := math.Inf(1)
 	if e.limit.Named {
@@ -56,14 +58,15 @@
 	return m
 }
 
-// sent is one request that an endpoint got.
+// sentRequest is one request that an endpoint received.
 type sentRequest struct {
 	at       time.Time
 	box      int
-	notified bool // its box had been told of the limit
+	notified bool // its box knew the limit
 }
 
-// equal is an equal part of each rate for a box, by the number of boxes that it hears.
+// equalShare implements throttle.Leases with an equal share of each rate, by the number of boxes
+// that a box can reach.
 type equalShare struct {
 	fleet *fleet
 	box   int
@@ -71,17 +74,17 @@
 	given float64
 }
 
-func (e *equalShare) Given(_ string, now time.Time) (seconds, part float64) {
+func (e *equalShare) Given(_ string, now time.Time) (seconds, share float64) {
 	n := 0
 	for _, k := range e.fleet.view(e.box).Boxes {
 		n += k
 	}
-	part = 1 / math.Max(float64(n), 1)
+	share = 1 / math.Max(float64(n), 1)
 	if !e.at.IsZero() {
-		e.given += part * now.Sub(e.at).Seconds()
+		e.given += share * now.Sub(e.at).Seconds()
 	}
 	e.at = now
-	return e.given, part
+	return e.given, share
 }
 
 func (f *fleet) leases(i int) throttle.Leases {
@@ -91,7 +94,7 @@
 	return f.nodes[i].Quota
 }
 
-// tellRates lets two boxes tell each other the rates that they know.
+// exchangeRates makes two boxes exchange the rate limits that they know.
 func (f *fleet) exchangeRates(a, b *node) {
 	p := a.available.Rates.Report(b.available.Rates.Sum(), f.now)
 	b.available.Rates.Hear(p.Words, f.now)
@@ -99,21 +102,22 @@
 	a.available.Rates.Hear(p.Words, f.now)
 }
 
-// spread tells all boxes what one was told: through its relay, and that one's fellows.
-func (f *fleet) broadcastRate(i int, w stated.Word) {
+// broadcastRate sends a rate limit that box i received to all boxes, through its relay and the other
+// relays.
+func (f *fleet) broadcastRate(i int, report stated.Word) {
 	from := i
 	if !f.isRelay(i) {
 		from = f.nodes[i].relay
 		if from < 0 || !f.reaches(i, from) {
 			return
 		}
-		f.nodes[from].available.Rates.Hear([]stated.Word{w}, f.now)
+		f.nodes[from].available.Rates.Hear([]stated.Word{report}, f.now)
 	}
 	relays := []int{from}
 	for dc := range f.dataCentres {
 		for _, r := range f.relays(dc) {
 			if r != from && f.reaches(from, r) {
-				f.nodes[r].available.Rates.Hear([]stated.Word{w}, f.now)
+				f.nodes[r].available.Rates.Hear([]stated.Word{report}, f.now)
 				relays = append(relays, r)
 			}
 		}
@@ -121,13 +125,14 @@
 	for _, r := range relays {
 		for m := range f.nodes[r].members {
 			if f.reaches(r, m) {
-				f.nodes[m].available.Rates.Hear([]stated.Word{w}, f.now)
+				f.nodes[m].available.Rates.Hear([]stated.Word{report}, f.now)
 			}
 		}
 	}
 }
 
-// limitEach adds endpoints that name limits; zero or less is none.
+// addEndpoints adds endpoints with the given limits in requests a second; zero or less means no
+// limit.
 func (f *fleet) addEndpoints(perSecond ...float64) {
 	for _, x := range perSecond {
 		e := &limitedEndpoint{Endpoint: endpoint.Endpoint{ID: fmt.Sprint("e", len(f.endpoints))}}
@@ -136,7 +141,7 @@
 	}
 }
 
-// name lets an endpoint name another limit from now on.
+// setLimit changes the limit that an endpoint reports.
 func (f *fleet) setLimit(e *limitedEndpoint, perSecond float64) {
 	old := math.Inf(1)
 	if e.limit.Named {
@@ -146,7 +151,8 @@
 	e.limit = endpoint.Limit{Named: perSecond > 0, PerSecond: max(perSecond, 0)}
 }
 
-// permit asks for one request to an endpoint as a box does, and defers it if it may not be sent.
+// requestPermit asks for permission to send one request to an endpoint, as a box does, and skips the
+// endpoint for a while if it is refused.
 func (f *fleet) requestPermit(i int, e *limitedEndpoint) bool {
 	n := f.nodes[i]
 	l, age := n.available.Rates.Limit(e.ID, f.now)
@@ -180,7 +186,7 @@
 	return false
 }
 
-// answerFor is what an arbiter answers.
+// answerPermit returns the answer of an arbiter.
 func (f *fleet) answerPermit(n *node, x throttle.Question) throttle.Answer {
 	n.available.Rates.Hear([]stated.Word{{Incarnation: x.Endpoint, Named: true, PerSecond: x.PerSecond, Age: x.Age}}, f.now)
 	l, _ := n.available.Rates.Limit(x.Endpoint, f.now)
@@ -191,8 +197,8 @@
 	return n.throttle.Ask(x, f.now)
 }
 
-// request sends a box's request to the first endpoint that takes it, in an order at random: those
-// with a limit first, which have the least to do.
+// sendRequest sends a request of a box to the first endpoint, in random order, that its rate limit
+// permits.
 func (f *fleet) sendRequest(i int) {
 	f.attempted++
 	n := f.nodes[i]
@@ -203,17 +209,17 @@
 		}
 		f.admitted++
 		e.received++
-		knew := n.available.Limited(e.ID, f.now)
-		e.sent = append(e.sent, sentRequest{f.now, i, knew})
-		if w, news := n.available.Rates.Say(e.ID, e.limit, f.now); news {
+		notified := n.available.Limited(e.ID, f.now)
+		e.sent = append(e.sent, sentRequest{f.now, i, notified})
+		if w, changed := n.available.Rates.Say(e.ID, e.limit, f.now); changed {
 			f.broadcastRate(i, w)
 		}
 		return
 	}
 }
 
-// ask sends requests a second at random boxes for a time, and looks after each step.
-func (f *fleet) sendRequests(d time.Duration, perSecond float64, look func()) {
+// sendRequests sends perSecond requests a second from random boxes for d and calls check at each step.
+func (f *fleet) sendRequests(d time.Duration, perSecond float64, check func()) {
 	for range int(d / tick) {
 		f.step()
 		for _, e := range f.endpoints {
@@ -221,7 +227,7 @@
 				e.sent = e.sent[1:]
 			}
 		}
-		look()
+		check()
 		for n := perSecond * tick.Seconds(); n > 0 && f.rng.Float64() < n; n-- {
 			if i := f.rng.IntN(len(f.nodes)); !f.nodes[i].dead && !f.nodes[i].frozen {
 				f.sendRequest(i)
@@ -230,8 +236,8 @@
 	}
 }
 
-// kept returns what holds that no endpoint got more in the last window than its limit allows from
-// boxes that had been told, whatever happens to them.
+// rateCheck returns a check that no endpoint received more requests in the last window than its
+// limit allows from boxes that knew the limit.
 func (f *fleet) rateCheck(t *testing.T) func() {
 	return func() {
 		t.Helper()
@@ -247,8 +253,8 @@
 	}
 }
 
-// An endpoint that takes a rate gets about that, from few boxes and from many, and nobody is
-// refused while others have room.
+// A limited endpoint receives about its rate, from a small and from a large fleet, and no request is
+// refused while other endpoints have capacity.
 func TestRateIsUsed(t *testing.T) {
 	for _, n := range []int{smallFleet, largeFleet} {
 		for _, rate := range []float64{0.3, 1, 10} {
@@ -268,7 +274,7 @@
 	}
 }
 
-// The whole fleet keeps to rates of which each box alone would have a thousandth, and uses them.
+// A fleet in which an equal share is a thousandth of each rate keeps to the rates and uses them.
 func TestRatesOfLargestFleet(t *testing.T) {
 	t.Parallel()
 	f := newFleet(985, 5, 1)
@@ -288,7 +294,7 @@
 	}
 }
 
-// Where all endpoints name limits, boxes together send what these take and no less.
+// If all endpoints have limits, the boxes together use them fully.
 func TestRatesOfAllEndpoints(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{smallFleet, largeFleet} {
@@ -304,7 +310,7 @@
 	}
 }
 
-// A limit that an endpoint names no more is gone within seconds, also a low one.
+// A limit that an endpoint stops reporting is dropped within seconds, even a low one.
 func TestLiftedLimit(t *testing.T) {
 	for _, rate := range []float64{0.01, 1} {
 		f := newSettledFleet(smallFleet, 1)
@@ -318,14 +324,13 @@
 	}
 }
 
-// TestAnyRates holds endpoints to the rates that they take, whatever happens to the boxes, and
-// while limits are named by many at once, raised, lowered and ended. RATES_SEEDS asks for that many
-// courses of each small fleet.
+// Boxes keep to the limits of endpoints under random faults, while many limits are set, raised,
+// lowered and lifted at once. RATES_SEEDS is the number of simulated runs of each small fleet.
 func TestRatesUnderRandomFaults(t *testing.T) {
 	seeds, err := strconv.ParseUint(cmp.Or(os.Getenv("RATES_SEEDS"), "15"), 10, 64)
 	require.NoError(t, err)
-	for n, courses := range map[int]uint64{3: seeds, 6: seeds, 8: seeds, 24: 3, 95: 1} {
-		for seed := range courses {
+	for n, runs := range map[int]uint64{3: seeds, 6: seeds, 8: seeds, 24: 3, 95: 1} {
+		for seed := range runs {
 			t.Run(fmt.Sprint(n, "/", seed), func(t *testing.T) {
 				t.Parallel()
 				f := newFleet(n, min(n/2, 5), seed)
@@ -344,16 +349,16 @@
 	}
 }
 
-// nameSome lets some endpoints name other limits, or all of them.
+// changeLimits sets random limits at some or all endpoints.
 func (f *fleet) changeLimits() {
 	for _, e := range f.endpoints[:1+rand.New(rand.NewPCG(f.rng.Uint64(), 3)).IntN(len(f.endpoints))] {
 		f.setLimit(e, []float64{0, 0.1, 0.5, 1, 3, 10, 40}[f.rng.IntN(7)])
 	}
 }
 
-// BenchmarkRates compares two ways of keeping a rate over a minute, by what an endpoint gets of what
-// it takes and by the most that it gets in a window: permits of arbiters, and an equal part for
-// each box.
+// BenchmarkRates compares two ways of enforcing a rate, permits of arbiters and an equal share for
+// each box, over a minute. It reports the fraction of the rate that is used, and the largest number
+// of requests in a window as a fraction of the limit.
 func BenchmarkRates(b *testing.B) {
 	for _, evenly := range []bool{false, true} {
 		for _, n := range []int{smallFleet, largeFleet} {
@@ -384,7 +389,7 @@
 	b.ReportMetric(float64(most)/(rate*rateWindow.Seconds()), "window")
 }
 
-// A box finds one of the two arbiters of a rate before the other as often as not.
+// A box gets at least two different arbiters for a rate, and none without a fleet.
 func TestRateArbiters(t *testing.T) {
 	f := newSettledFleet(largeFleet, 1)
 	for i := range 5 {
--- a/quota/retries_test.go
+++ b/quota/retries_test.go
@@ -10,12 +10,12 @@
 	"birchlink.dev/birchlink/budget"
 )
 
-// retryTerms are what all boxes together may repeat.
+// retryBudget bounds the retries of all boxes together.
 var retryBudget = budget.Terms{Ratio: 0.2, Slack: 52, Window: 10 * time.Second}
 
-// failAll sends requests a second for a time, all of which fail and are repeated as often as the
-// boxes' budgets allow. It returns the requests and the repeats.
-func (f *fleet) sendFailing(d time.Duration, perSecond float64) (requests, repeats int) {
+// sendFailing sends perSecond requests a second for d, all of which fail and are retried as often
+// as the budgets of the boxes allow. It returns the number of requests and of retries.
+func (f *fleet) sendFailing(d time.Duration, perSecond float64) (requests, retries int) {
 	for range int(d / tick) {
 		f.step()
 		for n := perSecond * tick.Seconds(); n > 0 && f.rng.Float64() < n; n-- {
@@ -27,21 +27,21 @@
 			f.nodes[i].retries.Request("s", f.now)
 			for range 3 {
 				if f.nodes[i].retries.Spend("s", f.now) {
-					repeats++
+					retries++
 				}
 			}
 		}
 	}
-	return requests, repeats
+	return requests, retries
 }
 
-// Each box divided the slack of the retries by the boxes that it heard at the moment, and took all of
-// it if it heard none. Nine boxes that are cut off from each other repeated 199 times in 10 s what
-// 76 may be, and 80 boxes 480 times what 84 may be.
-// They divide it by how many boxes there may be.
+// All boxes together stay within the retry budget when they are partitioned or restart. Each box
+// divides the slack by the largest possible number of boxes (MaxBoxes). Divided by the number of
+// reachable boxes, nine isolated boxes retry 199 times in 10 s where 76 retries are allowed, and 80
+// boxes 480 times where 84 are.
 func TestRetryBudgetPartitioned(t *testing.T) {
 	for _, n := range []int{9, largeFleet} {
-		for name, apart := range map[string]func(f *fleet){
+		for name, disrupt := range map[string]func(f *fleet){
 			"started": func(f *fleet) { f.restartAll(nil) },
 			"cut": func(f *fleet) {
 				for i, x := range f.nodes {
@@ -58,21 +58,21 @@
 				t.Parallel()
 				f := newFleet(n, 3, 1)
 				f.idle(10 * time.Second)
-				apart(f)
-				requests, repeats := f.sendFailing(10*time.Second, 15)
-				require.LessOrEqual(t, float64(repeats), retryBudget.Ratio*float64(requests)+retryBudget.Slack)
+				disrupt(f)
+				requests, retries := f.sendFailing(10*time.Second, 15)
+				require.LessOrEqual(t, float64(retries), retryBudget.Ratio*float64(requests)+retryBudget.Slack)
 			})
 		}
 	}
 }
 
-// While all boxes hear each other, they have what the terms leave them.
+// While all boxes reach each other, they can spend most of the retry budget.
 func TestRetryBudgetUsed(t *testing.T) {
 	f := newFleet(9, 3, 1)
 	f.idle(30 * time.Second)
 	for _, n := range f.nodes {
 		require.Equal(t, 9, n.MaxBoxes())
 	}
-	_, repeats := f.sendFailing(10*time.Second, 15)
-	require.Greater(t, repeats, 30)
+	_, retries := f.sendFailing(10*time.Second, 15)
+	require.Greater(t, retries, 30)
 }
