--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -68,8 +68,8 @@
 // that it represents. A box that represents any is a relay.
 func (b *box) setView(represented int, arbiters ...quota.Arbiter) {
 	boxes := map[string]int{"dc": 3}
-	v := quota.View{Arbiters: arbiters, Counted: represented, Boxes: boxes, Division: quota.Division{Version: 1, Boxes: boxes}}
-	b.Quota.Round(v, accounts, time.Now())
+	v := quota.View{Arbiters: arbiters, Represented: represented, Boxes: boxes, Division: quota.Division{Version: 1, Boxes: boxes}}
+	b.Quota.Update(v, accounts, time.Now())
 }
 
 func (b *box) unanswered() int64 {
--- a/quota/rates_test.go
+++ b/quota/rates_test.go
@@ -18,143 +18,149 @@
 	"birchlink.dev/birchlink/throttle"
 )
 
-// What boxes that have been told may send an endpoint in rateWindow, from rateSettles after a
-// limit was first named.
+// Bound on the requests that boxes which know an endpoint's limit may send it in rateWindow, from
+// rateSettleTime after the limit was first reported: rateTolerance times the limit plus
+// rateAllowance requests.
 const (
-	rateWindow  = 4 * time.Second
-	rateSettles = 3 * time.Second
-	rateOver    = 1.5
-	rateMore    = 5
+	rateWindow     = 4 * time.Second
+	rateSettleTime = 3 * time.Second
+	rateTolerance  = 1.5
+	rateAllowance  = 5
 )
 
-// limited is an endpoint that may name a limit.
-type limited struct {
+// limitedEndpoint is an endpoint that may report a rate limit.
+type limitedEndpoint struct {
 	endpoint.Endpoint
-	limit endpoint.Limit
-	past  []past
-	sent  []sent
-	turns int // requests that it got
+	limit      endpoint.Limit
+	pastLimits []pastLimit
+	sent       []sentRequest
+	received   int // number of requests received
 }
 
-// past is a limit that was named until a time; infinite for none.
-type past struct {
+// pastLimit is a limit in requests a second that was reported until a time; infinite for none.
+type pastLimit struct {
 	perSecond float64
 	until     time.Time
 }
 
-// most returns the highest limit that a window up to now may rest on.
-func (e *limited) most(now time.Time) float64 {
+// highestLimit returns the highest limit in requests a second that boxes may have used in the window
+// up to now.
+func (e *limitedEndpoint) highestLimit(now time.Time) float64 {
 	m := math.Inf(1)
 	if e.limit.Named {
 		m = e.limit.PerSecond
 	}
-	for _, p := range e.past {
-		if now.Sub(p.until) < rateSettles+rateWindow {
+	for _, p := range e.pastLimits {
+		if now.Sub(p.until) < rateSettleTime+rateWindow {
 			m = max(m, p.perSecond)
 		}
 	}
 	return m
 }
 
-// sent is one request that an endpoint got.
-type sent struct {
-	at   time.Time
-	box  int
-	knew bool // its box had been told of the limit
+// sentRequest is one request that an endpoint received.
+type sentRequest struct {
+	at       time.Time
+	box      int
+	notified bool // its box knew the limit
 }
 
-// equal is an equal part of each rate for a box, by the number of boxes that it hears.
-type equal struct {
+// equalShare implements throttle.Leases with an equal share of each rate, by the number of boxes
+// that a box can reach.
+type equalShare struct {
 	fleet *fleet
 	box   int
 	at    time.Time
 	given float64
 }
 
-func (e *equal) Given(_ string, now time.Time) (seconds, part float64) {
+func (e *equalShare) Given(_ string, now time.Time) (seconds, share float64) {
 	n := 0
 	for _, k := range e.fleet.view(e.box).Boxes {
 		n += k
 	}
-	part = 1 / math.Max(float64(n), 1)
+	share = 1 / math.Max(float64(n), 1)
 	if !e.at.IsZero() {
-		e.given += part * now.Sub(e.at).Seconds()
+		e.given += share * now.Sub(e.at).Seconds()
 	}
 	e.at = now
-	return e.given, part
+	return e.given, share
 }
 
 func (f *fleet) leases(i int) throttle.Leases {
-	if f.evenly {
-		return &equal{fleet: f, box: i}
+	if f.equalShares {
+		return &equalShare{fleet: f, box: i}
 	}
 	return f.nodes[i].Quota
 }
 
-// tellRates lets two boxes tell each other the rates that they know.
-func (f *fleet) tellRates(a, b *node) {
+// exchangeRates makes two boxes exchange the rate limits that they know.
+func (f *fleet) exchangeRates(a, b *node) {
 	p := a.available.Rates.Report(b.available.Rates.Sum(), f.now)
 	b.available.Rates.Merge(p.Words, f.now)
 	p = b.available.Rates.Report(a.available.Rates.Sum(), f.now)
 	a.available.Rates.Merge(p.Words, f.now)
 }
 
-// spread tells all boxes what one was told: through its relay, and that one's fellows.
-func (f *fleet) spread(i int, w stated.Statement) {
+// broadcastRate sends a rate limit that box i received to all boxes, through its relay and the other
+// relays.
+func (f *fleet) broadcastRate(i int, report stated.Statement) {
 	from := i
 	if !f.isRelay(i) {
 		from = f.nodes[i].relay
-		if from < 0 || !f.hears(i, from) {
+		if from < 0 || !f.reaches(i, from) {
 			return
 		}
-		f.nodes[from].available.Rates.Merge([]stated.Statement{w}, f.now)
+		f.nodes[from].available.Rates.Merge([]stated.Statement{report}, f.now)
 	}
 	relays := []int{from}
-	for dc := range f.cells {
+	for dc := range f.dataCentres {
 		for _, r := range f.relays(dc) {
-			if r != from && f.hears(from, r) {
-				f.nodes[r].available.Rates.Merge([]stated.Statement{w}, f.now)
+			if r != from && f.reaches(from, r) {
+				f.nodes[r].available.Rates.Merge([]stated.Statement{report}, f.now)
 				relays = append(relays, r)
 			}
 		}
 	}
 	for _, r := range relays {
 		for m := range f.nodes[r].members {
-			if f.hears(r, m) {
-				f.nodes[m].available.Rates.Merge([]stated.Statement{w}, f.now)
+			if f.reaches(r, m) {
+				f.nodes[m].available.Rates.Merge([]stated.Statement{report}, f.now)
 			}
 		}
 	}
 }
 
-// limitEach adds endpoints that name limits; zero or less is none.
-func (f *fleet) limitEach(perSecond ...float64) {
+// addEndpoints adds endpoints with the given limits in requests a second; zero or less means no
+// limit.
+func (f *fleet) addEndpoints(perSecond ...float64) {
 	for _, x := range perSecond {
-		e := &limited{Endpoint: endpoint.Endpoint{ID: fmt.Sprint("e", len(f.endpoints))}}
+		e := &limitedEndpoint{Endpoint: endpoint.Endpoint{ID: fmt.Sprint("e", len(f.endpoints))}}
 		f.endpoints = append(f.endpoints, e)
-		f.name(e, x)
+		f.setLimit(e, x)
 	}
 }
 
-// name lets an endpoint name another limit from now on.
-func (f *fleet) name(e *limited, perSecond float64) {
+// setLimit changes the limit that an endpoint reports.
+func (f *fleet) setLimit(e *limitedEndpoint, perSecond float64) {
 	old := math.Inf(1)
 	if e.limit.Named {
 		old = e.limit.PerSecond
 	}
-	e.past = append(e.past, past{old, f.now})
+	e.pastLimits = append(e.pastLimits, pastLimit{old, f.now})
 	e.limit = endpoint.Limit{Named: perSecond > 0, PerSecond: max(perSecond, 0)}
 }
 
-// permit asks for one request to an endpoint as a box does, and defers it if it may not be sent.
-func (f *fleet) permit(i int, e *limited) bool {
+// requestPermit asks for permission to send one request to an endpoint, as a box does, and skips the
+// endpoint for a while if it is refused.
+func (f *fleet) requestPermit(i int, e *limitedEndpoint) bool {
 	n := f.nodes[i]
 	l, age := n.available.Rates.Limit(e.ID, f.now)
 	if !l.Named {
 		return true
 	}
 	x := throttle.Question{Endpoint: e.ID, PerSecond: l.PerSecond, Age: age}
-	if f.evenly {
+	if f.equalShares {
 		a := n.throttle.Ask(x, f.now)
 		if !a.OK {
 			n.available.SkipFor(e.ID, l.PerSecond, a.After, f.now)
@@ -163,12 +169,12 @@
 	}
 	soonest := throttle.Answer{After: time.Second}
 	for _, a := range n.Arbiters(e.ID, f.now) {
-		j := index(a)
+		j := boxIndex(a)
 		f.calls++
-		if i != j && !f.hears(i, j) {
+		if i != j && !f.reaches(i, j) {
 			continue
 		}
-		v := f.answerFor(f.nodes[j], x)
+		v := f.answerPermit(f.nodes[j], x)
 		if v.OK {
 			return true
 		}
@@ -180,8 +186,8 @@
 	return false
 }
 
-// answerFor is what an arbiter answers.
-func (f *fleet) answerFor(n *node, x throttle.Question) throttle.Answer {
+// answerPermit returns the answer of an arbiter.
+func (f *fleet) answerPermit(n *node, x throttle.Question) throttle.Answer {
 	n.available.Rates.Merge([]stated.Statement{{Incarnation: x.Endpoint, Named: true, PerSecond: x.PerSecond, Age: x.Age}}, f.now)
 	l, _ := n.available.Rates.Limit(x.Endpoint, f.now)
 	if !l.Named {
@@ -191,29 +197,29 @@
 	return n.throttle.Ask(x, f.now)
 }
 
-// request sends a box's request to the first endpoint that takes it, in an order at random: those
-// with a limit first, which have the least to do.
-func (f *fleet) request(i int) {
-	f.asked++
+// sendRequest sends a request of a box to the first endpoint, in random order, that its rate limit
+// permits.
+func (f *fleet) sendRequest(i int) {
+	f.attempted++
 	n := f.nodes[i]
 	for _, k := range f.rng.Perm(len(f.endpoints)) {
 		e := f.endpoints[k]
-		if n.available.UnavailableFor(e.ID, f.now) > 0 || !f.permit(i, e) {
+		if n.available.UnavailableFor(e.ID, f.now) > 0 || !f.requestPermit(i, e) {
 			continue
 		}
-		f.done++
-		e.turns++
-		knew := n.available.IsRateLimited(e.ID, f.now)
-		e.sent = append(e.sent, sent{f.now, i, knew})
-		if w, news := n.available.Rates.Observe(e.ID, e.limit, f.now); news {
-			f.spread(i, w)
+		f.admitted++
+		e.received++
+		notified := n.available.IsRateLimited(e.ID, f.now)
+		e.sent = append(e.sent, sentRequest{f.now, i, notified})
+		if w, changed := n.available.Rates.Observe(e.ID, e.limit, f.now); changed {
+			f.broadcastRate(i, w)
 		}
 		return
 	}
 }
 
-// ask sends requests a second at random boxes for a time, and looks after each step.
-func (f *fleet) ask(d time.Duration, perSecond float64, look func()) {
+// sendRequests sends perSecond requests a second from random boxes for d and calls check at each step.
+func (f *fleet) sendRequests(d time.Duration, perSecond float64, check func()) {
 	for range int(d / tick) {
 		f.step()
 		for _, e := range f.endpoints {
@@ -221,146 +227,145 @@
 				e.sent = e.sent[1:]
 			}
 		}
-		look()
+		check()
 		for n := perSecond * tick.Seconds(); n > 0 && f.rng.Float64() < n; n-- {
 			if i := f.rng.IntN(len(f.nodes)); !f.nodes[i].dead && !f.nodes[i].frozen {
-				f.request(i)
+				f.sendRequest(i)
 			}
 		}
 	}
 }
 
-// kept returns what holds that no endpoint got more in the last window than its limit allows from
-// boxes that had been told, whatever happens to them.
-func (f *fleet) kept(t *testing.T) func() {
+// rateCheck returns a check that no endpoint received more requests in the last window than its
+// limit allows from boxes that knew the limit.
+func (f *fleet) rateCheck(t *testing.T) func() {
 	return func() {
 		t.Helper()
 		for _, e := range f.endpoints {
 			n := 0
 			for _, s := range e.sent {
-				if s.knew {
+				if s.notified {
 					n++
 				}
 			}
-			require.LessOrEqual(t, float64(n), rateOver*rateWindow.Seconds()*e.most(f.now)+rateMore, "%s with %v at %v", e.ID, e.limit, f.now)
+			require.LessOrEqual(t, float64(n), rateTolerance*rateWindow.Seconds()*e.highestLimit(f.now)+rateAllowance, "%s with %v at %v", e.ID, e.limit, f.now)
 		}
 	}
 }
 
-// An endpoint that takes a rate gets about that, from few boxes and from many, and nobody is
-// refused while others have room.
+// A limited endpoint receives about its rate, from a small and from a large fleet, and no request is
+// refused while other endpoints have capacity.
 func TestRateIsUsed(t *testing.T) {
-	for _, n := range []int{few, many} {
+	for _, n := range []int{smallFleet, largeFleet} {
 		for _, rate := range []float64{0.3, 1, 10} {
 			t.Run(fmt.Sprint(n, "/", rate), func(t *testing.T) {
 				t.Parallel()
-				f := settled(n, 1)
-				f.limitEach(rate, 0, 0)
-				f.ask(10*time.Second, 60, f.kept(t))
-				f.endpoints[0].turns = 0
-				f.reset()
+				f := newSettledFleet(n, 1)
+				f.addEndpoints(rate, 0, 0)
+				f.sendRequests(10*time.Second, 60, f.rateCheck(t))
+				f.endpoints[0].received = 0
+				f.resetCounts()
 				const d = 60 * time.Second
-				f.ask(d, 60, f.kept(t))
-				require.Equal(t, f.asked, f.done)
-				require.InEpsilon(t, rate*d.Seconds(), f.endpoints[0].turns, 0.2)
+				f.sendRequests(d, 60, f.rateCheck(t))
+				require.Equal(t, f.attempted, f.admitted)
+				require.InEpsilon(t, rate*d.Seconds(), f.endpoints[0].received, 0.2)
 			})
 		}
 	}
 }
 
-// The whole fleet keeps to rates of which each box alone would have a thousandth, and uses them.
-func TestRatesOfTheLargestFleet(t *testing.T) {
+// A fleet in which an equal share is a thousandth of each rate keeps to the rates and uses them.
+func TestRatesOfLargestFleet(t *testing.T) {
 	t.Parallel()
 	f := newFleet(985, 5, 1)
 	f.idle(6 * time.Second)
 	rates := []float64{0.5, 1, 10, 0, 0, 0, 0, 0, 0, 0}
-	f.limitEach(rates...)
-	f.ask(5*time.Second, 520, f.kept(t))
-	f.reset()
+	f.addEndpoints(rates...)
+	f.sendRequests(5*time.Second, 520, f.rateCheck(t))
+	f.resetCounts()
 	for _, e := range f.endpoints {
-		e.turns = 0
+		e.received = 0
 	}
 	const d = 8 * time.Second
-	f.ask(d, 520, f.kept(t))
-	require.Equal(t, f.asked, f.done)
+	f.sendRequests(d, 520, f.rateCheck(t))
+	require.Equal(t, f.attempted, f.admitted)
 	for i, e := range f.endpoints[:3] {
-		require.InDelta(t, rates[i]*d.Seconds(), e.turns, 2)
+		require.InDelta(t, rates[i]*d.Seconds(), e.received, 2)
 	}
 }
 
-// Where all endpoints name limits, boxes together send what these take and no less.
-func TestRatesOfAll(t *testing.T) {
+// If all endpoints have limits, the boxes together use them fully.
+func TestRatesOfAllEndpoints(t *testing.T) {
 	t.Parallel()
-	for _, n := range []int{few, many} {
-		f := settled(n, 1)
-		f.limitEach(10, 10, 10)
-		f.ask(10*time.Second, 60, f.kept(t))
-		f.reset()
-		f.ask(20*time.Second, 60, f.kept(t))
-		require.InEpsilon(t, 600, f.done, 0.1, "%d boxes", n)
-		f.reset()
-		f.ask(20*time.Second, 20, f.kept(t))
-		require.GreaterOrEqual(t, f.served(), 0.95, "%d boxes", n)
+	for _, n := range []int{smallFleet, largeFleet} {
+		f := newSettledFleet(n, 1)
+		f.addEndpoints(10, 10, 10)
+		f.sendRequests(10*time.Second, 60, f.rateCheck(t))
+		f.resetCounts()
+		f.sendRequests(20*time.Second, 60, f.rateCheck(t))
+		require.InEpsilon(t, 600, f.admitted, 0.1, "%d boxes", n)
+		f.resetCounts()
+		f.sendRequests(20*time.Second, 20, f.rateCheck(t))
+		require.GreaterOrEqual(t, f.admittedShare(), 0.95, "%d boxes", n)
 	}
 }
 
-// A limit that an endpoint names no more is gone within seconds, also a low one.
-func TestRateEnds(t *testing.T) {
+// A limit that an endpoint stops reporting is dropped within seconds, even a low one.
+func TestLiftedLimit(t *testing.T) {
 	for _, rate := range []float64{0.01, 1} {
-		f := settled(few, 1)
-		f.limitEach(rate, 0)
-		f.ask(20*time.Second, 60, f.kept(t))
-		f.name(f.endpoints[0], 0)
-		f.ask(12*time.Second, 60, f.kept(t))
-		f.endpoints[0].turns = 0
-		f.ask(2*time.Second, 60, f.kept(t))
-		require.Greater(t, f.endpoints[0].turns, 30, "%v a second", rate)
+		f := newSettledFleet(smallFleet, 1)
+		f.addEndpoints(rate, 0)
+		f.sendRequests(20*time.Second, 60, f.rateCheck(t))
+		f.setLimit(f.endpoints[0], 0)
+		f.sendRequests(12*time.Second, 60, f.rateCheck(t))
+		f.endpoints[0].received = 0
+		f.sendRequests(2*time.Second, 60, f.rateCheck(t))
+		require.Greater(t, f.endpoints[0].received, 30, "%v a second", rate)
 	}
 }
 
-// TestAnyRates holds endpoints to the rates that they take, whatever happens to the boxes, and
-// while limits are named by many at once, raised, lowered and ended. RATES_SEEDS asks for that many
-// courses of each small fleet.
-func TestAnyRates(t *testing.T) {
+// Boxes keep to the limits of endpoints under random faults, while many limits are set, raised,
+// lowered and lifted at once. RATES_SEEDS is the number of simulated runs of each small fleet.
+func TestRatesUnderRandomFaults(t *testing.T) {
 	seeds, err := strconv.ParseUint(cmp.Or(os.Getenv("RATES_SEEDS"), "15"), 10, 64)
 	require.NoError(t, err)
-	for n, courses := range map[int]uint64{3: seeds, 6: seeds, 8: seeds, 24: 3, 95: 1} {
-		for seed := range courses {
+	for n, runs := range map[int]uint64{3: seeds, 6: seeds, 8: seeds, 24: 3, 95: 1} {
+		for seed := range runs {
 			t.Run(fmt.Sprint(n, "/", seed), func(t *testing.T) {
 				t.Parallel()
 				f := newFleet(n, min(n/2, 5), seed)
 				f.idle(10 * time.Second)
-				f.limitEach(0, 0, 0, 0, 0)
+				f.addEndpoints(0, 0, 0, 0, 0)
 				for i := range 12 {
 					if i%4 == 0 {
-						f.nameSome()
+						f.changeLimits()
 					}
-					f.trouble(anyTrouble + 1)
-					f.ask(time.Duration(1+f.rng.IntN(8))*time.Second, []float64{5, 40, 200}[f.rng.IntN(3)], f.kept(t))
-					f.mend()
+					f.injectFault(faultKinds + 1)
+					f.sendRequests(time.Duration(1+f.rng.IntN(8))*time.Second, []float64{5, 40, 200}[f.rng.IntN(3)], f.rateCheck(t))
+					f.repair()
 				}
 			})
 		}
 	}
 }
 
-// nameSome lets some endpoints name other limits, or all of them.
-func (f *fleet) nameSome() {
+// changeLimits sets random limits at some or all endpoints.
+func (f *fleet) changeLimits() {
 	for _, e := range f.endpoints[:1+rand.New(rand.NewPCG(f.rng.Uint64(), 3)).IntN(len(f.endpoints))] {
-		f.name(e, []float64{0, 0.1, 0.5, 1, 3, 10, 40}[f.rng.IntN(7)])
+		f.setLimit(e, []float64{0, 0.1, 0.5, 1, 3, 10, 40}[f.rng.IntN(7)])
 	}
 }
 
-// BenchmarkRates compares two ways of keeping a rate over a minute, by what an endpoint gets of what
-// it takes and by the most that it gets in a window: permits of arbiters, and an equal part for
-// each box.
+// BenchmarkRates compares two ways of enforcing a rate, permits of arbiters and an equal share for
+// each box, over a minute. It reports the fraction of the rate that is used, and the largest number
+// of requests in a window as a fraction of the limit.
 func BenchmarkRates(b *testing.B) {
 	for _, evenly := range []bool{false, true} {
-		for _, n := range []int{few, many} {
+		for _, n := range []int{smallFleet, largeFleet} {
 			for _, rate := range []float64{0.3, 1, 10} {
 				b.Run(fmt.Sprintf("evenly=%v/boxes=%d/rate=%v", evenly, n, rate), func(b *testing.B) {
 					for b.Loop() {
-						compareRates(b, n, rate, evenly)
+						measureRates(b, n, rate, evenly)
 					}
 				})
 			}
@@ -368,25 +373,25 @@
 	}
 }
 
-func compareRates(b *testing.B, n int, rate float64, evenly bool) {
+func measureRates(b *testing.B, n int, rate float64, evenly bool) {
 	b.Helper()
 	f := newFleet(n, min(n/2, 5), 1)
-	f.evenly = evenly
+	f.equalShares = evenly
 	f.restartAll(nil)
 	f.idle(10 * time.Second)
-	f.limitEach(rate, 0, 0)
+	f.addEndpoints(rate, 0, 0)
 	e := f.endpoints[0]
-	f.ask(10*time.Second, 60, func() {})
-	e.turns = 0
+	f.sendRequests(10*time.Second, 60, func() {})
+	e.received = 0
 	most := 0
-	f.ask(time.Minute, 60, func() { most = max(most, len(e.sent)) })
-	b.ReportMetric(float64(e.turns)/(rate*time.Minute.Seconds()), "used")
+	f.sendRequests(time.Minute, 60, func() { most = max(most, len(e.sent)) })
+	b.ReportMetric(float64(e.received)/(rate*time.Minute.Seconds()), "used")
 	b.ReportMetric(float64(most)/(rate*rateWindow.Seconds()), "window")
 }
 
-// A box finds one of the two arbiters of a rate before the other as often as not.
-func TestArbitersOfRates(t *testing.T) {
-	f := settled(many, 1)
+// A box gets at least two different arbiters for a rate, and none without a fleet.
+func TestRateArbiters(t *testing.T) {
+	f := newSettledFleet(largeFleet, 1)
 	for i := range 5 {
 		as := f.nodes[40].Arbiters(fmt.Sprint("e", i), f.now)
 		require.GreaterOrEqual(t, len(as), 2)
