--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -146,7 +146,7 @@
 		ConfigKey: platform.ConfigKey, OperatorPrefix: platform.OperatorPrefix, EndpointsPrefix: platform.ServersPrefix,
 		Document: platform.Document, Endpoint: platform.Endpoint, Order: platform.Order,
 	}, st, log)
-	p.known.OnOrders = p.gossip.Ordered
+	p.known.OnOrders = p.gossip.BroadcastOrders
 	p.gossip.Rollouts.Random = rand.Float64
 	p.known.Told = true
 	p.known.Roster.Box, p.known.Roster.DataCentre = s.Box, s.DataCentre
@@ -155,7 +155,7 @@
 	p.budget.SetBoxes(p.quota.MostBoxes())
 	q := p.gossip.Quarantine
 	q.Log = log
-	p.gossip.OnEnded = p.ended
+	p.gossip.OnCrash = p.ended
 	p.gossip.Rates = &p.book.Availability.Rates
 	p.known.Roster.OnLeave(func(e endpoint.Endpoint) {
 		if !e.Draining {
@@ -174,9 +174,9 @@
 	f := &forward.Forwarder{
 		DataCentre: s.DataCentre, Roster: &p.known.Roster, Book: p.book, Budget: p.budget, Meter: p.meter, Quarantine: p.gossip.Quarantine, Rollouts: p.gossip.Rollouts,
 		Pool: &exchange.Pool{DialLimit: dialEndpoint}, Codec: platform.Wire{}, Began: p.began, Metrics: m, Log: log,
-		Sent: p.sent, Ended: func(e endpoint.Endpoint) { p.gossip.Ended(e.Incarnation()) },
-		Leaves: func(e endpoint.Endpoint) { p.gossip.Leaves(e.Incarnation()) },
-		Stated: p.gossip.Stated, Permit: limits.Permit,
+		Sent: p.sent, Ended: func(e endpoint.Endpoint) { p.gossip.BroadcastCrash(e.Incarnation()) },
+		Leaves: func(e endpoint.Endpoint) { p.gossip.BroadcastLeaving(e.Incarnation()) },
+		Stated: p.gossip.BroadcastRate, Permit: limits.Permit,
 	}
 	p.known.Roster.OnReplaced(f.Replaced)
 	p.known.OnForeign = func(r endpoint.Reason) {
@@ -221,7 +221,7 @@
 // duties returns the services of the calls that one box makes for all.
 func (p *entryParts) duties(log zerolog.Logger) []kernel.Service {
 	s := p.settings
-	e := &election.Election{Store: p.store, Key: dutyKey, Box: s.Box, Term: s.Lease, Eligible: p.gossip.Relay, Log: log}
+	e := &election.Election{Store: p.store, Key: dutyKey, Box: s.Box, Term: s.Lease, Eligible: p.gossip.IsRelay, Log: log}
 	ss := []kernel.Service{e, p.holder(e, log)}
 	if !s.Usage && !s.Orders {
 		return ss
@@ -253,7 +253,7 @@
 // holder returns the service that decides on roll-outs.
 func (p *entryParts) holder(e *election.Election, log zerolog.Logger) *rollout.Controller {
 	p.rollouts = &rollout.Controller{
-		Gate: p.gossip.Rollouts, Store: p.store, Key: rolloutKey, Status: platform.Status, Fence: e.Act, Broadcast: p.gossip.Decided,
+		Gate: p.gossip.Rollouts, Store: p.store, Key: rolloutKey, Status: platform.Status, Fence: e.Act, Broadcast: p.gossip.BroadcastProgress,
 		RemoteEvidence: p.seen, Now: p.clock.Now, MaxShare: p.settings.RolloutShare, Log: log,
 	}
 	return p.rollouts
--- a/daemon/tell.go
+++ b/daemon/tell.go
@@ -20,8 +20,8 @@
 func (p *entryParts) tell() {
 	g, s := p.gossip, p.settings
 	g.Box, g.DataCentre, g.Address, g.Prefix, g.Seeds, g.Store = s.Box, s.DataCentre, s.Peers, relaysPrefix, s.Seeds, p.store
-	g.First, g.LinkMbps, g.WorksWith = s.First, s.LinkMbps, p.known.Roster.WorksWith
-	g.Own = func() gossip.Status {
+	g.FirstStart, g.LinkMbps, g.UsedEndpoints = s.First, s.LinkMbps, p.known.Roster.WorksWith
+	g.LocalStatus = func() gossip.Status {
 		now := boottime.Now()
 		v, _ := p.known.Raw()
 		d := map[string]map[string]demand.Stats{}
@@ -35,11 +35,11 @@
 			Usage: []tally.Report{p.tally.Recent(s.Box+"."+p.incarnation, p.tally.WindowAt(p.clock.At(now))-toldWindows)},
 		}
 	}
-	g.OnChange, g.Quota, g.Clock = p.heard, p.quota, p.clock
-	g.BeforeKey, g.Expect = beforeKey, p.quota.Expect
-	g.Recall = func(s map[string]estimate.Stats) { p.book.Restore(s, boottime.Now()) }
-	g.Speeds = func() map[string]estimate.Stats { return p.book.Stats(boottime.Now()) }
-	g.Before = func(boxes int) quota.Before {
+	g.OnRound, g.Quota, g.Clock = p.heard, p.quota, p.clock
+	g.SnapshotKey, g.RestoreQuota = beforeKey, p.quota.Expect
+	g.RestoreEndpointStats = func(s map[string]estimate.Stats) { p.book.Restore(s, boottime.Now()) }
+	g.EndpointStats = func() map[string]estimate.Stats { return p.book.Stats(boottime.Now()) }
+	g.Snapshot = func(boxes int) quota.Before {
 		t := p.known.Table()
 		if t == nil {
 			return quota.Before{Boxes: boxes}
@@ -64,7 +64,7 @@
 			p.reporter.Hear(u)
 		}
 	}
-	if p.gossip.Alone() {
+	if p.gossip.IsIsolated() {
 		p.book.SetRemoteLoad(nil, others.Boxes, now)
 		p.book.SetRemoteFailures(nil, now)
 		return
@@ -151,4 +151,4 @@
 
 // writes reports whether this box writes its counts itself: as a relay, or while
 // no relay takes them.
-func (p *entryParts) writes() bool { return p.gossip.Relay() || p.known.Follows() }
+func (p *entryParts) writes() bool { return p.gossip.IsRelay() || p.known.Follows() }
--- a/gossip/before.go
+++ b/gossip/before.go
@@ -13,149 +13,151 @@
 	"birchlink.dev/birchlink/store"
 )
 
-// What processes that start all at once have to know of the time before is read for
-// readFor after the start, until it is known, and longer while nobody tells how many
-// boxes there are. It is written at most each writeEvery,
-// when an account is or was short, at once when other contents are refused, or when the
-// number of boxes has differed from what stands by more than a part of it for countAfter: boxes that restart in turn
-// cause no writes. What is known of the endpoints' speeds is written each speedsEvery. A process that has started writes nothing until heardAfter, when
-// it has heard the others.
+// Times of the snapshot in the store, which processes read when all start at once. A process
+// tries to read it until snapshotReadTimeout after its start, and longer while it doesn't know how
+// many boxes there are. It writes nothing before snapshotWriteDelay, when it has received the
+// reports of the others.
+//
+// The snapshot is written immediately when the set of refused contents changes, or when the number
+// of boxes has differed from the stored one by more than the ratio minBoxCountChange for
+// boxCountChangeDelay; rolling restarts therefore cause no writes. While an account is short, or
+// was, it is written at most once per snapshotWriteInterval. Endpoint statistics are written once
+// per statsWriteInterval.
 const (
-	readFor     = 3 * time.Second
-	heardAfter  = 1500 * time.Millisecond
-	writeEvery  = time.Second
-	countChange = 0.1
-	countAfter  = 5 * time.Second
-	speedsEvery = 10 * time.Second
+	snapshotReadTimeout   = 3 * time.Second
+	snapshotWriteDelay    = 1500 * time.Millisecond
+	snapshotWriteInterval = time.Second
+	minBoxCountChange     = 0.1
+	boxCountChangeDelay   = 5 * time.Second
+	statsWriteInterval    = 10 * time.Second
 )
 
-// record is what is written: what the quotas need to know, how fast the endpoints of each
-// service were, and which contents are refused since endpoints end under them.
-type record struct {
+// snapshot is the stored value: the state of the quotas, the statistics of the endpoints of each
+// service, and the contents that are refused because endpoints crash under them.
+type snapshot struct {
 	quota.Before
 	Speeds   map[string]estimate.Stats
 	Contents []quarantine.Suspect
 }
 
-// before is what this box knows of the record in the store.
-type before struct {
-	began   time.Time
-	read    bool
-	stands  quota.Before
-	at      uint64 // the revision of what stands; zero for none
-	wrote   time.Time
-	differs time.Time // since when another number is true; zero while it is not
-	refused uint64    // the sum of the refused contents that stand
+// snapshotState is what this box knows of the snapshot in the store.
+type snapshotState struct {
+	startedAt         time.Time
+	read              bool
+	stored            quota.Before
+	revision          uint64 // of stored; zero for none
+	writtenAt         time.Time
+	countDiffersSince time.Time // zero while the number of boxes agrees with stored
+	refusedSum        uint64    // checksum of the refused contents in stored
 }
 
-// readBefore tells a process that has just started what was before.
-func (g *Gossip) readBefore(c context.Context) {
-	s := &g.before
-	if s.began.IsZero() {
-		s.began = boottime.Now()
+// readSnapshot restores the snapshot after a process start.
+func (g *Gossip) readSnapshot(c context.Context) {
+	s := &g.snapshot
+	if s.startedAt.IsZero() {
+		s.startedAt = boottime.Now()
 	}
-	late := boottime.Since(s.began) > readFor
-	if g.First && !late {
+	late := boottime.Since(s.startedAt) > snapshotReadTimeout
+	if g.FirstStart && !late {
 		s.read = true
-		g.Expect(quota.Before{})
+		g.RestoreQuota(quota.Before{})
 		return
 	}
-	if s.read || late && (g.session.Lost() || g.Quota.Division().Version > 0 && !g.firstPlace()) {
+	if s.read || late && (g.session.Lost() || g.Quota.Division().Version > 0 && !g.holdsFirstSlot()) {
 		return
 	}
-	i, err := g.Store.Get(c, g.BeforeKey)
+	i, err := g.Store.Get(c, g.SnapshotKey)
 	if err != nil {
 		return
 	}
-	s.read, s.at = true, i.Revision
+	s.read, s.revision = true, i.Revision
 	if i.Revision == 0 {
-		g.Expect(quota.Before{})
+		g.RestoreQuota(quota.Before{})
 		return
 	}
-	var p record
+	var p snapshot
 	if err := json.Unmarshal(i.Value, &p); err != nil {
-		g.log.Error().Str("event", "before").Str("key", i.Key).Err(err).Msg("not read; boxes are counted as they are heard")
+		g.log.Error().Str("event", "before").Str("key", i.Key).Err(err).Msg("not read; counting boxes as they report")
 		return
 	}
 	p.Division.Version = i.Revision
-	s.stands, s.refused = p.Before, quarantine.Sum(p.Contents)
-	g.noteBefore(p.Before, "known from the store")
+	s.stored, s.refusedSum = p.Before, quarantine.Sum(p.Contents)
+	g.logSnapshot(p.Before, "read from the store")
 	g.Quarantine.Merge(p.Contents, boottime.Now())
 	if late {
 		g.Quota.Adopt(p.Division, boottime.Now())
 		return
 	}
-	g.Expect(p.Before)
+	g.RestoreQuota(p.Before)
 	for n, v := range p.Speeds {
 		p.Speeds[n] = v.Scaled(1 / float64(max(p.Boxes, 1)))
 	}
-	g.Recall(p.Speeds)
+	g.RestoreEndpointStats(p.Speeds)
 }
 
-// writeBefore writes what has changed. One relay does, the first in the order of
-// their places.
-func (g *Gossip) writeBefore(c context.Context, others int) {
-	s := &g.before
+// writeSnapshot writes the snapshot if it has changed. Only the relay with the first slot writes.
+func (g *Gossip) writeSnapshot(c context.Context, others int) {
+	s := &g.snapshot
 	now := boottime.Now()
-	if others == 0 || now.Sub(s.began) < heardAfter || !s.read || !g.firstPlace() {
+	if others == 0 || now.Sub(s.startedAt) < snapshotWriteDelay || !s.read || !g.holdsFirstSlot() {
 		return
 	}
-	p := g.Before(others + 1)
+	p := g.Snapshot(others + 1)
 	refused := g.Quarantine.Refused(now)
 	sum := quarantine.Sum(refused)
-	if sum == s.refused && !s.counts(p, g.session.Silent() > stale, now) {
-		same := maps.Equal(p.Short, s.stands.Short) && now.Sub(s.wrote) < speedsEvery
-		if same || now.Sub(s.wrote) < writeEvery {
+	if sum == s.refusedSum && !s.boxCountChanged(p, g.session.Silent() > maxStoreSilence, now) {
+		same := maps.Equal(p.Short, s.stored.Short) && now.Sub(s.writtenAt) < statsWriteInterval
+		if same || now.Sub(s.writtenAt) < snapshotWriteInterval {
 			return
 		}
-		p.Boxes = max(s.stands.Boxes, p.Boxes)
+		p.Boxes = max(s.stored.Boxes, p.Boxes)
 	}
-	s.wrote = now
+	s.writtenAt = now
 	var at uint64
-	b, err := json.Marshal(record{p, g.Speeds(), refused})
+	b, err := json.Marshal(snapshot{p, g.EndpointStats(), refused})
 	if err == nil {
 		at, err = g.Store.Commit(c, store.Change{
-			If:  []store.Condition{{Key: g.BeforeKey, Revision: s.at}},
-			Put: []store.Put{{Key: g.BeforeKey, Value: b}},
+			If:  []store.Condition{{Key: g.SnapshotKey, Revision: s.revision}},
+			Put: []store.Put{{Key: g.SnapshotKey, Value: b}},
 		})
 	}
 	if err != nil {
-		s.read = false // another may have written, or this change taken effect
-		g.log.Info().Str("event", "before").Int("boxes", p.Boxes).Err(err).Msg("not written; tried again")
+		s.read = false // another box may have written, or this write may have taken effect
+		g.log.Info().Str("event", "before").Int("boxes", p.Boxes).Err(err).Msg("not written; retrying")
 		return
 	}
-	p.Division.Version, s.at = at, at
+	p.Division.Version, s.revision = at, at
 	g.Quota.Adopt(p.Division, now)
-	g.noteBefore(p, "written")
-	s.stands, s.refused, s.differs = p, sum, time.Time{}
+	g.logSnapshot(p, "written")
+	s.stored, s.refusedSum, s.countDiffersSince = p, sum, time.Time{}
 }
 
-// noteBefore logs what the record says: at most a line each writeEvery.
-func (g *Gossip) noteBefore(p quota.Before, what string) {
+// logSnapshot logs the contents of the snapshot, at most once per snapshotWriteInterval.
+func (g *Gossip) logSnapshot(p quota.Before, message string) {
 	g.log.Info().Str("event", "before").Int("boxes", p.Boxes).Interface("short", p.Short).Uint64("revision", p.Division.Version).
-		Interface("counts", p.Division.Boxes).Interface("weights", p.Division.Weights).Msg(what)
+		Interface("counts", p.Division.Boxes).Interface("weights", p.Division.Weights).Msg(message)
 }
 
-// counts reports whether the number of boxes has been another for long enough. While
-// the store is away this box may be the one that is cut off, and hear few for that.
-func (s *before) counts(p quota.Before, away bool, now time.Time) bool {
-	d := float64(p.Boxes - s.stands.Boxes)
-	if away || max(d, -d) <= countChange*float64(s.stands.Boxes) {
-		s.differs = time.Time{}
+// boxCountChanged reports whether the number of boxes has differed for long enough. It ignores
+// changes while the store is unreachable: this box may be partitioned and reach few others.
+func (s *snapshotState) boxCountChanged(p quota.Before, storeDown bool, now time.Time) bool {
+	d := float64(p.Boxes - s.stored.Boxes)
+	if storeDown || max(d, -d) <= minBoxCountChange*float64(s.stored.Boxes) {
+		s.countDiffersSince = time.Time{}
 		return false
 	}
-	if s.differs.IsZero() {
-		s.differs = now
+	if s.countDiffersSince.IsZero() {
+		s.countDiffersSince = now
 	}
-	return now.Sub(s.differs) >= countAfter
+	return now.Sub(s.countDiffersSince) >= boxCountChangeDelay
 }
 
-// firstPlace reports whether this box has the first of all relays' places.
-func (g *Gossip) firstPlace() bool {
+// holdsFirstSlot reports whether this box holds the relay slot with the lowest key.
+func (g *Gossip) holdsFirstSlot() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	first := seat{}
-	for k, s := range g.seats {
+	first := relaySlot{}
+	for k, s := range g.slots {
 		if first.key == "" || k < first.key {
 			first = s
 		}
--- a/gossip/tell_test.go
+++ b/gossip/broadcast_test.go
@@ -12,20 +12,20 @@
 )
 
 // encoded counts how often it is encoded.
-type encoded struct{ times *int }
+type countingEncoder struct{ times *int }
 
-func (e encoded) EncodeMsgpack(n *msgpack.Encoder) error {
+func (e countingEncoder) EncodeMsgpack(n *msgpack.Encoder) error {
 	*e.times++
 	return n.EncodeInt(1)
 }
 
 // A change that a relay tells a hundred members was encoded for each of them, ten times a second
 // while endpoints are replaced. It is encoded once for all.
-func TestToldToAllIsEncodedOnce(t *testing.T) {
+func TestBroadcastEncodesOnce(t *testing.T) {
 	g := New(zerolog.Nop())
 	g.node = peer.NewNode("127.0.0.1:0", "127.0.0.1:0", "secret", metrics.NewRegistry())
 	times := 0
-	g.tellAll(t.Context(), []string{"127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"}, "none", encoded{&times})
+	g.broadcast(t.Context(), []string{"127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"}, "none", countingEncoder{&times})
 	g.group.Wait()
 	require.Equal(t, 1, times)
 }
--- a/gossip/enlist.go
+++ b/gossip/enlist.go
@@ -12,99 +12,103 @@
 	"birchlink.dev/birchlink/store"
 )
 
-// relays is how many boxes of a data centre watch the store: with two, one may
-// be lost without a moment in which the others are told nothing.
-const relays = 2
+// relaysPerDataCentre is the number of relays in each data centre. With two, the other boxes
+// still receive changes of the store while one relay is lost.
+const relaysPerDataCentre = 2
 
-// enlistPause is the time between two looks for a free place as relay.
-const enlistPause = 700 * time.Millisecond
+// slotLookupInterval is the time between two lookups of the relay slots.
+const slotLookupInterval = 700 * time.Millisecond
 
-// settle is how long after an outage of the store places that lapsed in it are left to the
-// boxes that had them. An outage longer than their leases ends them all; if the first box
-// that looks took each, all that relays hold and know would have to move at the moment
-// when the store is back: of 2,434 and 2,745 requests in the six seconds after 8 s of
-// outage 359 and 648 were refused, for limits whose parts had been leased to the relays
-// before (70 boxes, two courses), and none with it.
-const settle = 2 * time.Second
+// lapsedSlotGrace is how long slots that lapsed during an outage of the store are reserved for
+// their holders after the outage. An outage longer than the leases ends all of them. If the first
+// box to look claimed each slot, all state and all leases of the relays would move at the moment
+// when the store returns: without the grace period, 359 of 2,434 and 648 of 2,745 requests in the
+// six seconds after an outage of 8 s were refused on 70 boxes, because the shares of their limits
+// were still leased to the former relays; with it, none were.
+const lapsedSlotGrace = 2 * time.Second
 
-// A free place of a relay is left to boxes with wider links for the time that courtesyBits take on
-// the box's own link, maxCourtesy at most: a relay sends all records to each of its members when
-// they have lost theirs. A box looks for the relays no later than firstLook after its start.
+// A box waits before it claims a free slot, so that boxes with faster links claim it first: a relay
+// sends all records to each of its members when they have lost theirs. The delay is the time that
+// claimDelayBits take on the box's own link, up to maxClaimDelay. The first lookup of the slots is
+// at most maxFirstLookupDelay after the start.
 const (
-	courtesyBits = 10e6
-	maxCourtesy  = time.Second
-	firstLook    = 300 * time.Millisecond
+	claimDelayBits      = 10e6
+	maxClaimDelay       = time.Second
+	maxFirstLookupDelay = 300 * time.Millisecond
 )
 
-// alone is the age from which on a box that has found no relay watches the store itself: each of
-// all boxes that start at once would read everything otherwise.
-const alone = 1500 * time.Millisecond
+// startupGrace is the time after the start in which a box that has found no relay doesn't watch the
+// store itself. Without it, all boxes would read everything when they start at once.
+const startupGrace = 1500 * time.Millisecond
 
-// seat is one place for a relay: its key, who has it, and where that box is.
-type seat struct {
+// relaySlot is one slot for a relay: its key in the store, and the box that holds it.
+type relaySlot struct {
 	dataCentre, key, box, address string
 
-	life     string // of the process that took it
-	revision uint64
-	lapsed   time.Time // when the store was found to have lost it; zero while it stands
+	incarnation string // of the process that claimed it
+	revision    uint64
+	lapsedAt    time.Time // when its loss was noticed; zero while the store has it
 }
 
-// value is what a relay writes at its place.
-func (g *Gossip) value() []byte { return []byte(g.Box + " " + g.Address + " " + g.Quota.Incarnation) }
+// slotValue returns the value that this box writes to its slot.
+func (g *Gossip) slotValue() []byte {
+	return []byte(g.Box + " " + g.Address + " " + g.Quota.Incarnation)
+}
 
-func (g *Gossip) seatKey(n int) string { return fmt.Sprintf("%s%s/%d", g.Prefix, g.DataCentre, n) }
+func (g *Gossip) slotKey(n int) string { return fmt.Sprintf("%s%s/%d", g.Prefix, g.DataCentre, n) }
 
-// parse reads a place from the store.
-func (g *Gossip) parse(i store.Item) seat {
+// parseSlot decodes a slot from the store.
+func (g *Gossip) parseSlot(i store.Item) relaySlot {
 	dc, _, _ := strings.Cut(strings.TrimPrefix(i.Key, g.Prefix), "/")
 	box, rest, _ := strings.Cut(string(i.Value), " ")
-	address, life, _ := strings.Cut(rest, " ")
-	return seat{dataCentre: dc, key: i.Key, box: box, address: address, life: life, revision: i.Revision}
+	address, incarnation, _ := strings.Cut(rest, " ")
+	return relaySlot{dataCentre: dc, key: i.Key, box: box, address: address, incarnation: incarnation, revision: i.Revision}
 }
 
-// apply takes the places from the store.
-func (g *Gossip) apply(items []store.Item, whole bool, _ uint64) {
-	unsettled := g.session.Unsettled(settle) > 0
+// applySlots applies changes of the slots from the store. Slots that vanish because of an outage are
+// kept as lapsed.
+func (g *Gossip) applySlots(items []store.Item, whole bool, _ uint64) {
+	unsettled := g.session.Unsettled(lapsedSlotGrace) > 0
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	before := maps.Clone(g.seats)
+	previous := maps.Clone(g.slots)
 	if whole {
-		g.seats = map[string]seat{}
+		g.slots = map[string]relaySlot{}
 	}
 	for _, i := range items {
 		if i.Deleted {
-			delete(g.seats, i.Key)
+			delete(g.slots, i.Key)
 			continue
 		}
-		g.seats[i.Key] = g.parse(i)
+		g.slots[i.Key] = g.parseSlot(i)
 	}
-	for k, s := range before {
-		if _, stands := g.seats[k]; stands || !unsettled {
+	for k, s := range previous {
+		if _, exists := g.slots[k]; exists || !unsettled {
 			continue
 		}
-		if s.lapsed.IsZero() {
-			s.lapsed = boottime.Now()
+		if s.lapsedAt.IsZero() {
+			s.lapsedAt = boottime.Now()
 		}
-		g.seats[k] = s
+		g.slots[k] = s
 	}
 }
 
-// dropLapsed gives up places that lapsed in an outage and that the boxes which had them
-// have not taken again.
-func (g *Gossip) dropLapsed() {
-	unsettled := g.session.Unsettled(settle) > 0
+// dropLapsedSlots drops slots that lapsed during an outage and were not claimed again by their
+// holders within lapsedSlotGrace.
+func (g *Gossip) dropLapsedSlots() {
+	unsettled := g.session.Unsettled(lapsedSlotGrace) > 0
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	maps.DeleteFunc(g.seats, func(_ string, s seat) bool {
-		return !unsettled && !s.lapsed.IsZero() && boottime.Since(s.lapsed) > settle
+	maps.DeleteFunc(g.slots, func(_ string, s relaySlot) bool {
+		return !unsettled && !s.lapsedAt.IsZero() && boottime.Since(s.lapsedAt) > lapsedSlotGrace
 	})
 }
 
-// holds reports whether this box is a relay as far as it knows.
-func (g *Gossip) holds() bool {
+// holdsSlot reports whether this box is a relay, by its own view of the slots.
+func (g *Gossip) holdsSlot() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, s := range g.seats {
+	for _, s := range g.slots {
 		if s.box == g.Box && s.address == g.Address {
 			return true
 		}
@@ -112,160 +116,161 @@
 	return false
 }
 
-// courtesy is how long this box leaves a free place to others.
-func (g *Gossip) courtesy() time.Duration {
+// claimDelay returns how long this box leaves a free slot to others.
+func (g *Gossip) claimDelay() time.Duration {
 	if g.LinkMbps <= 0 {
 		return 0
 	}
-	return min(time.Duration(courtesyBits/(g.LinkMbps*1e6)*float64(time.Second)), maxCourtesy)
+	return min(time.Duration(claimDelayBits/(g.LinkMbps*1e6)*float64(time.Second)), maxClaimDelay)
 }
 
-// young reports whether this process has just started, and may not have looked for its relays yet.
-func (g *Gossip) young() bool { return boottime.Since(g.began) < alone }
+// inStartupGrace reports whether this process may not have found a relay yet because it has just
+// started.
+func (g *Gossip) inStartupGrace() bool { return boottime.Since(g.startedAt) < startupGrace }
 
-// lookDue reports whether it is time to look at the places, and notes that it is done.
-func (g *Gossip) lookDue() bool {
+// beginSlotLookup reports whether a lookup of the slots is due, and records its time.
+func (g *Gossip) beginSlotLookup() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	first := g.looked.IsZero() && now.Sub(g.began) < min(g.courtesy(), firstLook)
-	if first || now.Before(g.next) {
+	first := g.lastLookup.IsZero() && now.Sub(g.startedAt) < min(g.claimDelay(), maxFirstLookupDelay)
+	if first || now.Before(g.nextLookup) {
 		return false
 	}
-	g.looked, g.next = now, now.Add(enlistPause)
+	g.lastLookup, g.nextLookup = now, now.Add(slotLookupInterval)
 	return true
 }
 
-// mayTake reports whether this box may take a free place of its data centre now. A place that is
-// free at the start has been free since then.
-func (g *Gossip) mayTake() bool {
-	vacant := g.places() < relays
+// mayClaimSlot reports whether this box may claim a free slot of its data centre now. A slot that is
+// free at the first lookups counts as free since the start.
+func (g *Gossip) mayClaimSlot() bool {
+	vacant := g.countLocalRelays() < relaysPerDataCentre
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !vacant {
-		g.freeSince = time.Time{}
+		g.slotFreeSince = time.Time{}
 		return false
 	}
 	now := boottime.Now()
-	if g.freeSince.IsZero() {
-		g.freeSince = now
-		if g.began.Add(firstLook + enlistPause).After(now) {
-			g.freeSince = g.began
+	if g.slotFreeSince.IsZero() {
+		g.slotFreeSince = now
+		if g.startedAt.Add(maxFirstLookupDelay + slotLookupInterval).After(now) {
+			g.slotFreeSince = g.startedAt
 		}
 	}
-	left := g.courtesy() - now.Sub(g.freeSince)
+	left := g.claimDelay() - now.Sub(g.slotFreeSince)
 	if left > 0 {
-		g.next = now.Add(min(left, enlistPause))
+		g.nextLookup = now.Add(min(left, slotLookupInterval))
 	}
 	return left <= 0
 }
 
-// enlist looks at the places, and takes one of its data centre's if it is free.
-func (g *Gossip) enlist(c context.Context) {
+// claimSlot looks up the slots, and claims one of this data centre if it is free.
+func (g *Gossip) claimSlot(c context.Context) {
 	l := g.session.Lease()
-	if l == 0 && g.young() || !g.lookDue() {
+	if l == 0 && g.inStartupGrace() || !g.beginSlotLookup() {
 		return
 	}
 	items, at, err := g.Store.Range(c, g.Prefix)
 	if err != nil {
 		return
 	}
-	g.vacant = false
-	g.apply(items, true, at)
-	if l == 0 || g.holds() || g.session.Unsettled(settle) > 0 || !g.mayTake() {
+	g.slotVacant = false
+	g.applySlots(items, true, at)
+	if l == 0 || g.holdsSlot() || g.session.Unsettled(lapsedSlotGrace) > 0 || !g.mayClaimSlot() {
 		return
 	}
 	if l, err = g.session.Hold(c); err != nil {
 		return
 	}
-	for n := range relays {
-		k := g.seatKey(n)
-		if _, taken := g.seat(k); taken {
+	for n := range relaysPerDataCentre {
+		k := g.slotKey(n)
+		if _, taken := g.slotByKey(k); taken {
 			continue
 		}
 		_, err := g.Store.Commit(c, store.Change{
 			If:  []store.Condition{{Key: k}},
-			Put: []store.Put{{Key: k, Value: g.value(), Lease: l}},
+			Put: []store.Put{{Key: k, Value: g.slotValue(), Lease: l}},
 		})
 		if err == nil {
-			g.apply([]store.Item{{Key: k, Value: g.value()}}, false, 0)
-			g.log.Info().Str("event", "relay").Str("place", k).Msg("this box watches the store for others")
+			g.applySlots([]store.Item{{Key: k, Value: g.slotValue()}}, false, 0)
+			g.log.Info().Str("event", "relay").Str("place", k).Msg("claimed a relay slot")
 			return
 		}
 		if !errors.Is(err, store.ErrConflict) {
 			return
 		}
 	}
-	// Others were faster: who they are is read at once.
-	g.lookAgain()
+	// Other boxes were faster; look up immediately which they are.
+	g.requestSlotLookup()
 }
 
-// lookAgain lets the places be looked at in the next round.
-func (g *Gossip) lookAgain() {
+// requestSlotLookup makes the next round look up the slots.
+func (g *Gossip) requestSlotLookup() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.next = time.Time{}
+	g.nextLookup = time.Time{}
 }
 
-// keepPlace puts a place that the process before this one had, or that lapsed in an outage
-// of the store, under this one's lease. Else it is free some seconds after the restart, and
-// all that this relay tells, and leases, moves once more.
-func (g *Gossip) keepPlace(c context.Context) {
+// takeOverSlot puts a slot that an earlier process of this box held, or that lapsed during an outage
+// of the store, under this process's lease. Otherwise the slot would become free some seconds after
+// the restart, and all members and leases of this relay would move once more.
+func (g *Gossip) takeOverSlot(c context.Context) {
 	l := g.session.Lease()
-	s, ok := g.formerPlace()
+	s, ok := g.formerSlot()
 	if l == 0 || !ok || g.session.Away() {
 		return
 	}
-	stands := store.Condition{Key: s.key, Revision: s.revision}
-	if !s.lapsed.IsZero() {
-		stands.Revision = 0
+	condition := store.Condition{Key: s.key, Revision: s.revision}
+	if !s.lapsedAt.IsZero() {
+		condition.Revision = 0
 	}
 	at, err := g.Store.Commit(c, store.Change{
-		If:  []store.Condition{stands},
-		Put: []store.Put{{Key: s.key, Value: g.value(), Lease: l}},
+		If:  []store.Condition{condition},
+		Put: []store.Put{{Key: s.key, Value: g.slotValue(), Lease: l}},
 	})
 	if err != nil {
-		g.log.Info().Str("event", "relay").Str("place", s.key).Err(err).Msg("not kept; looked for anew when it is free")
+		g.log.Info().Str("event", "relay").Str("place", s.key).Err(err).Msg("not kept; claimed again when it is free")
 		return
 	}
-	g.apply([]store.Item{{Key: s.key, Value: g.value(), Revision: at}}, false, 0)
-	g.log.Info().Str("event", "relay").Str("place", s.key).Bool("lapsed", !s.lapsed.IsZero()).Msg("kept")
+	g.applySlots([]store.Item{{Key: s.key, Value: g.slotValue(), Revision: at}}, false, 0)
+	g.log.Info().Str("event", "relay").Str("place", s.key).Bool("lapsed", !s.lapsedAt.IsZero()).Msg("kept")
 }
 
-// formerPlace returns the place that another process on this box took, or that lapsed.
-func (g *Gossip) formerPlace() (seat, bool) {
+// formerSlot returns a slot of this box that another process claimed or that has lapsed.
+func (g *Gossip) formerSlot() (relaySlot, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, s := range g.seats {
-		if s.box == g.Box && s.address == g.Address && (s.life != g.Quota.Incarnation || !s.lapsed.IsZero()) {
+	for _, s := range g.slots {
+		if s.box == g.Box && s.address == g.Address && (s.incarnation != g.Quota.Incarnation || !s.lapsedAt.IsZero()) {
 			return s, true
 		}
 	}
-	return seat{}, false
+	return relaySlot{}, false
 }
 
-func (g *Gossip) seat(key string) (seat, bool) {
+func (g *Gossip) slotByKey(key string) (relaySlot, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	s, ok := g.seats[key]
+	s, ok := g.slots[key]
 	return s, ok
 }
 
-// own returns the relays of this data centre besides this box, in an order of
-// this box's own, so that members spread over them; far the others'.
-func (g *Gossip) targets() (own, far []seat) {
+// relayTargets returns the other relays: local are those of this data centre, rotated by slotOffset
+// so that members spread over them, and remote those of other data centres.
+func (g *Gossip) relayTargets() (local, remote []relaySlot) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for n := range relays {
-		k := g.seatKey((n + g.turn) % relays)
-		if s, ok := g.seats[k]; ok && s.box != g.Box {
-			own = append(own, s)
+	for n := range relaysPerDataCentre {
+		k := g.slotKey((n + g.slotOffset) % relaysPerDataCentre)
+		if s, ok := g.slots[k]; ok && s.box != g.Box {
+			local = append(local, s)
 		}
 	}
-	for _, s := range g.seats {
+	for _, s := range g.slots {
 		if s.box != g.Box && s.dataCentre != g.DataCentre {
-			far = append(far, s)
+			remote = append(remote, s)
 		}
 	}
-	return own, far
+	return local, remote
 }
--- a/gossip/fetch.go
+++ b/gossip/fetch.go
@@ -7,110 +7,110 @@
 	"birchlink.dev/birchlink/boottime"
 )
 
-// fetchLimit bounds how long it may take to fetch a configuration and records, its turn included:
-// a relay with a link of 20 Mbit/s sends a hundred members 240 KB each in it.
-const fetchLimit = 10 * time.Second
+// fetchTimeout limits a fetch of a configuration or of records, including the time in the sender's
+// queue. In this time a relay with a link of 20 Mbit/s sends 240 KB to each of a hundred members.
+const fetchTimeout = 10 * time.Second
 
-// sendsAtOnce is to how many boxes a box sends such answers at once; the others wait their turn.
-const sendsAtOnce = 4
+// maxConcurrentSends limits how many fetches of a kind a box answers at once; others queue.
+const maxConcurrentSends = 4
 
-// staleFetch is the age from which on a fetch is given up if its source is not heard any more: a
-// connection that a cut holds up says nothing, and another box has what is asked for.
-const staleFetch = time.Second
+// staleFetchAge is the age from which a fetch is cancelled if its source is unreachable. A connection
+// stalled by a partition reports no error, and another box has the same data.
+const staleFetchAge = time.Second
 
-// fetch is one fetch under way; its zero value is none.
+// fetch is a fetch in progress. The zero value means none.
 type fetch struct {
-	from   string
-	began  time.Time
-	cancel context.CancelFunc
+	from      string
+	startedAt time.Time
+	cancel    context.CancelFunc
 }
 
-// catchUp fetches from another box what it knows and this box does not, without holding up the
-// rounds: with the limit of a round no member got its records while all asked, and their relay sent
-// them again and again.
+// catchUp fetches the configuration and the records from a box that has newer ones. It doesn't block
+// the rounds: within the time limit of a round, no member received its records when all asked at
+// once, and their relay sent them again and again.
 func (g *Gossip) catchUp(from string, version, revision uint64) {
 	if v, _ := g.known.Raw(); version > v {
-		g.begin(&g.configFetch, from, g.takeConfiguration)
+		g.startFetch(&g.configFetch, from, g.fetchConfiguration)
 	}
 	if revision > g.known.Revision() {
-		g.begin(&g.recordsFetch, from, g.takeRecords)
+		g.startFetch(&g.recordsFetch, from, g.fetchRecords)
 	}
 }
 
-// begin fetches from a box, unless that is under way from it or from one that is still heard.
-func (g *Gossip) begin(f *fetch, from string, take func(c context.Context, from string)) {
+// startFetch starts a fetch, unless one from the same box or from a reachable one is in progress.
+func (g *Gossip) startFetch(f *fetch, from string, run func(c context.Context, from string)) {
 	g.mu.Lock()
 	if f.cancel != nil {
-		if f.from == from || boottime.Since(f.began) < staleFetch || g.hears(f.from) {
+		if f.from == from || boottime.Since(f.startedAt) < staleFetchAge || g.isReachableRelay(f.from) {
 			g.mu.Unlock()
 			return
 		}
 		f.cancel()
 	}
-	c, cancel := context.WithTimeout(g.life, fetchLimit)
-	began := boottime.Now()
-	*f = fetch{from: from, began: began, cancel: cancel}
+	c, cancel := context.WithTimeout(g.ctx, fetchTimeout)
+	startedAt := boottime.Now()
+	*f = fetch{from: from, startedAt: startedAt, cancel: cancel}
 	g.mu.Unlock()
 	g.spawn(func() {
 		defer cancel()
-		take(c, from)
+		run(c, from)
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if f.began.Equal(began) {
+		if f.startedAt.Equal(startedAt) {
 			*f = fetch{}
 		}
 	})
 }
 
-// hears reports whether a box is the relay of this one, or a relay that it has lately heard. The
-// lock must be held.
-func (g *Gossip) hears(address string) bool {
+// isReachableRelay reports whether an address is that of this box's relay, or of another relay that
+// has reported recently. The lock must be held.
+func (g *Gossip) isReachableRelay(address string) bool {
 	if g.relayAddress == address {
 		return true
 	}
-	for _, h := range g.others {
-		if h.Address == address && boottime.Since(h.at) < lost {
+	for _, h := range g.otherRelays {
+		if h.Address == address && boottime.Since(h.receivedAt) < unreachableAfter {
 			return true
 		}
 	}
 	return false
 }
 
-// takeConfiguration fetches a configuration that is newer than this box's.
-func (g *Gossip) takeConfiguration(c context.Context, from string) {
+// fetchConfiguration fetches a configuration newer than this box's.
+func (g *Gossip) fetchConfiguration(c context.Context, from string) {
 	v, _ := g.known.Raw()
 	var raw []byte
 	if err := g.node.Bulk.Call(c, from, "gossip.configuration", v, &raw); err != nil || len(raw) == 0 {
-		g.log.Debug().Str("event", "configuration").Str("from", from).Err(err).Msg("not fetched; asked for again in the next round")
+		g.log.Debug().Str("event", "configuration").Str("from", from).Err(err).Msg("not fetched; retried in the next round")
 		return
 	}
-	g.install(raw, from)
+	g.installConfiguration(raw, from)
 }
 
-// takeRecords fetches the endpoints' records that another box has and this one lacks.
-func (g *Gossip) takeRecords(c context.Context, from string) {
+// fetchRecords fetches the endpoint records that this box lacks.
+func (g *Gossip) fetchRecords(c context.Context, from string) {
 	var zip []byte
 	if err := g.node.Bulk.Call(c, from, "gossip.records", g.known.Revision(), &zip); err != nil {
-		g.log.Debug().Str("event", "endpoints").Str("from", from).Err(err).Msg("not fetched; asked for again in the next round")
+		g.log.Debug().Str("event", "endpoints").Str("from", from).Err(err).Msg("not fetched; retried in the next round")
 		return
 	}
 	r, err := unpackRecords(zip)
 	if err != nil {
-		g.log.Error().Str("event", "endpoints").Str("from", from).Err(err).Msg("records not taken; asked for again in the next round")
+		g.log.Error().Str("event", "endpoints").Str("from", from).Err(err).Msg("records not taken; retried in the next round")
 		return
 	}
 	g.known.Tell(r)
 }
 
-// fetchNewer takes what a relay knows that has a newer configuration or newer records: what it told of
-// a change may have been lost.
-func (g *Gossip) fetchNewer() {
+// catchUpFromRelays fetches from a relay with a newer configuration or newer records, since its
+// push of the change may have been lost.
+func (g *Gossip) catchUpFromRelays() {
 	v, _ := g.known.Raw()
 	at := g.known.Revision()
 	var from Status
 	g.mu.Lock()
-	for _, h := range g.others {
-		if boottime.Since(h.at) < lost && (h.Version > v || h.Revision > at) {
+	for _, h := range g.otherRelays {
+		if boottime.Since(h.receivedAt) < unreachableAfter && (h.Version > v || h.Revision > at) {
 			from, v, at = h.Status, max(v, h.Version), max(at, h.Revision)
 		}
 	}
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -27,43 +27,46 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// Name is the name of the service.
+// Name is the service's name.
 const Name = "gossip"
 
-// The times of an exchange. A box that has not been heard for lost is taken to be
-// away, and is forgotten after forgotten; one that has not been heard for recent is
-// no arbiter. A relay whose store has been silent for longer than stale is no use. A
-// process younger than starting exchanges each startPeriod: boxes that all start at once
-// need three rounds to have heard each other. A relay that watches the store for others
-// and has missed one round, watcherLost, is counted on no more: a change has to be known
-// within 2 s, and what it had not told is then read by another. One younger than selfFor speaks for itself
-// in matters of limits.
+// Times of the exchange. A box is unreachable if its last report is older than unreachableAfter, and
+// is dropped after forgetAfter; a relay is an arbiter only while its last report is younger than
+// arbiterTimeout. A relay that has had no answer of the store for maxStoreSilence is not used.
+//
+// A process younger than startupDuration runs a round every startupRoundPeriod: boxes that all start
+// at once need three rounds to receive each other's reports. A process younger than
+// selfRepresentedFor represents itself in the division of the limits.
+//
+// A relay that watches the store is replaced if its last report is older than watcherTimeout, which
+// is one missed round: changes must be known everywhere within 2 s, and the new watcher still has to
+// read what the old one didn't push.
 const (
-	period      = 500 * time.Millisecond
-	callLimit   = 450 * time.Millisecond
-	lost        = 2 * time.Second
-	recent      = 1200 * time.Millisecond
-	watcherLost = 800 * time.Millisecond
-	forgotten   = 8 * time.Second
-	stale       = 1100 * time.Millisecond
-	starting    = 3 * time.Second
-	selfFor     = 2 * time.Second
-	startPeriod = 150 * time.Millisecond
+	roundPeriod        = 500 * time.Millisecond
+	callTimeout        = 450 * time.Millisecond
+	unreachableAfter   = 2 * time.Second
+	arbiterTimeout     = 1200 * time.Millisecond
+	watcherTimeout     = 800 * time.Millisecond
+	forgetAfter        = 8 * time.Second
+	maxStoreSilence    = 1100 * time.Millisecond
+	startupDuration    = 3 * time.Second
+	selfRepresentedFor = 2 * time.Second
+	startupRoundPeriod = 150 * time.Millisecond
 )
 
-// speedsRounds is how many rounds pass between two tellings of what was observed of
-// endpoints' speeds: some hundred bytes a service, which change over seconds.
-const speedsRounds = 4
+// statsRounds is the number of rounds between two reports of endpoint statistics. These take some
+// hundred bytes per service and change over seconds.
+const statsRounds = 4
 
-// quiet is the silence of the store after which any box is asked that answers.
-const quiet = 2 * time.Second
+// askAnyAfter is how long the store must be silent before a member asks arbitrary boxes.
+const askAnyAfter = 2 * time.Second
 
-// watchWait is how long a call waits for changes of the list of relays. One that
-// is gone is noticed by its silence.
-const watchWait = 15 * time.Second
+// watchTimeout is how long a call waits for changes of the relay slots. It can be long because a
+// relay that stops is detected by its missing reports.
+const watchTimeout = 15 * time.Second
 
-// Gossip is the service of one box. Own returns what to tell; OnChange is called
-// after each round with the sum of what the others told.
+// Gossip is the service of one box. LocalStatus returns what this box reports. OnRound is called
+// after each round with the sum of the reports of all other boxes.
 type Gossip struct {
 	Box        string
 	DataCentre string
@@ -71,99 +74,99 @@
 	Prefix     string
 	Seeds      []string
 
-	// LinkMbps is the rate of this box's link; zero if it is not known.
+	// LinkMbps is the bandwidth of this box's link in Mbit/s; zero if unknown.
 	LinkMbps float64
 
-	Store    store.Store
-	Own      func() Status
-	OnChange func(others Status)
+	Store       store.Store
+	LocalStatus func() Status
+	OnRound     func(others Status)
 
-	// First says that this is the first start of the whole system: nothing was before, and no
-	// box need ask for it.
-	First bool
+	// FirstStart says that the whole system starts for the first time, so that there is no snapshot
+	// to read.
+	FirstStart bool
 
-	// BeforeKey is where a relay writes what Before returns for a number of boxes, and
-	// Speeds of all, so that processes that start all at once know it before they have
-	// heard each other; Expect and Recall are told it.
-	BeforeKey string
-	Before    func(boxes int) quota.Before
-	Expect    func(quota.Before)
-	Quota     *quota.Quota
+	// SnapshotKey is the key in the store to which a relay writes the result of Snapshot for a number
+	// of boxes, and EndpointStats over all boxes. Processes that start all at once read it before
+	// they have received each other's reports, and pass it to RestoreQuota and RestoreEndpointStats.
+	SnapshotKey  string
+	Snapshot     func(boxes int) quota.Before
+	RestoreQuota func(quota.Before)
+	Quota        *quota.Quota
 
-	// Rollouts is what this box knows of roll-outs of versions.
+	// Rollouts holds what this box knows about rollouts of versions.
 	Rollouts *rollout.Gate
 
-	// Quarantine is what this box knows of requests that end endpoints.
+	// Quarantine holds what this box knows about contents that crash endpoints.
 	Quarantine *quarantine.Quarantine
 
-	// Rates are those that endpoints take from all boxes together.
+	// Rates holds the request rates that endpoints accept from all boxes together.
 	Rates *stated.Rates
 
-	// OnEnded is called with each endpoint of which another box says that it has ended.
-	OnEnded func(endpoint string)
-
-	// WorksWith returns the endpoints whose load this box is told; none means all.
-	WorksWith func() []string
-
-	Clock   *daytime.Clock
-	Leaving func() bool // reports whether this box stops; nil for one that does not
-	Speeds  func() map[string]estimate.Stats
-	Recall  func(map[string]estimate.Stats)
-
-	log     zerolog.Logger
-	known   *known.Known
-	session *session.Session
-	node    *peer.Node
-	life    context.Context
-	cancel  context.CancelFunc
-	group   sync.WaitGroup
-	turn    int
-	rounds  atomic.Int64
-	relay   seat // of the relay that counts this box; its own while it is one
-	vacant  bool // a place of a relay may be free
-	packed  packed
-	records packedRecords
-	watch   *mirror.Mirror
-	unwatch context.CancelFunc // set while this box watches the places
-
-	mu     sync.Mutex
-	seats  map[string]seat
-	looked time.Time // at the places
-	next   time.Time // when they may be looked at again
-	// since when a place of this data centre is known to be free; zero while none is
-	freeSince time.Time
-	members   map[string]heard // that tell this box, while it is a relay
-	others    map[string]heard // relays
-	world     World            // the last answer of this box's relay
-	at        time.Time        // when it came
-	ahead     time.Duration    // how far its time of day was ahead then
-	last      time.Time        // when any other box was last heard
-	began     time.Time
-	before    before
-	stopped   bool
-
-	relayAddress string // of the relay that counts this box
-	news         news   // that is to be told
-	ended        *simplelru.LRU[string, bool]
-	configFetch  fetch
-	recordsFetch fetch
-	judged       uint64 // the sum of the verdicts that members were last told
-	sums         sums
+	// OnCrash is called with the incarnation of each endpoint that another box reports as crashed.
+	OnCrash func(incarnation string)
+
+	// UsedEndpoints returns the endpoints for which this box needs load reports; none means all.
+	UsedEndpoints func() []string
+
+	Clock                *daytime.Clock
+	Leaving              func() bool // reports whether this box is stopping; may be nil
+	EndpointStats        func() map[string]estimate.Stats
+	RestoreEndpointStats func(map[string]estimate.Stats)
+
+	log           zerolog.Logger
+	known         *known.Known
+	session       *session.Session
+	node          *peer.Node
+	ctx           context.Context
+	cancel        context.CancelFunc
+	group         sync.WaitGroup
+	slotOffset    int
+	rounds        atomic.Int64
+	relay         relaySlot // the relay that represents this box; itself while it is a relay
+	slotVacant    bool      // a relay slot of this data centre may be free
+	packedConfig  configCache
+	packedRecords recordsCache
+	slotWatch     *mirror.Mirror
+	stopSlotWatch context.CancelFunc // set while this box watches the slots
+
+	mu         sync.Mutex
+	slots      map[string]relaySlot
+	lastLookup time.Time // of the slots
+	nextLookup time.Time // earliest time of the next lookup
+	// since when a slot of this data centre is known to be free; zero while none is
+	slotFreeSince    time.Time
+	members          map[string]receivedStatus // by box; they report to this box while it is a relay
+	otherRelays      map[string]receivedStatus // by box
+	reply            MemberReply               // the last reply of this box's relay
+	repliedAt        time.Time                 // when reply came
+	replyClockOffset time.Duration             // how far the relay's time of day was ahead then
+	lastContact      time.Time                 // when another box was last heard from
+	startedAt        time.Time
+	snapshot         snapshotState
+	stopped          bool
+
+	relayAddress    string       // address of relay, guarded by mu
+	pending         notification // the notification to be sent next
+	reportedCrashes *simplelru.LRU[string, bool]
+	configFetch     fetch
+	recordsFetch    fetch
+	verdictSum      uint64 // checksum of the verdicts that members were last notified of
+	totals          totalCache
 }
 
-// New returns the service. Its exported fields are to be set before it starts.
+// New returns a service. Its exported fields must be set before it starts.
 func New(log zerolog.Logger) *Gossip {
 	return &Gossip{
 		log: log, Quarantine: &quarantine.Quarantine{}, Rollouts: &rollout.Gate{}, Rates: &stated.Rates{},
-		OnEnded: func(string) {}, WorksWith: func() []string { return nil },
-		seats: map[string]seat{}, members: map[string]heard{}, others: map[string]heard{},
+		OnCrash: func(string) {}, UsedEndpoints: func() []string { return nil },
+		slots: map[string]relaySlot{}, members: map[string]receivedStatus{}, otherRelays: map[string]receivedStatus{},
 	}
 }
 
 // Name returns the service's name.
 func (g *Gossip) Name() string { return Name }
 
-// Start answers other boxes and begins to call them.
+// Start registers the handlers for calls of other boxes and starts the rounds.
 func (g *Gossip) Start(_ context.Context, k *kernel.Kernel) error {
 	err := errors.Join(
 		kernel.Bind(k, known.Name, &g.known), kernel.Bind(k, peer.Name, &g.node), kernel.Bind(k, session.Name, &g.session),
@@ -171,37 +174,37 @@
 	if err != nil {
 		return err
 	}
-	g.began = boottime.Now()
-	g.turn = int(xxhash.Sum64String(g.Box) % relays)
-	peer.Handle(g.node.Server, "gossip.member", g.fromMember)
-	peer.Handle(g.node.Server, "gossip.relay", g.fromRelay)
-	peer.Handle(g.node.Server, "gossip.update", g.fromOwn)
+	g.startedAt = boottime.Now()
+	g.slotOffset = int(xxhash.Sum64String(g.Box) % relaysPerDataCentre)
+	peer.Handle(g.node.Server, "gossip.member", g.handleMember)
+	peer.Handle(g.node.Server, "gossip.relay", g.handleRelay)
+	peer.Handle(g.node.Server, "gossip.update", g.handleUpdate)
 	peer.Handle(g.node.Server, "gossip.configuration", func(context.Context, uint64) ([]byte, error) {
 		_, raw := g.known.Raw()
-		return g.packed.pack(raw)
+		return g.packedConfig.pack(raw)
 	})
 	peer.Handle(g.node.Server, "gossip.records", func(_ context.Context, since uint64) ([]byte, error) {
-		return g.records.pack(g.known, since)
+		return g.packedRecords.pack(g.known, since)
 	})
-	g.node.Server.InTurn("gossip.configuration", sendsAtOnce)
-	g.node.Server.InTurn("gossip.records", sendsAtOnce)
-	peer.Handle(g.node.Server, "gossip.news", g.fromNews)
+	g.node.Server.InTurn("gossip.configuration", maxConcurrentSends)
+	g.node.Server.InTurn("gossip.records", maxConcurrentSends)
+	peer.Handle(g.node.Server, "gossip.news", g.handleNotification)
 	c, cancel := context.WithCancel(context.Background())
-	g.life, g.cancel = c, cancel
-	g.Quarantine.SendsTrials = g.tries
-	g.Quarantine.OnChange = func(s []quarantine.Suspect) { g.tellNews(news{Suspects: s}) }
-	g.watch = &mirror.Mirror{Store: g.Store, Prefix: g.Prefix, Wait: watchWait, Apply: g.apply, Log: g.log, Away: g.session.Away}
-	g.session.OnReturn(g.watch.Restart)
+	g.ctx, g.cancel = c, cancel
+	g.Quarantine.SendsTrials = g.sendsTrials
+	g.Quarantine.OnChange = func(s []quarantine.Suspect) { g.notify(notification{Suspects: s}) }
+	g.slotWatch = &mirror.Mirror{Store: g.Store, Prefix: g.Prefix, Wait: watchTimeout, Apply: g.applySlots, Log: g.log, Away: g.session.Away}
+	g.session.OnReturn(g.slotWatch.Restart)
 	g.known.OnRecords(func(r known.Records) { g.pushRecords(c, r) })
 	g.known.OnRaw(func(raw []byte) {
-		g.limit() // accounts that are new are known from the first request on
+		g.updateQuota() // makes new accounts known before their first request
 		g.pushConfiguration(c, raw)
 	})
 	g.group.Go(func() { g.run(c) })
 	return nil
 }
 
-// Stop ends the exchange.
+// Stop ends the rounds and waits for all goroutines.
 func (g *Gossip) Stop(context.Context) error {
 	g.cancel()
 	g.mu.Lock()
@@ -211,7 +214,7 @@
 	return nil
 }
 
-// spawn begins a goroutine that Stop waits for; once it stops, none.
+// spawn starts a goroutine that Stop waits for. Once the service stops, it does nothing.
 func (g *Gossip) spawn(f func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -220,17 +223,17 @@
 	}
 }
 
-// Relay reports whether this box is one of those that watch the store.
-func (g *Gossip) Relay() bool { return g.holds() }
+// IsRelay reports whether this box is a relay.
+func (g *Gossip) IsRelay() bool { return g.holdsSlot() }
 
-// Alone reports whether no other box has been heard lately, though there were.
-func (g *Gossip) Alone() bool {
+// IsIsolated reports whether this box has lost contact to all other boxes.
+func (g *Gossip) IsIsolated() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return !g.last.IsZero() && boottime.Since(g.last) > lost
+	return !g.lastContact.IsZero() && boottime.Since(g.lastContact) > unreachableAfter
 }
 
-// Members returns the statuses of the boxes that tell this one, as they last were.
+// Members returns the latest statuses of the boxes that report to this one.
 func (g *Gossip) Members() []Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -243,90 +246,90 @@
 
 func (g *Gossip) run(c context.Context) {
 	for c.Err() == nil {
-		began := boottime.Now()
-		g.readBefore(c)
-		g.limit()
-		g.Clock.Follow(g.clocks())
-		g.round(c)
+		start := boottime.Now()
+		g.readSnapshot(c)
+		g.updateQuota()
+		g.Clock.Follow(g.clockOffsets())
+		g.runRound(c)
 		g.rounds.Add(1)
-		others := g.sum()
-		g.OnChange(others)
-		g.writeBefore(c, others.Boxes)
-		wait.For(c, g.period()-boottime.Since(began))
+		others := g.othersTotal()
+		g.OnRound(others)
+		g.writeSnapshot(c, others.Boxes)
+		wait.For(c, g.currentPeriod()-boottime.Since(start))
 	}
-	if g.unwatch != nil {
-		g.unwatch()
+	if g.stopSlotWatch != nil {
+		g.stopSlotWatch()
 	}
 }
 
-// clocks returns how far the time of day of the relays that were heard in the last round
-// is ahead of this box's.
-func (g *Gossip) clocks() []time.Duration {
-	relay := g.holds()
+// clockOffsets returns how far the clocks of the relays that reported in the last round are ahead of
+// this box's clock.
+func (g *Gossip) clockOffsets() []time.Duration {
+	isRelay := g.holdsSlot()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var out []time.Duration
-	if !relay && boottime.Since(g.at) < period {
-		// The relay has compared its own with the others', so it has two votes against
-		// this box's one.
-		return []time.Duration{g.ahead, g.ahead}
+	if !isRelay && boottime.Since(g.repliedAt) < roundPeriod {
+		// The relay has compared its clock with those of other relays, so it counts twice against
+		// this box's own.
+		return []time.Duration{g.replyClockOffset, g.replyClockOffset}
 	}
-	for _, h := range g.others {
-		if boottime.Since(h.at) < period {
-			out = append(out, h.ahead)
+	for _, h := range g.otherRelays {
+		if boottime.Since(h.receivedAt) < roundPeriod {
+			out = append(out, h.clockOffset)
 		}
 	}
 	return out
 }
 
-func (g *Gossip) period() time.Duration {
-	if boottime.Since(g.began) < starting {
-		return startPeriod
+func (g *Gossip) currentPeriod() time.Duration {
+	if boottime.Since(g.startedAt) < startupDuration {
+		return startupRoundPeriod
 	}
-	return period
+	return roundPeriod
 }
 
-// round tells those that this box has to tell, and finds its part anew where
-// nobody answers.
-func (g *Gossip) round(c context.Context) {
-	g.dropLapsed()
-	g.session.Fast(g.holds())
-	if !g.holds() {
-		g.asMember(c)
+// runRound exchanges reports with other boxes, as a relay or as a member.
+func (g *Gossip) runRound(c context.Context) {
+	g.dropLapsedSlots()
+	g.session.Fast(g.holdsSlot())
+	if !g.holdsSlot() {
+		g.runMemberRound(c)
 		return
 	}
-	g.setRelay(seat{dataCentre: g.DataCentre, box: g.Box, address: g.Address})
-	g.keepPlace(c)
-	g.followPlaces(c, true)
-	g.exchange(c)
-	g.known.Follow(g.watches())
-	if g.session.Lease() != 0 && g.lostPlace() {
-		g.enlist(c)
+	g.setRelay(relaySlot{dataCentre: g.DataCentre, box: g.Box, address: g.Address})
+	g.takeOverSlot(c)
+	g.setSlotWatch(c, true)
+	g.exchangeWithRelays(c)
+	g.known.Follow(g.isWatcher())
+	if g.session.Lease() != 0 && g.mayHaveLostSlot() {
+		g.claimSlot(c)
 	}
 }
 
-// setRelay notes which relay counts this box from now on.
-func (g *Gossip) setRelay(s seat) {
+// setRelay records the relay that represents this box from now on.
+func (g *Gossip) setRelay(s relaySlot) {
 	g.relay = s
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.relayAddress = s.address
 }
 
-// lostPlace reports whether the store does not list this box at its place.
-func (g *Gossip) lostPlace() bool {
-	n := g.places()
+// mayHaveLostSlot reports whether a slot of this data centre is free and the slots were not looked
+// up recently.
+func (g *Gossip) mayHaveLostSlot() bool {
+	n := g.countLocalRelays()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return n < relays && boottime.Since(g.looked) > watchWait
+	return n < relaysPerDataCentre && boottime.Since(g.lastLookup) > watchTimeout
 }
 
-// places returns how many relays this data centre has.
-func (g *Gossip) places() int {
+// countLocalRelays returns the number of relays in this data centre.
+func (g *Gossip) countLocalRelays() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := 0
-	for _, s := range g.seats {
+	for _, s := range g.slots {
 		if s.dataCentre == g.DataCentre {
 			n++
 		}
@@ -334,56 +337,56 @@
 	return n
 }
 
-// followPlaces begins or ends watching which boxes are relays.
-func (g *Gossip) followPlaces(c context.Context, on bool) {
-	if on == (g.unwatch != nil) {
+// setSlotWatch starts or stops watching the relay slots in the store.
+func (g *Gossip) setSlotWatch(c context.Context, on bool) {
+	if on == (g.stopSlotWatch != nil) {
 		return
 	}
 	if !on {
-		g.unwatch()
-		g.unwatch = nil
+		g.stopSlotWatch()
+		g.stopSlotWatch = nil
 		return
 	}
 	x, stop := context.WithCancel(c)
-	g.unwatch = stop
-	g.group.Go(func() { g.watch.Run(x) })
+	g.stopSlotWatch = stop
+	g.group.Go(func() { g.slotWatch.Run(x) })
 }
 
-func (g *Gossip) heardWorld(w World) {
+func (g *Gossip) applyReply(w MemberReply) {
 	g.Quarantine.Merge(w.Verdicts, boottime.Now())
-	g.hearLeavers(w.Leavers)
-	g.hearRates(w.Rates.Words)
-	g.hearRollouts(w.Orders, w.Others.Words)
+	g.mergeLeavers(w.Leavers)
+	g.mergeRates(w.Rates.Words)
+	g.mergeRollouts(w.Orders, w.Others.Words)
 	w.Verdicts, w.Leavers.Incarnations, w.Rates.Words = nil, nil, nil
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if w.Peers.Sum == g.world.Peers.Sum {
-		w.Peers = g.world.Peers
+	if w.Peers.Sum == g.reply.Peers.Sum {
+		w.Peers = g.reply.Peers
 	}
-	g.world, g.at, g.last, g.ahead = w, boottime.Now(), boottime.Now(), w.Now.Sub(g.Clock.Now())
+	g.reply, g.repliedAt, g.lastContact, g.replyClockOffset = w, boottime.Now(), boottime.Now(), w.Now.Sub(g.Clock.Now())
 }
 
 func (g *Gossip) pushConfiguration(c context.Context, raw []byte) {
-	zip, err := g.packed.pack(raw)
+	zip, err := g.packedConfig.pack(raw)
 	if err != nil {
 		g.log.Error().Str("event", "configuration").Err(err).Msg("not pushed; members fetch it")
 		return
 	}
-	g.push(c, update{Configuration: zip, From: g.Box})
+	g.pushUpdate(c, update{Configuration: zip, From: g.Box})
 }
 
-func (g *Gossip) install(zip []byte, from string) {
+func (g *Gossip) installConfiguration(zip []byte, from string) {
 	raw, err := unpack(zip)
 	if err == nil {
 		err = g.known.Install(raw, from)
 	}
 	if err != nil {
-		g.log.Error().Str("event", "configuration").Str("from", from).Err(err).Msg("not taken; the one in force stays")
+		g.log.Error().Str("event", "configuration").Str("from", from).Err(err).Msg("not taken; the current configuration stays in force")
 	}
 }
 
 func (g *Gossip) call(c context.Context, address, method string, in, out any) error {
-	x, cancel := context.WithTimeout(c, callLimit)
+	x, cancel := context.WithTimeout(c, callTimeout)
 	defer cancel()
 	return g.node.Client.Call(x, address, method, in, out)
 }
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -41,19 +41,19 @@
 	node    *peer.Node
 	stopped bool
 
-	mu     sync.Mutex
-	others gossip.Status
-	rounds int
-	before quota.Before // as the box was told at its start
+	mu            sync.Mutex
+	others        gossip.Status
+	rounds        int
+	restoredQuota quota.Before // as the box was told at its start
 
-	speeds   map[string]estimate.Stats
-	recalled map[string]estimate.Stats // what it was told then of speeds
+	stats         map[string]estimate.Stats
+	restoredStats map[string]estimate.Stats // what it was told then of speeds
 }
 
 // address returns an address that nobody listens on. Its IP number is none from which
 // connections are made: one of them took the port before it was listened on, in 32 of 1,152
 // runs that ran 12 at a time.
-func address(t *testing.T) string {
+func unusedAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.3:0")
 	require.NoError(t, err)
@@ -62,28 +62,28 @@
 }
 
 // start begins a box; seeds are the addresses it knows from its settings.
-func start(t *testing.T, s store.Store, name, dc string, seeds ...string) *box {
+func startBox(t *testing.T, s store.Store, name, dc string, seeds ...string) *box {
 	t.Helper()
-	return startAt(t, s, name, dc, address(t), seeds...)
+	return startBoxAt(t, s, name, dc, unusedAddress(t), seeds...)
 }
 
 // startFirst begins a box on the first start of the whole system.
-func startFirst(t *testing.T, s store.Store, name, dc string) *box {
+func startBoxFirstTime(t *testing.T, s store.Store, name, dc string) *box {
 	t.Helper()
-	return startWith(t, s, name, dc, address(t), func(b *box) { b.First = true })
+	return startBoxWith(t, s, name, dc, unusedAddress(t), func(b *box) { b.FirstStart = true })
 }
 
 // lives numbers the processes that were started.
-var lives atomic.Int64
+var processCount atomic.Int64
 
 // startAt begins a box whose address for peers is given.
-func startAt(t *testing.T, s store.Store, name, dc, a string, seeds ...string) *box {
+func startBoxAt(t *testing.T, s store.Store, name, dc, a string, seeds ...string) *box {
 	t.Helper()
-	return startWith(t, s, name, dc, a, func(b *box) { b.Seeds = seeds })
+	return startBoxWith(t, s, name, dc, a, func(b *box) { b.Seeds = seeds })
 }
 
 // startWith begins a box after something of it has been set.
-func startWith(t *testing.T, s store.Store, name, dc, a string, set func(*box)) *box {
+func startBoxWith(t *testing.T, s store.Store, name, dc, a string, set func(*box)) *box {
 	t.Helper()
 	b := &box{t: t, session: session.New(s, zerolog.Nop()), node: peer.NewNode(a, a, "secret", metrics.NewRegistry())}
 	b.known = known.New(known.Source{
@@ -99,9 +99,9 @@
 	b.known.Told = true
 	b.Gossip = gossip.New(zerolog.Nop())
 	b.Clock = daytime.New(time.Now)
-	b.Quota = &quota.Quota{Self: quota.Arbiter{Box: name, DataCentre: dc, Address: a}, Started: time.Now(), Incarnation: fmt.Sprint("life", lives.Add(1)), Chance: rand.Float64}
+	b.Quota = &quota.Quota{Self: quota.Arbiter{Box: name, DataCentre: dc, Address: a}, Started: time.Now(), Incarnation: fmt.Sprint("life", processCount.Add(1)), Chance: rand.Float64}
 	b.Box, b.DataCentre, b.Address, b.Prefix, b.Store = name, dc, a, "relays/", s
-	b.Own = func() gossip.Status {
+	b.LocalStatus = func() gossip.Status {
 		v, _ := b.known.Raw()
 		return gossip.Status{
 			Box: name, DataCentre: dc, Address: a, Version: v,
@@ -109,33 +109,33 @@
 			Failing: map[string]balance.CallCounts{"x": {Total: 2, Failed: 1}}, Evidence: b.Rollouts.Evidence(),
 		}
 	}
-	b.OnChange = func(others gossip.Status) {
+	b.OnRound = func(others gossip.Status) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		b.others = others
 		if others.Speeds != nil {
-			b.speeds = others.Speeds
+			b.stats = others.Speeds
 		}
 		b.rounds++
 	}
-	b.BeforeKey = "before"
-	b.Before = func(boxes int) quota.Before {
+	b.SnapshotKey = "before"
+	b.Snapshot = func(boxes int) quota.Before {
 		p := b.Quota.Before(boxes, nil, time.Now())
 		p.Short = map[string]float64{"a": -7}
 		return p
 	}
-	b.Speeds = func() map[string]estimate.Stats {
+	b.EndpointStats = func() map[string]estimate.Stats {
 		return map[string]estimate.Stats{"s": {Moments: [5]float64{30}}}
 	}
-	b.Recall = func(s map[string]estimate.Stats) {
+	b.RestoreEndpointStats = func(s map[string]estimate.Stats) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.recalled = s
+		b.restoredStats = s
 	}
-	b.Expect = func(p quota.Before) {
+	b.RestoreQuota = func(p quota.Before) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.before = p
+		b.restoredQuota = p
 		b.Quota.Expect(p)
 	}
 	set(b)
@@ -159,20 +159,20 @@
 	_ = b.session.Stop(context.Background())
 }
 
-func (b *box) sum() gossip.Status {
+func (b *box) othersTotal() gossip.Status {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.others
 }
 
 // speed is how many answers the others were last told to have observed.
-func (b *box) speed() float64 {
+func (b *box) answersOfOthers() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.speeds["s"].Moments[0]
+	return b.stats["s"].Moments[0]
 }
 
-func (b *box) played() int {
+func (b *box) roundCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.rounds
@@ -183,21 +183,21 @@
 	return v
 }
 
-func await(t *testing.T, f func() bool) {
+func waitUntil(t *testing.T, f func() bool) {
 	t.Helper()
 	require.Eventually(t, f, 30*time.Second, 5*time.Millisecond)
 }
 
-func seven(t *testing.T, m *memstore.Memory) []*box {
+func startSevenBoxes(t *testing.T, m *memstore.Memory) []*box {
 	t.Helper()
 	bs := make([]*box, 0, 7)
 	for i := range 7 {
-		bs = append(bs, start(t, m, fmt.Sprint("box", i), fmt.Sprint("dc", i%2)))
+		bs = append(bs, startBox(t, m, fmt.Sprint("box", i), fmt.Sprint("dc", i%2)))
 	}
 	return bs
 }
 
-func count(bs []*box, f func(*box) bool) int {
+func countBoxes(bs []*box, f func(*box) bool) int {
 	n := 0
 	for _, b := range bs {
 		if f(b) {
@@ -208,12 +208,12 @@
 }
 
 // Up to a dozen boxes all tell each other what they send, whether relays or members.
-func TestNear(t *testing.T) {
+func TestHintPeersInSmallFleet(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
-	bs := seven(t, m)
-	await(t, func() bool {
-		return count(bs, func(b *box) bool {
+	bs := startSevenBoxes(t, m)
+	waitUntil(t, func() bool {
+		return countBoxes(bs, func(b *box) bool {
 			near := b.Peers().Near
 			return len(near) == 6 && !slices.Contains(near, b.Address)
 		}) == 7
@@ -222,17 +222,17 @@
 
 // In a larger fleet the boxes of a data centre do, and those of others are told of very
 // long prompts only.
-func TestNearInALargeFleet(t *testing.T) {
+func TestHintPeersInLargeFleet(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
 	bs := make([]*box, 0, 14)
 	for i := range 14 {
-		bs = append(bs, start(t, m, fmt.Sprint("box", i), fmt.Sprint("dc", i%2)))
+		bs = append(bs, startBox(t, m, fmt.Sprint("box", i), fmt.Sprint("dc", i%2)))
 	}
-	await(t, func() bool {
-		return count(bs, func(b *box) bool {
+	waitUntil(t, func() bool {
+		return countBoxes(bs, func(b *box) bool {
 			p := b.Peers()
-			return len(p.Near) == 6 && len(p.Far) == 7 && b.sum().Boxes == 13
+			return len(p.Near) == 6 && len(p.Far) == 7 && b.othersTotal().Boxes == 13
 		}) == 14
 	})
 }
@@ -243,99 +243,99 @@
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
 	m.Set("e/x", "ready")
-	bs := seven(t, m)
-	await(t, func() bool { return count(bs, (*box).Relay) == 4 })
-	await(t, func() bool { return slices.Equal(watchers(bs), []string{"dc0", "dc1"}) })
-	await(t, func() bool {
-		return count(bs, func(b *box) bool {
-			s := b.sum()
+	bs := startSevenBoxes(t, m)
+	waitUntil(t, func() bool { return countBoxes(bs, (*box).IsRelay) == 4 })
+	waitUntil(t, func() bool { return slices.Equal(watcherDataCentres(bs), []string{"dc0", "dc1"}) })
+	waitUntil(t, func() bool {
+		return countBoxes(bs, func(b *box) bool {
+			s := b.othersTotal()
 			return s.Boxes == 6 && s.Load["x"].Tokens == 60
 		}) == 7
 	})
-	await(t, func() bool {
-		return count(bs, func(b *box) bool { return b.speed() == 6 }) == 7
+	waitUntil(t, func() bool {
+		return countBoxes(bs, func(b *box) bool { return b.answersOfOthers() == 6 }) == 7
 	})
 	m.Set("config", `{"Version":5}`)
 	m.Set("e/y", "ready")
-	await(t, func() bool {
-		return count(bs, func(b *box) bool { return b.version() == 5 && len(b.known.Roster.IDs()) == 2 }) == 7
+	waitUntil(t, func() bool {
+		return countBoxes(bs, func(b *box) bool { return b.version() == 5 && len(b.known.Roster.IDs()) == 2 }) == 7
 	})
 }
 
 // When a relay goes, a member takes its place, and the others are told on.
-func TestRelayGoes(t *testing.T) {
+func TestMemberReplacesStoppedRelay(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
-	bs := seven(t, m)
-	await(t, func() bool { return count(bs, (*box).Relay) == 4 })
+	bs := startSevenBoxes(t, m)
+	waitUntil(t, func() bool { return countBoxes(bs, (*box).IsRelay) == 4 })
 	var left []*box
 	gone := false
 	for _, b := range bs {
-		if !gone && b.Relay() && b.DataCentre == "dc0" {
+		if !gone && b.IsRelay() && b.DataCentre == "dc0" {
 			gone = true
 			b.stop()
 			continue
 		}
 		left = append(left, b)
 	}
-	await(t, func() bool { return count(left, (*box).Relay) == 4 })
+	waitUntil(t, func() bool { return countBoxes(left, (*box).IsRelay) == 4 })
 	m.Set("config", `{"Version":6}`)
-	await(t, func() bool { return count(left, func(b *box) bool { return b.version() == 6 }) == 6 })
+	waitUntil(t, func() bool { return countBoxes(left, func(b *box) bool { return b.version() == 6 }) == 6 })
 }
 
 // away is a store that turns one box away while it serves the others.
-type away struct {
+type unavailableStore struct {
 	store.Store
 }
 
-func (away) Range(context.Context, string) ([]store.Item, uint64, error) {
+func (unavailableStore) Range(context.Context, string) ([]store.Item, uint64, error) {
 	return nil, 0, store.ErrAway
 }
 
-func (away) Watch(context.Context, string, uint64, time.Duration) ([]store.Item, uint64, error) {
+func (unavailableStore) Watch(context.Context, string, uint64, time.Duration) ([]store.Item, uint64, error) {
 	return nil, 0, store.ErrAway
 }
 
-func (away) Grant(context.Context, time.Duration) (store.Lease, time.Duration, error) {
+func (unavailableStore) Grant(context.Context, time.Duration) (store.Lease, time.Duration, error) {
 	return 0, 0, store.ErrAway
 }
 
 // A box that the store turns away from its start learns the configuration and
 // the endpoints from its neighbours, of whom its settings name one.
-func TestTurnedAway(t *testing.T) {
+func TestBoxWithoutStoreLearnsFromSeed(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
 	m.Set("e/x", "ready")
-	a := start(t, m, "a", "dc0")
-	await(t, func() bool { return a.version() == 3 })
-	b := start(t, away{m}, "b", "dc1", a.Address)
-	await(t, func() bool { return b.version() == 3 && len(b.known.Roster.IDs()) == 1 })
+	a := startBox(t, m, "a", "dc0")
+	waitUntil(t, func() bool { return a.version() == 3 })
+	b := startBox(t, unavailableStore{m}, "b", "dc1", a.Address)
+	waitUntil(t, func() bool { return b.version() == 3 && len(b.known.Roster.IDs()) == 1 })
 	m.Set("config", `{"Version":4}`)
-	await(t, func() bool { return b.version() == 4 })
+	waitUntil(t, func() bool { return b.version() == 4 })
 }
 
 // partial is a store that can be made to take no changes, and to answer no
 // renewals.
-type partial struct {
+type faultyStore struct {
 	store.Store
 	readOnly, silent atomic.Bool
 }
 
-func (p *partial) Commit(c context.Context, x store.Change) (uint64, error) {
+func (p *faultyStore) Commit(c context.Context, x store.Change) (uint64, error) {
 	if p.readOnly.Load() {
 		return 0, store.ErrAway
 	}
 	return p.Store.Commit(c, x)
 }
 
-func (p *partial) Renew(c context.Context, l store.Lease) error {
+func (p *faultyStore) Renew(c context.Context, l store.Lease) error {
 	if p.silent.Load() {
 		return store.ErrAway
 	}
 	return p.Store.Renew(c, l)
 }
 
-func (p *partial) Revoke(c context.Context, l store.Lease) error {
+func (p *faultyStore) Revoke(c context.Context, l store.Lease) error {
 	if p.silent.Load() {
 		return store.ErrAway
 	}
@@ -344,44 +344,44 @@
 
 // four starts two relays of a data centre, each with its own way to the store, a
 // member of it, and a box of another data centre.
-func four(t *testing.T, m *memstore.Memory, p, q *partial) []*box {
+func startFourBoxes(t *testing.T, m *memstore.Memory, p, q *faultyStore) []*box {
 	t.Helper()
-	a := start(t, p, "a", "dc0")
-	await(t, a.Relay)
-	b := start(t, q, "b", "dc0")
-	await(t, b.Relay)
-	bs := []*box{a, b, start(t, m, "c", "dc0"), start(t, m, "d", "dc1")}
-	await(t, func() bool { return count(bs, func(b *box) bool { return b.sum().Boxes == 3 }) == 4 })
+	a := startBox(t, p, "a", "dc0")
+	waitUntil(t, a.IsRelay)
+	b := startBox(t, q, "b", "dc0")
+	waitUntil(t, b.IsRelay)
+	bs := []*box{a, b, startBox(t, m, "c", "dc0"), startBox(t, m, "d", "dc1")}
+	waitUntil(t, func() bool { return countBoxes(bs, func(b *box) bool { return b.othersTotal().Boxes == 3 }) == 4 })
 	return bs
 }
 
 // While a relay does not hear the store, the boxes that told it are counted by
 // another, and by that one only.
-func TestCountedOnce(t *testing.T) {
+func TestMemberCountedOnceAfterRelayChange(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
-	ps := []*partial{{Store: m}, {Store: m}}
-	bs := four(t, m, ps[0], ps[1])
+	ps := []*faultyStore{{Store: m}, {Store: m}}
+	bs := startFourBoxes(t, m, ps[0], ps[1])
 	chosen := 0
 	if len(bs[1].Members()) > 0 {
 		chosen = 1
 	}
-	await(t, func() bool { return bs[3].sum().Load["x"].Tokens == 30 })
+	waitUntil(t, func() bool { return bs[3].othersTotal().Load["x"].Tokens == 30 })
 	ps[chosen].silent.Store(true)
-	await(t, func() bool { return len(bs[1-chosen].Members()) == 1 })
-	n := bs[3].played()
-	await(t, func() bool { return bs[3].played() > n+2 })
-	await(t, func() bool { return bs[3].sum().Boxes == 3 })
-	require.Equal(t, 30, bs[3].sum().Load["x"].Tokens)
+	waitUntil(t, func() bool { return len(bs[1-chosen].Members()) == 1 })
+	n := bs[3].roundCount()
+	waitUntil(t, func() bool { return bs[3].roundCount() > n+2 })
+	waitUntil(t, func() bool { return bs[3].othersTotal().Boxes == 3 })
+	require.Equal(t, 30, bs[3].othersTotal().Load["x"].Tokens)
 }
 
 // A box that starts learns from the store how many there were, and which accounts
 // were short, before it has heard any of them.
-func TestWhatWasBefore(t *testing.T) {
+func TestSnapshotRestoredAtStart(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
-	bs := []*box{start(t, m, "a", "dc0"), start(t, m, "b", "dc0"), start(t, m, "c", "dc1")}
-	await(t, func() bool {
+	bs := []*box{startBox(t, m, "a", "dc0"), startBox(t, m, "b", "dc0"), startBox(t, m, "c", "dc1")}
+	waitUntil(t, func() bool {
 		var p quota.Before
 		i, err := m.Get(t.Context(), "before")
 		return err == nil && json.Unmarshal(i.Value, &p) == nil && p.Boxes == 3
@@ -389,10 +389,10 @@
 	for _, b := range bs {
 		b.stop()
 	}
-	b := start(t, m, "d", "dc1")
-	await(t, func() bool {
+	b := startBox(t, m, "d", "dc1")
+	waitUntil(t, func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		return b.before.Boxes == 3 && b.before.Short["a"] == -7 && b.recalled["s"].Moments[0] == 10
+		return b.restoredQuota.Boxes == 3 && b.restoredQuota.Short["a"] == -7 && b.restoredStats["s"].Moments[0] == 10
 	})
 }
--- a/gossip/zip.go
+++ b/gossip/gzip.go
@@ -8,20 +8,20 @@
 	"sync"
 )
 
-// maxText bounds what is unpacked, in bytes: the store holds values of a megabyte, and the
-// records of 3,000 endpoints are as much.
-const maxText = 8 << 20
+// maxUnpackedBytes limits the size of unpacked data. Values in the store may have a megabyte, and the
+// records of 3,000 endpoints have about as much.
+const maxUnpackedBytes = 8 << 20
 
-// packed keeps the last configuration as it goes between boxes. With a thousand
-// routes its text is half a megabyte, and some boxes have links of 10 Mbit/s.
-type packed struct {
+// configCache caches the last configuration in packed form. With a thousand routes its text has half
+// a megabyte, and some boxes have links of 10 Mbit/s.
+type configCache struct {
 	mu   sync.Mutex
 	text []byte
 	zip  []byte
 }
 
-// pack returns a text compressed, doing the work once for each text.
-func (p *packed) pack(text []byte) ([]byte, error) {
+// pack returns the packed text. It packs once per text.
+func (p *configCache) pack(text []byte) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.zip != nil && bytes.Equal(text, p.text) {
@@ -35,7 +35,7 @@
 	return zip, nil
 }
 
-// pack returns bytes compressed.
+// pack compresses a text with gzip.
 func pack(text []byte) ([]byte, error) {
 	var b bytes.Buffer
 	w, err := gzip.NewWriterLevel(&b, gzip.BestSpeed)
@@ -51,13 +51,13 @@
 	return b.Bytes(), nil
 }
 
-// unpack returns the text of what pack made.
+// unpack reverses pack.
 func unpack(zip []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(zip))
 	if err != nil {
 		return nil, fmt.Errorf("unpack: %w", err)
 	}
-	text, err := io.ReadAll(io.LimitReader(r, maxText))
+	text, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes))
 	if err != nil {
 		return nil, fmt.Errorf("unpack: %w", err)
 	}
--- a/gossip/zip_test.go
+++ b/gossip/gzip_test.go
@@ -12,7 +12,7 @@
 )
 
 // many returns the records of some endpoints, as the store has them.
-func many(n int) known.Records {
+func testRecords(n int) known.Records {
 	r := known.Records{Whole: true, From: 3, To: 9}
 	for i := range n {
 		v := fmt.Sprintf(`{"service":"s%d","address":"10.%d.%d.7:8188","zone":"dc%d","version":1,"slots":96,"state":"ready","seq":%d}`, i%2, i%9, i%251, i%3, i)
@@ -23,7 +23,7 @@
 
 // Records come out as they went in, in less than a fifth of the bytes.
 func TestPackRecords(t *testing.T) {
-	r := many(3000)
+	r := testRecords(3000)
 	zip, err := packRecords(r)
 	require.NoError(t, err)
 	plain, err := msgpack.Marshal(r)
@@ -37,7 +37,7 @@
 }
 
 func BenchmarkPackRecords(b *testing.B) {
-	r := many(3000)
+	r := testRecords(3000)
 	for b.Loop() {
 		if _, err := packRecords(r); err != nil {
 			b.Fatal(err)
--- /dev/null
+++ b/gossip/leaving_test.go
@@ -0,0 +1,59 @@
+package gossip_test
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"birchlink.dev/birchlink/stand/memstore"
+)
+
+func (b *box) isDraining(id string) bool {
+	e, ok := b.known.Roster.Get(id)
+	return ok && e.Draining
+}
+
+func anyMember(bs []*box) *box {
+	for _, b := range bs {
+		if !b.IsRelay() {
+			return b
+		}
+	}
+	return nil
+}
+
+// What an endpoint says to one box, all know while its record says nothing: told at once, or
+// found in a round by those that were not told, as boxes that start later are.
+func TestLeavingEndpointsReachAllBoxes(t *testing.T) {
+	m := &memstore.Memory{}
+	m.Set("config", `{"Version":3}`)
+	m.Set("e/x", "ready")
+	m.Set("e/y", "ready")
+	m.Set("e/z", "ready")
+	bs := startSevenBoxes(t, m)
+	waitUntil(t, func() bool {
+		return countBoxes(bs, func(b *box) bool { return len(b.known.Roster.IDs()) == 3 && b.othersTotal().Boxes == 6 }) == 7
+	})
+	b := anyMember(bs)
+	require.True(t, b.known.Roster.Leave("x"))
+	b.BroadcastLeaving("x")
+	waitUntil(t, func() bool { return countBoxes(bs, func(b *box) bool { return b.isDraining("x") }) == 7 })
+	require.True(t, b.known.Roster.Leave("y"))
+	waitUntil(t, func() bool { return countBoxes(bs, func(b *box) bool { return b.isDraining("y") }) == 7 })
+	bs = append(bs, startBox(t, m, "late", "dc1"))
+	waitUntil(t, func() bool { return bs[7].isDraining("x") && bs[7].isDraining("y") })
+	require.Zero(t, countBoxes(bs, func(b *box) bool { return b.isDraining("z") }))
+}
+
+// Each box knows what the others of its data centre, and no more, say of endpoints that fail.
+func TestFailingByDataCentre(t *testing.T) {
+	m := &memstore.Memory{}
+	m.Set("config", `{"Version":3}`)
+	bs := startSevenBoxes(t, m) // four in dc0, three in dc1
+	waitUntil(t, func() bool {
+		return countBoxes(bs, func(b *box) bool {
+			others := map[string]float64{"dc0": 3, "dc1": 2}[b.DataCentre]
+			return b.othersTotal().Failing["x"].Total == 2*others && b.othersTotal().Failing["x"].Failed == others
+		}) == 7
+	})
+}
--- a/gossip/limit.go
+++ b/gossip/limit.go
@@ -8,104 +8,104 @@
 	"birchlink.dev/birchlink/quota"
 )
 
-// limit tells the accounts' limits what this box knows of the fleet.
-func (g *Gossip) limit() {
+// updateQuota passes this box's view of the fleet to the quotas of the accounts.
+func (g *Gossip) updateQuota() {
 	t := g.known.Table()
 	if t == nil {
 		return
 	}
-	v := quota.View{Arbiters: g.arbiters(), Boxes: g.counts()}
-	relay := g.holds()
+	v := quota.View{Arbiters: g.arbiters(), Boxes: g.reachableBoxes()}
+	isRelay := g.holdsSlot()
 	g.mu.Lock()
 	switch {
-	case relay:
-		v.Counted = g.counted()
-	case boottime.Since(g.at) >= recent || g.forItself():
+	case isRelay:
+		v.Counted = g.countRepresented()
+	case boottime.Since(g.repliedAt) >= arbiterTimeout || g.representsItself():
 		v.Counted = 1
 	}
-	v.Division = g.world.Division
+	v.Division = g.reply.Division
 	g.mu.Unlock()
 	g.Quota.Round(v, t.Document.Accounts, boottime.Now())
 }
 
-// forItself reports whether this process has just started, and speaks for itself alone:
-// when all boxes start at once, relays need a second or two to have heard their members
-// and to lease what they have.
-func (g *Gossip) forItself() bool { return boottime.Since(g.began) < selfFor }
+// representsItself reports whether this process has just started and no relay represents it yet.
+// When all boxes start at once, relays need a second or two to receive their members' reports and to
+// lease out their shares.
+func (g *Gossip) representsItself() bool { return boottime.Since(g.startedAt) < selfRepresentedFor }
 
-// counted returns for how many boxes of its data centre this relay speaks. The lock
-// must be held.
-func (g *Gossip) counted() int {
+// countRepresented returns how many boxes of its data centre this relay represents, itself
+// included. The lock must be held.
+func (g *Gossip) countRepresented() int {
 	n := 1
 	for _, h := range g.members {
-		if boottime.Since(h.at) < lost && h.DataCentre == g.DataCentre && !h.ForItself {
+		if boottime.Since(h.receivedAt) < unreachableAfter && h.DataCentre == g.DataCentre && !h.ForItself {
 			n++
 		}
 	}
 	return n
 }
 
-// counts returns how many boxes of each data centre are heard. One that has just moved
-// to another relay is counted once.
-func (g *Gossip) counts() map[string]int {
-	relay := g.holds()
+// reachableBoxes returns the number of reachable boxes by data centre. A box that has just switched
+// to another relay counts once.
+func (g *Gossip) reachableBoxes() map[string]int {
+	isRelay := g.holdsSlot()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
-	case relay:
-		return g.countAll()
-	case boottime.Since(g.at) < lost:
-		return g.world.Counts
+	case isRelay:
+		return g.countReachable()
+	case boottime.Since(g.repliedAt) < unreachableAfter:
+		return g.reply.Counts
 	default:
 		return map[string]int{g.DataCentre: 1}
 	}
 }
 
-// countAll counts the boxes that this relay and the others hear. The lock must be held.
-func (g *Gossip) countAll() map[string]int {
-	heard := map[string]map[string]bool{g.DataCentre: {g.Address: true}}
-	enter := func(dc, address string) {
-		if heard[dc] == nil {
-			heard[dc] = map[string]bool{}
+// countReachable counts the boxes that report to this relay or to another. The lock must be held.
+func (g *Gossip) countReachable() map[string]int {
+	reachable := map[string]map[string]bool{g.DataCentre: {g.Address: true}}
+	add := func(dc, address string) {
+		if reachable[dc] == nil {
+			reachable[dc] = map[string]bool{}
 		}
-		heard[dc][address] = true
+		reachable[dc][address] = true
 	}
 	for _, h := range g.members {
-		if boottime.Since(h.at) < lost {
-			enter(h.DataCentre, h.Address)
+		if boottime.Since(h.receivedAt) < unreachableAfter {
+			add(h.DataCentre, h.Address)
 		}
 	}
-	for _, h := range g.others {
-		if boottime.Since(h.at) >= lost {
+	for _, h := range g.otherRelays {
+		if boottime.Since(h.receivedAt) >= unreachableAfter {
 			continue
 		}
-		enter(h.DataCentre, h.Address)
+		add(h.DataCentre, h.Address)
 		for _, a := range h.Members {
-			enter(h.DataCentre, a)
+			add(h.DataCentre, a)
 		}
 	}
 	out := map[string]int{}
-	for dc, boxes := range heard {
+	for dc, boxes := range reachable {
 		out[dc] = len(boxes)
 	}
 	return out
 }
 
-// arbiters returns the relays that may be asked for accounts: those that this one
-// hears, or those that the relay of this box named, in the order of their names.
+// arbiters returns the relays that can be asked to admit requests of accounts, sorted by box: on a
+// relay the reachable ones, elsewhere those that this box's relay reported.
 func (g *Gossip) arbiters() []quota.Arbiter {
-	relay := g.holds()
+	isRelay := g.holdsSlot()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !relay {
-		if boottime.Since(g.at) < forgotten {
-			return g.world.Arbiters
+	if !isRelay {
+		if boottime.Since(g.repliedAt) < forgetAfter {
+			return g.reply.Arbiters
 		}
 		return nil
 	}
-	out := []quota.Arbiter{{Box: g.Box, DataCentre: g.DataCentre, Address: g.Address, Leaving: g.leaves()}}
-	for _, h := range g.others {
-		if boottime.Since(h.at) < recent {
+	out := []quota.Arbiter{{Box: g.Box, DataCentre: g.DataCentre, Address: g.Address, Leaving: g.isLeaving()}}
+	for _, h := range g.otherRelays {
+		if boottime.Since(h.receivedAt) < arbiterTimeout {
 			out = append(out, quota.Arbiter{Box: h.Box, DataCentre: h.DataCentre, Address: h.Address, Leaving: h.Leaving})
 		}
 	}
@@ -113,5 +113,5 @@
 	return out
 }
 
-// leaves reports whether this box stops.
-func (g *Gossip) leaves() bool { return g.Leaving != nil && g.Leaving() }
+// isLeaving reports whether this box is stopping.
+func (g *Gossip) isLeaving() bool { return g.Leaving != nil && g.Leaving() }
--- a/gossip/member.go
+++ b/gossip/member.go
@@ -8,77 +8,77 @@
 	"birchlink.dev/birchlink/boottime"
 )
 
-// askAtOnce is how many boxes a member asks in one round while neither the store
-// nor a relay of its data centre tells it anything.
-const askAtOnce = 2
+// maxAskedBoxes is the number of boxes that a member asks per round while it gets no answer from the
+// store or from a relay of its data centre.
+const maxAskedBoxes = 2
 
-// asMember tells the relay that counts this box. One that does not answer, is no
-// relay any more, or does not hear the store is left for one that does. Without
-// one, a box that the store answers watches it itself and looks for a free place;
-// while the store answers nobody, a box stays with the relay that it has.
-func (g *Gossip) asMember(c context.Context) {
-	g.followPlaces(c, false)
-	own, far := g.targets()
-	answered, fresh := g.tell(c)
-	g.vacant = g.vacant || !answered || len(own) < relays
+// runMemberRound reports to the relay that represents this box. If the relay doesn't answer, is no
+// relay any longer, or gets no answer from the store, the box switches to one that does. If there is
+// none and the store answers this box, it watches the store itself and tries to claim a slot. While
+// the store answers nobody, a box stays with its relay.
+func (g *Gossip) runMemberRound(c context.Context) {
+	g.setSlotWatch(c, false)
+	local, remote := g.relayTargets()
+	answered, fresh := g.reportToRelay(c)
+	g.slotVacant = g.slotVacant || !answered || len(local) < relaysPerDataCentre
 	if !fresh || g.relay.dataCentre != g.DataCentre {
-		fresh = g.join(c, own) || fresh
+		fresh = g.switchRelay(c, local) || fresh
 	}
 	switch {
 	case fresh:
 		g.known.Follow(false)
-		if g.vacant {
-			g.enlist(c)
+		if g.slotVacant {
+			g.claimSlot(c)
 		}
 		return
-	case g.young() && !g.session.Away():
-		g.enlist(c)
-	case g.reaches(c):
+	case g.inStartupGrace() && !g.session.Away():
+		g.claimSlot(c)
+	case g.storeAnswers(c):
 		g.known.Follow(true)
-		g.enlist(c)
+		g.claimSlot(c)
 	}
-	if !answered && g.session.Silent() > quiet {
-		g.ask(c, far)
+	if !answered && g.session.Silent() > askAnyAfter {
+		g.askOtherBoxes(c, remote)
 	}
 }
 
-// reaches reports whether the store answers this box, whatever the relays say. Where it
-// answers nobody all boxes find no relay of use at once: without the check each then asks
-// the store for everything until its own next renewal, seconds later.
-func (g *Gossip) reaches(c context.Context) bool {
-	x, cancel := context.WithTimeout(c, callLimit)
+// storeAnswers reports whether the store answers this box now, regardless of the relays. In an outage
+// of the store, all boxes find no usable relay at the same time. Without this check, each of them
+// would request everything from the store until its own next lease renewal, seconds later.
+func (g *Gossip) storeAnswers(c context.Context) bool {
+	x, cancel := context.WithTimeout(c, callTimeout)
 	defer cancel()
 	return g.session.Check(x)
 }
 
-// tell tells the relay that counts this box. It reports whether it answers as one,
-// and whether it hears the store.
-func (g *Gossip) tell(c context.Context) (answered, fresh bool) {
+// reportToRelay sends this box's status to its relay. It returns whether the box there answers as a
+// relay, and whether the store answered that relay recently.
+func (g *Gossip) reportToRelay(c context.Context) (answered, fresh bool) {
 	if g.relay.address == "" || g.relay.box == g.Box {
 		return false, false
 	}
-	var w World
-	status := g.status()
+	var w MemberReply
+	status := g.memberStatus()
 	if err := g.call(c, g.relay.address, "gossip.member", status, &w); err != nil || !w.Relay {
-		g.log.Debug().Str("event", "relay").Str("other", g.relay.box).Bool("relay", w.Relay).Err(err).Msg("no longer of use")
+		g.log.Debug().Str("event", "relay").Str("other", g.relay.box).Bool("relay", w.Relay).Err(err).Msg("relay not usable")
 		return false, false
 	}
-	g.heardWorld(w)
+	g.applyReply(w)
 	g.session.Told(w.Silent)
-	g.vacant = g.vacant || w.Vacant && g.relay.dataCentre == g.DataCentre
+	g.slotVacant = g.slotVacant || w.Vacant && g.relay.dataCentre == g.DataCentre
 	g.catchUp(g.relay.address, w.Others.Version, w.Revision)
-	return true, w.Silent <= stale
+	return true, w.Silent <= maxStoreSilence
 }
 
-// join looks for another relay that hears the store among some, and makes it the
-// one that counts this box from the next round on.
-func (g *Gossip) join(c context.Context, among []seat) bool {
-	for _, s := range among {
+// switchRelay looks for another relay that gets answers from the store, and lets it represent this
+// box from the next round on.
+func (g *Gossip) switchRelay(c context.Context, candidates []relaySlot) bool {
+	for _, s := range candidates {
 		if s.box == g.relay.box && s.address == g.relay.address {
 			continue
 		}
-		var w World
-		if err := g.call(c, s.address, "gossip.member", g.status(), &w); err != nil || !w.Relay || w.Silent > stale {
+		var w MemberReply
+		if err := g.call(c, s.address, "gossip.member", g.memberStatus(), &w); err != nil || !w.Relay || w.Silent > maxStoreSilence {
 			continue
 		}
 		g.joinRelay(s, w)
@@ -88,22 +88,22 @@
 	return false
 }
 
-func (g *Gossip) joinRelay(s seat, w World) {
+func (g *Gossip) joinRelay(s relaySlot, w MemberReply) {
 	g.log.Info().Str("event", "relay").Str("other", s.box).Str("before", g.relay.box).Dur("silent", w.Silent).Msg("tells this box from now on")
 	g.setRelay(s)
 }
 
-// ask takes what some other box knows while neither the store nor a relay of this
-// data centre answers; a relay that does then counts this box.
-func (g *Gossip) ask(c context.Context, far []seat) {
+// askOtherBoxes catches up from random boxes while neither the store nor a relay of this data centre
+// answers. If one of them is a relay, it represents this box from then on.
+func (g *Gossip) askOtherBoxes(c context.Context, candidates []relaySlot) {
 	for _, a := range g.Seeds {
-		far = append(far, seat{address: a})
+		candidates = append(candidates, relaySlot{address: a})
 	}
-	far = slices.DeleteFunc(far, func(s seat) bool { return s.address == g.Address })
-	rand.Shuffle(len(far), func(i, j int) { far[i], far[j] = far[j], far[i] })
-	for _, s := range far[:min(len(far), askAtOnce)] {
-		var w World
-		if err := g.call(c, s.address, "gossip.member", g.status(), &w); err != nil {
+	candidates = slices.DeleteFunc(candidates, func(s relaySlot) bool { return s.address == g.Address })
+	rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+	for _, s := range candidates[:min(len(candidates), maxAskedBoxes)] {
+		var w MemberReply
+		if err := g.call(c, s.address, "gossip.member", g.memberStatus(), &w); err != nil {
 			continue
 		}
 		g.catchUp(s.address, w.Others.Version, w.Revision)
@@ -114,23 +114,24 @@
 	}
 }
 
-// status returns what this box tells as a member.
-func (g *Gossip) status() Status {
-	s := g.self()
-	if !g.tellsSpeeds() {
+// memberStatus returns what this box reports to its relay.
+func (g *Gossip) memberStatus() Status {
+	s := g.ownStatus()
+	if !g.includesStats() {
 		s.Speeds = nil
 	}
 	s.Relay = g.relay.box
-	s.ForItself = boottime.Since(g.began) < selfFor+startPeriod // until the round after its last as such
+	// One round longer than representsItself, so that this box isn't counted twice.
+	s.ForItself = boottime.Since(g.startedAt) < selfRepresentedFor+startupRoundPeriod
 	s.Divided = g.Quota.Division().Version
 	s.Suspects = g.Quarantine.Local(boottime.Now())
-	s.Works = worksOf(g.WorksWith())
+	s.Works = newEndpointSet(g.UsedEndpoints())
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	s.Knows, s.Judged = g.world.Peers.Sum, g.world.Judged
-	s.Leavers = g.known.Roster.Leavers(g.world.Leavers.Sum)
-	s.Rates = g.Rates.Report(g.world.Rates.Sum, boottime.Now())
-	if s.Works.Sum == g.world.Works {
+	s.Knows, s.Judged = g.reply.Peers.Sum, g.reply.Judged
+	s.Leavers = g.known.Roster.Leavers(g.reply.Leavers.Sum)
+	s.Rates = g.Rates.Report(g.reply.Rates.Sum, boottime.Now())
+	if s.Works.Sum == g.reply.Works {
 		s.Works.IDs = nil
 	}
 	return s
--- a/gossip/near.go
+++ b/gossip/near.go
@@ -8,91 +8,91 @@
 	"birchlink.dev/birchlink/boottime"
 )
 
-// nearBoxes is up to how many boxes all tell each other at once of every long prompt; in
-// a larger fleet those of a data centre do. farBoxes is up to how many all tell each other
-// of very long prompts: where those are one in nine of 420 requests a second, each box is
-// sent 45 datagrams a second, 2.6 KB/s. What a box hears does not grow with the fleet beyond
-// that.
+// Limits on which boxes exchange hints. In a fleet of up to maxBoxesAllNear boxes, each box sends
+// hints of long prompts to all others; in a larger one, only to those of its data centre. Up to
+// maxBoxesWithFar boxes, all exchange hints of very long prompts too: if these are one in nine of 420
+// requests per second, each box receives 45 datagrams or 2.6 KB per second. In larger fleets a box
+// receives no more than this.
 const (
-	nearBoxes = 12
-	farBoxes  = 100
+	maxBoxesAllNear = 12
+	maxBoxesWithFar = 100
 )
 
-// Peers are the addresses of the boxes that tell each other at once what they send: Near
-// of long prompts, Far of very long ones too. Sum tells one list from another.
+// Peers holds the addresses of boxes that exchange hints: Near those for all long prompts, Far
+// those for very long ones only. Sum is a checksum of both lists.
 type Peers struct {
 	Sum  uint64
 	Near []string
 	Far  []string
 }
 
-// Peers returns the other boxes that are told at once what this one sends.
+// Peers returns the other boxes to which this box sends hints.
 func (g *Gossip) Peers() Peers {
-	p := g.peers()
-	own := func(a string) bool { return a == g.Address }
-	p.Near = slices.DeleteFunc(slices.Clone(p.Near), own)
-	p.Far = slices.DeleteFunc(slices.Clone(p.Far), own)
+	p := g.allPeers()
+	isOwn := func(a string) bool { return a == g.Address }
+	p.Near = slices.DeleteFunc(slices.Clone(p.Near), isOwn)
+	p.Far = slices.DeleteFunc(slices.Clone(p.Far), isOwn)
 	return p
 }
 
-// peers returns all boxes that tell each other, this one included, as a relay hears them
-// or has told this box.
-func (g *Gossip) peers() Peers {
-	relay := g.holds()
+// allPeers returns the boxes that exchange hints, this one included, as a relay sees them or as its
+// relay has reported them.
+func (g *Gossip) allPeers() Peers {
+	isRelay := g.holdsSlot()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if relay {
-		return g.peersHeard()
+	if isRelay {
+		return g.reachablePeers()
 	}
-	if boottime.Since(g.at) < forgotten {
-		return g.world.Peers
+	if boottime.Since(g.repliedAt) < forgetAfter {
+		return g.reply.Peers
 	}
 	return Peers{}
 }
 
-// peersHeard returns the boxes that this relay hears, and those that other relays hear.
-// The lock must be held.
-func (g *Gossip) peersHeard() Peers {
-	own, far := []string{g.Address}, []string{}
+// reachablePeers returns the peers among the boxes that report to this relay or to another. The
+// lock must be held.
+func (g *Gossip) reachablePeers() Peers {
+	local, remote := []string{g.Address}, []string{}
 	for _, m := range g.members {
-		if boottime.Since(m.at) < lost {
-			own = append(own, m.Address)
+		if boottime.Since(m.receivedAt) < unreachableAfter {
+			local = append(local, m.Address)
 		}
 	}
-	for _, o := range g.others {
+	for _, o := range g.otherRelays {
 		switch {
-		case boottime.Since(o.at) >= lost:
+		case boottime.Since(o.receivedAt) >= unreachableAfter:
 		case o.DataCentre == g.DataCentre:
-			own = append(append(own, o.Address), o.Members...)
+			local = append(append(local, o.Address), o.Members...)
 		default:
-			far = append(append(far, o.Address), o.Members...)
+			remote = append(append(remote, o.Address), o.Members...)
 		}
 	}
-	own, far = distinct(own), distinct(far)
-	p := Peers{Near: own, Far: far}
-	switch n := len(own) + len(far); {
-	case n <= nearBoxes:
-		p = Peers{Near: distinct(append(own, far...))}
-	case n > farBoxes:
-		p = Peers{Near: own}
+	local, remote = distinct(local), distinct(remote)
+	p := Peers{Near: local, Far: remote}
+	switch n := len(local) + len(remote); {
+	case n <= maxBoxesAllNear:
+		p = Peers{Near: distinct(append(local, remote...))}
+	case n > maxBoxesWithFar:
+		p = Peers{Near: local}
 	}
-	p.Sum = p.sum()
+	p.Sum = p.checksum()
 	return p
 }
 
-// distinct sorts addresses and drops the second of two: a box that has just moved may be
-// counted by two relays.
+// distinct sorts addresses and removes duplicates: two relays may represent a box that has just
+// switched.
 func distinct(as []string) []string {
 	slices.Sort(as)
 	return slices.Compact(as)
 }
 
-// sum is a hash of both lists.
-func (p Peers) sum() uint64 {
+// checksum returns a hash of both lists.
+func (p Peers) checksum() uint64 {
 	var d xxhash.Digest
 	for _, list := range [][]string{p.Near, p.Far} {
 		for _, a := range list {
-			_, _ = d.WriteString(a + " ") // a hash takes whatever it is given
+			_, _ = d.WriteString(a + " ") // never fails
 		}
 		_, _ = d.WriteString("/")
 	}
--- a/gossip/news.go
+++ b/gossip/news.go
@@ -17,46 +17,47 @@
 )
 
 const (
-	// gatherFor is how long news of endpoints that ended are gathered before they are told:
-	// where many end at once each box then makes one call.
-	gatherFor = 10 * time.Millisecond
+	// notificationDelay is how long notifications are batched before they are sent, so that each box
+	// makes one call when many endpoints crash at once.
+	notificationDelay = 10 * time.Millisecond
 
-	// knownEnded is how many endpoints that ended are known to have been told. Where more
-	// end within a moment some are told twice.
-	knownEnded = 1024
+	// maxReportedCrashes is the number of crashed endpoints remembered as reported. If more crash within
+	// a moment, some are reported twice.
+	maxReportedCrashes = 1024
 )
 
-// news is what is told at once of endpoints that ended or leave: a request that ends endpoints comes
-// again before the next round, and without a word each box finds an endpoint gone by a
-// call of its own: 412 calls in 17 s on a day on which 39 endpoints ended, after which 71
-// requests found none. A relay passes on what its members tell; Relay says that it has.
-type news struct {
+// notification is what boxes send between rounds, mainly about crashed and leaving endpoints. A
+// request that crashes endpoints is retried before the next round, and without notifications each box
+// finds out by a failed call of its own: after 39 crashes there were 412 such calls within 17 s, and
+// 71 requests then found no endpoint. A relay forwards what its members send, with Relay set.
+type notification struct {
 	Relay    bool
-	Ended    []string // endpoints
-	Leaving  []string // endpoints that said in an answer that they leave
+	Ended    []string // incarnations of crashed endpoints
+	Leaving  []string // incarnations of endpoints that announced in an answer that they leave
 	Suspects []quarantine.Suspect
-	Rates    []stated.Statement          // limits that endpoints named, lowered or ended
-	Orders   rollout.Orders              // of roll-outs, if they are news
-	Words    map[string]rollout.Progress // on a new stage of one
+	Rates    []stated.Statement          // rate limits that endpoints set, lowered or removed
+	Orders   rollout.Orders              // of rollouts; zero if unchanged
+	Words    map[string]rollout.Progress // of rollouts that entered a new stage, by service
 }
 
-func (n *news) empty() bool {
+func (n *notification) isEmpty() bool {
 	return len(n.Ended)+len(n.Leaving)+len(n.Suspects)+len(n.Rates)+len(n.Words) == 0 && n.Orders.Revision == 0
 }
 
-// Ended tells the others that an endpoint has ended.
-func (g *Gossip) Ended(endpoint string) {
-	if g.firstWord(endpoint) {
-		g.tellNews(news{Ended: []string{endpoint}})
+// BroadcastCrash notifies the other boxes that an endpoint has crashed.
+func (g *Gossip) BroadcastCrash(incarnation string) {
+	if g.markCrashReported(incarnation) {
+		g.notify(notification{Ended: []string{incarnation}})
 	}
 }
 
-// Leaves tells the others that an endpoint said in an answer that it leaves.
-func (g *Gossip) Leaves(endpoint string) { g.tellNews(news{Leaving: []string{endpoint}}) }
+// BroadcastLeaving notifies the other boxes that an endpoint announced in an answer that it leaves.
+func (g *Gossip) BroadcastLeaving(incarnation string) {
+	g.notify(notification{Leaving: []string{incarnation}})
+}
 
-// hearLeavers takes in what another box tells of endpoints that leave, and returns what of it
-// is news.
-func (g *Gossip) hearLeavers(l endpoint.Leavers) []string {
+// mergeLeavers takes in leaving endpoints reported by another box, and returns those that are new.
+func (g *Gossip) mergeLeavers(l endpoint.Leavers) []string {
 	fresh := g.known.Roster.Hear(l)
 	for _, e := range fresh {
 		g.log.Info().Str("event", "endpoint").Str("endpoint", e).Str("seen", "another box was told").Msg("leaves")
@@ -64,13 +65,15 @@
 	return fresh
 }
 
-// Stated tells the others what an endpoint said of the rate that it takes.
-func (g *Gossip) Stated(w stated.Statement) { g.tellNews(news{Rates: []stated.Statement{w}}) }
+// BroadcastRate notifies the other boxes of the request rate that an endpoint stated.
+func (g *Gossip) BroadcastRate(w stated.Statement) {
+	g.notify(notification{Rates: []stated.Statement{w}})
+}
 
-// hearRates takes in what another box tells of the rates that endpoints take, and returns what of
-// it is news.
-func (g *Gossip) hearRates(words []stated.Statement) []stated.Statement {
-	fresh := g.Rates.Merge(words, boottime.Now())
+// mergeRates takes in the endpoints' request rates reported by another box, and returns those that
+// are new.
+func (g *Gossip) mergeRates(statements []stated.Statement) []stated.Statement {
+	fresh := g.Rates.Merge(statements, boottime.Now())
 	for _, w := range fresh {
 		g.log.Info().Str("event", "endpoint").Str("endpoint", w.Incarnation).Bool("limited", w.Named).Float64("per_second", w.PerSecond).
 			Dur("age", w.Age).Str("seen", "another box was told").Msg("takes a rate")
@@ -78,70 +81,71 @@
 	return fresh
 }
 
-// firstWord reports whether an endpoint's end is heard of for the first time.
-func (g *Gossip) firstWord(endpoint string) bool {
+// markCrashReported records the crash of an endpoint, and reports whether it is new.
+func (g *Gossip) markCrashReported(incarnation string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.ended == nil {
-		g.ended, _ = simplelru.NewLRU[string, bool](knownEnded, nil) // the size is above zero
+	if g.reportedCrashes == nil {
+		g.reportedCrashes, _ = simplelru.NewLRU[string, bool](maxReportedCrashes, nil) // fails only for a size below one
 	}
-	if g.ended.Contains(endpoint) {
+	if g.reportedCrashes.Contains(incarnation) {
 		return false
 	}
-	g.ended.Add(endpoint, true)
+	g.reportedCrashes.Add(incarnation, true)
 	return true
 }
 
-// tellNews tells others what this box, or a member of this relay, has just seen.
-func (g *Gossip) tellNews(n news) {
+// notify queues a notification of this box, or of a member of this relay, and sends the queue after
+// notificationDelay.
+func (g *Gossip) notify(n notification) {
 	g.mu.Lock()
-	first := g.news.empty()
-	g.news.Ended = append(g.news.Ended, n.Ended...)
-	g.news.Leaving = append(g.news.Leaving, n.Leaving...)
-	g.news.Suspects = append(g.news.Suspects, n.Suspects...)
-	g.news.Rates = append(g.news.Rates, n.Rates...)
-	g.news.Words = rollout.MergeProgress(g.news.Words, n.Words, 0)
-	if n.Orders.Revision > g.news.Orders.Revision {
-		g.news.Orders = n.Orders
+	wasEmpty := g.pending.isEmpty()
+	g.pending.Ended = append(g.pending.Ended, n.Ended...)
+	g.pending.Leaving = append(g.pending.Leaving, n.Leaving...)
+	g.pending.Suspects = append(g.pending.Suspects, n.Suspects...)
+	g.pending.Rates = append(g.pending.Rates, n.Rates...)
+	g.pending.Words = rollout.MergeProgress(g.pending.Words, n.Words, 0)
+	if n.Orders.Revision > g.pending.Orders.Revision {
+		g.pending.Orders = n.Orders
 	}
 	g.mu.Unlock()
-	if !first {
+	if !wasEmpty {
 		return
 	}
 	g.spawn(func() {
-		wait.For(g.life, gatherFor)
+		wait.For(g.ctx, notificationDelay)
 		g.mu.Lock()
-		n := g.news
-		g.news = news{}
+		n := g.pending
+		g.pending = notification{}
 		g.mu.Unlock()
-		g.passOn(n)
+		g.forward(n)
 	})
 }
 
-// passOn sends news to the relay that counts this box or, from a relay, to all others.
-func (g *Gossip) passOn(n news) {
-	if g.holds() {
+// forward sends a notification to the relay that represents this box or, from a relay, to all others.
+func (g *Gossip) forward(n notification) {
+	if g.holdsSlot() {
 		n.Relay = true
-		g.sendNews(g.relaysHeard(), n)
-		g.tellMembers(n)
+		g.sendNotification(g.reachableRelays(), n)
+		g.notifyMembers(n)
 		return
 	}
 	g.mu.Lock()
-	a := g.relayAddress
+	address := g.relayAddress
 	g.mu.Unlock()
-	if a != "" {
-		g.sendNews([]string{a}, n)
+	if address != "" {
+		g.sendNotification([]string{address}, n)
 	}
 }
 
-// fromNews takes what a member or another relay has learnt.
-func (g *Gossip) fromNews(_ context.Context, in news) (bool, error) {
+// handleNotification takes in a notification of a member or of another relay.
+func (g *Gossip) handleNotification(_ context.Context, in notification) (bool, error) {
 	suspected := g.Quarantine.Merge(in.Suspects, boottime.Now())
-	fresh := news{Leaving: g.hearLeavers(endpoint.Leavers{Incarnations: in.Leaving}), Rates: g.hearRates(in.Rates)}
+	fresh := notification{Leaving: g.mergeLeavers(endpoint.Leavers{Incarnations: in.Leaving}), Rates: g.mergeRates(in.Rates)}
 	for _, e := range in.Ended {
-		if g.firstWord(e) {
+		if g.markCrashReported(e) {
 			fresh.Ended = append(fresh.Ended, e)
-			g.OnEnded(e)
+			g.OnCrash(e)
 		}
 	}
 	if suspected {
@@ -152,51 +156,53 @@
 	}
 	fresh.Words = g.Rollouts.UpdateProgress(in.Words, boottime.Now())
 	switch {
-	case fresh.empty() || !g.holds():
+	case fresh.isEmpty() || !g.holdsSlot():
 	case in.Relay:
-		g.tellMembers(fresh)
+		g.notifyMembers(fresh)
 	default:
-		g.tellNews(fresh)
+		g.notify(fresh)
 	}
 	return true, nil
 }
 
-// tellMembers tells the members of a relay which endpoints have ended or leave and, if they
-// were told others last, the verdicts on contents.
-func (g *Gossip) tellMembers(n news) {
+// notifyMembers forwards a notification to the members of this relay. It replaces the suspects by the
+// verdicts, and sends these only if they have changed.
+func (g *Gossip) notifyMembers(n notification) {
 	n.Relay, n.Suspects = true, nil
 	verdicts := g.Quarantine.Verdicts(boottime.Now())
 	sum := quarantine.Sum(verdicts)
 	g.mu.Lock()
-	if g.judged != sum {
+	if g.verdictSum != sum {
 		n.Suspects = verdicts
 	}
-	g.judged = sum
+	g.verdictSum = sum
 	g.mu.Unlock()
-	if !n.empty() {
-		g.sendNews(g.membersHeard(), n)
+	if !n.isEmpty() {
+		g.sendNotification(g.reachableMembers(), n)
 	}
 }
 
-func (g *Gossip) sendNews(to []string, n news) { g.tellAll(g.life, to, "gossip.news", n) }
+func (g *Gossip) sendNotification(to []string, n notification) {
+	g.broadcast(g.ctx, to, "gossip.news", n)
+}
 
-// tries reports whether this box is the one of all that sends a refused content on as a
-// trial: of the relays that it hears or is told of, the first by rendezvous.
-func (g *Gossip) tries(h content.Hash) bool {
-	first, top := g.Box, uint64(0)
+// sendsTrials reports whether this box is the only one that sends a refused content as a trial: the
+// first by rendezvous hashing among the relays that it knows.
+func (g *Gossip) sendsTrials(h content.Hash) bool {
+	first, maxWeight := g.Box, uint64(0)
 	for _, a := range g.arbiters() {
-		if w := xxhash.Sum64String(h.String() + "/" + a.Box); w > top {
-			first, top = a.Box, w
+		if w := xxhash.Sum64String(h.String() + "/" + a.Box); w > maxWeight {
+			first, maxWeight = a.Box, w
 		}
 	}
 	return first == g.Box
 }
 
-// suspects returns what a relay tells other relays in a round of contents under which
-// endpoints end: what is new, and now and then all that are refused.
-func (g *Gossip) suspects(now time.Time) []quarantine.Suspect {
+// relaySuspects returns the contents suspected of crashing endpoints that a relay reports to other
+// relays: recent ones in every round, and all refused ones every statsRounds.
+func (g *Gossip) relaySuspects(now time.Time) []quarantine.Suspect {
 	s := g.Quarantine.Recent(now)
-	if g.tellsSpeeds() {
+	if g.includesStats() {
 		s = append(s, g.Quarantine.Refused(now)...)
 	}
 	return s
--- a/gossip/records.go
+++ b/gossip/records.go
@@ -10,12 +10,12 @@
 	"birchlink.dev/birchlink/known"
 )
 
-// fewRecords is how many records are told as they are: packing pays where there are more.
-const fewRecords = 50
+// maxPlainRecords is the number of records up to which compression isn't worthwhile.
+const maxPlainRecords = 50
 
 func (g *Gossip) pushRecords(c context.Context, r known.Records) {
-	if len(r.Items) <= fewRecords {
-		g.push(c, update{Records: &r, From: g.Box})
+	if len(r.Items) <= maxPlainRecords {
+		g.pushUpdate(c, update{Records: &r, From: g.Box})
 		return
 	}
 	zip, err := packRecords(r)
@@ -23,13 +23,12 @@
 		g.log.Error().Str("event", "endpoint").Err(err).Msg("records not pushed; members fetch them")
 		return
 	}
-	g.push(c, update{Packed: zip, From: g.Box})
+	g.pushUpdate(c, update{Packed: zip, From: g.Box})
 }
 
-// packRecords returns records as they go between boxes where there are many. A relay that
-// has read those of 3,000 endpoints tells them to a hundred members at once: with
-// a copy of its own for each, the busiest of 300 boxes needed 287 MB and 21 MB/s; packed
-// once for all, 49 MB and 3.6 MB/s.
+// packRecords encodes and compresses records. A relay that has read the records of 3,000 endpoints
+// sends them to a hundred members at once. Encoded separately for each member, this took 287 MB and
+// 21 MB/s on the busiest of 300 boxes; packed once for all, 49 MB and 3.6 MB/s.
 func packRecords(r known.Records) ([]byte, error) {
 	b, err := msgpack.Marshal(r)
 	if err != nil {
@@ -38,27 +37,26 @@
 	return pack(b)
 }
 
-// packedRecords keeps what was last asked for of the records of one revision, by the revision
-// since which it was asked for: after a lost push many members ask for the same.
-type packedRecords struct {
-	mu       sync.Mutex
-	revision uint64
-	zips     map[uint64][]byte
+// recordsCache caches packed records of one revision by the revision from which they start: after a
+// lost push, many members ask for the same records.
+type recordsCache struct {
+	mu          sync.Mutex
+	revision    uint64
+	zipsByStart map[uint64][]byte
 }
 
-// pack returns the records that have changed since a revision, packed, doing the work once for
-// each pair of revisions.
-func (p *packedRecords) pack(k *known.Known, since uint64) ([]byte, error) {
+// pack returns the packed records that changed since a revision. It packs once per pair of revisions.
+func (p *recordsCache) pack(k *known.Known, since uint64) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if zip, ok := p.zips[since]; ok && p.revision == k.Revision() {
+	if zip, ok := p.zipsByStart[since]; ok && p.revision == k.Revision() {
 		return zip, nil
 	}
 	r := k.Since(since)
-	if p.zips == nil || p.revision != r.To {
-		p.revision, p.zips = r.To, map[uint64][]byte{}
+	if p.zipsByStart == nil || p.revision != r.To {
+		p.revision, p.zipsByStart = r.To, map[uint64][]byte{}
 	}
-	zip, ok := p.zips[0]
+	zip, ok := p.zipsByStart[0]
 	if !ok || !r.Whole {
 		var err error
 		if zip, err = packRecords(r); err != nil {
@@ -66,13 +64,13 @@
 		}
 	}
 	if r.Whole {
-		p.zips[0] = zip
+		p.zipsByStart[0] = zip
 	}
-	p.zips[since] = zip
+	p.zipsByStart[since] = zip
 	return zip, nil
 }
 
-// unpackRecords returns the records of what packRecords made.
+// unpackRecords reverses packRecords.
 func unpackRecords(zip []byte) (known.Records, error) {
 	var r known.Records
 	b, err := unpack(zip)
--- a/gossip/relay.go
+++ b/gossip/relay.go
@@ -11,97 +11,100 @@
 	"birchlink.dev/birchlink/rollout"
 )
 
-// self returns what this box alone tells.
-func (g *Gossip) self() Status {
-	s := g.Own()
+// ownStatus returns the report of this box alone.
+func (g *Gossip) ownStatus() Status {
+	s := g.LocalStatus()
 	s.Boxes = 1
 	return s
 }
 
-// tellsSpeeds reports whether this round's statuses carry what was observed of speeds.
-func (g *Gossip) tellsSpeeds() bool { return g.rounds.Load()%speedsRounds == 0 }
+// includesStats reports whether the statuses of this round carry endpoint statistics.
+func (g *Gossip) includesStats() bool { return g.rounds.Load()%statsRounds == 0 }
 
-// together returns what this box tells for itself and its members.
-func (g *Gossip) together() Status {
-	s := empty(g.Box, g.DataCentre, g.Address)
-	self := g.self()
+// relayStatus returns the report of this relay for itself and its members.
+func (g *Gossip) relayStatus() Status {
+	s := emptyStatus(g.Box, g.DataCentre, g.Address)
+	self := g.ownStatus()
 	s.add(self)
 	s.Words = rollout.MergeProgress(nil, self.Words, 0)
-	s.Leaving = g.leaves()
+	s.Leaving = g.isLeaving()
 	s.Revision, s.Silent = g.known.Revision(), g.session.Silent()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, h := range g.members {
-		if boottime.Since(h.at) < lost {
+		if boottime.Since(h.receivedAt) < unreachableAfter {
 			s.add(h.Status)
-			s.addWords(h, boottime.Now())
+			s.addProgress(h, boottime.Now())
 			s.Members = append(s.Members, h.Address)
 		}
 	}
-	if !g.tellsSpeeds() {
+	if !g.includesStats() {
 		s.Speeds = nil
 	}
-	s.Suspects = g.suspects(boottime.Now())
+	s.Suspects = g.relaySuspects(boottime.Now())
 	s.Orders = g.Rollouts.Orders()
 	return s
 }
 
-// sum returns all others together as this box sees them.
-func (g *Gossip) sum() Status {
-	s := empty(g.Box, g.DataCentre, g.Address)
-	relay := g.holds()
+// othersTotal returns the sum of the reports of all other boxes.
+func (g *Gossip) othersTotal() Status {
+	s := emptyStatus(g.Box, g.DataCentre, g.Address)
+	isRelay := g.holdsSlot()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := boottime.Now()
-	if !relay {
-		if now.Sub(g.at) < forgotten {
-			return g.world.Others
+	if !isRelay {
+		if now.Sub(g.repliedAt) < forgetAfter {
+			return g.reply.Others
 		}
 		return s
 	}
 	for _, h := range g.members {
-		if now.Sub(h.at) < lost {
+		if now.Sub(h.receivedAt) < unreachableAfter {
 			s.add(h.Status)
 		}
 	}
-	for _, h := range g.others {
-		if now.Sub(h.at) < lost {
+	for _, h := range g.otherRelays {
+		if now.Sub(h.receivedAt) < unreachableAfter {
 			s.add(h.Status)
 		}
 	}
 	return s
 }
 
-// fromMember answers a box of this data centre, or one that has lost its relays.
-// It is counted only if this is the relay that it has chosen: a box that asks
-// around for one is counted where it was.
-func (g *Gossip) fromMember(_ context.Context, in Status) (World, error) {
+// handleMember answers a box of this data centre, or one that has lost its relays. This relay
+// represents the box only if the box has chosen it; a box that is looking for another relay still
+// counts at its old one.
+func (g *Gossip) handleMember(_ context.Context, in Status) (MemberReply, error) {
 	now := boottime.Now()
 	g.Quarantine.Merge(in.Suspects, now)
-	g.hearLeavers(in.Leavers)
-	g.hearRates(in.Rates.Words)
+	g.mergeLeavers(in.Leavers)
+	g.mergeRates(in.Rates.Words)
 	g.Rollouts.UpdateProgress(in.Words, now)
 	in.Suspects, in.Leavers.Incarnations, in.Rates.Words = nil, nil, nil
-	relay := g.holds()
-	counted := relay && in.Relay == g.Box
-	told := in.Speeds != nil
+	isRelay := g.holdsSlot()
+	represented := isRelay && in.Relay == g.Box
+	hasStats := in.Speeds != nil
 	g.mu.Lock()
-	old, had := g.members[in.Box]
-	in.keepWorks(old.Status)
-	if counted {
-		in.keepSpeeds(old.Status)
-		g.members[in.Box] = heard{Status: in, at: now}
+	old, known := g.members[in.Box]
+	in.keepEndpointSet(old.Status)
+	if represented {
+		in.keepStats(old.Status)
+		g.members[in.Box] = receivedStatus{Status: in, receivedAt: now}
 	}
-	g.last = now
+	g.lastContact = now
 	g.mu.Unlock()
-	if counted && !had {
-		g.log.Info().Str("event", "member").Str("other", in.Box).Uint64("version", in.Version).Msg("in touch")
+	if represented && !known {
+		g.log.Info().Str("event", "member").Str("other", in.Box).Uint64("version", in.Version).Msg("member joined")
 	}
-	w := World{Relay: relay, Vacant: relay && g.places() < relays, Revision: g.known.Revision(), Silent: g.session.Silent(), Now: g.Clock.Now()}
-	if relay {
-		g.answer(&w, in)
+	w := MemberReply{
+		Relay: isRelay, Vacant: isRelay && g.countLocalRelays() < relaysPerDataCentre,
+		Revision: g.known.Revision(), Silent: g.session.Silent(), Now: g.Clock.Now(),
+	}
+	if isRelay {
+		g.fillReply(&w, in)
 	} else {
-		w.Others, w.Peers, w.Arbiters, w.Counts = g.sum(), g.peers(), g.arbiters(), g.counts()
+		w.Others, w.Peers, w.Arbiters, w.Counts = g.othersTotal(), g.allPeers(), g.arbiters(), g.reachableBoxes()
 	}
 	if w.Peers.Sum == in.Knows {
 		w.Peers.Near, w.Peers.Far = nil, nil
@@ -118,41 +121,41 @@
 	w.Orders = g.Rollouts.Orders()
 	w.Others.Version, _ = g.known.Raw()
 	w.Others.Usage = nil
-	if !told {
+	if !hasStats {
 		w.Others.Speeds = nil
 	}
 	return w, nil
 }
 
-// fromRelay takes what another relay tells, and answers with this one's.
-func (g *Gossip) fromRelay(_ context.Context, in Status) (Status, error) {
-	g.hearRelay(in)
-	s := g.together()
+// handleRelay takes in the status of another relay, and answers with this relay's.
+func (g *Gossip) handleRelay(_ context.Context, in Status) (Status, error) {
+	g.mergeRelayStatus(in)
+	s := g.relayStatus()
 	s.Limits, s.Now = g.Quota.Tell(in.Box, boottime.Now()), g.Clock.Now()
 	s.Leavers = g.known.Roster.Leavers(in.Leavers.Sum)
 	s.Rates = g.Rates.Report(in.Rates.Sum, boottime.Now())
 	return s, nil
 }
 
-func (g *Gossip) hearRelay(in Status) {
+func (g *Gossip) mergeRelayStatus(in Status) {
 	now := boottime.Now()
 	g.Quota.Hear(in.Limits, now)
 	g.Quarantine.Merge(in.Suspects, now)
-	g.hearLeavers(in.Leavers)
-	g.hearRates(in.Rates.Words)
-	g.hearRollouts(in.Orders, in.Words)
+	g.mergeLeavers(in.Leavers)
+	g.mergeRates(in.Rates.Words)
+	g.mergeRollouts(in.Orders, in.Words)
 	in.Suspects, in.Leavers.Incarnations, in.Rates.Words = nil, nil, nil
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	in.keepSpeeds(g.others[in.Box].Status)
-	g.others[in.Box] = heard{in, now, in.Now.Sub(g.Clock.Now())}
-	g.last = now
+	in.keepStats(g.otherRelays[in.Box].Status)
+	g.otherRelays[in.Box] = receivedStatus{in, now, in.Now.Sub(g.Clock.Now())}
+	g.lastContact = now
 }
 
-// fromOwn takes what this box's relay learnt from the store.
-func (g *Gossip) fromOwn(_ context.Context, in update) (bool, error) {
+// handleUpdate takes in a change of the configuration or of records that a relay pushes.
+func (g *Gossip) handleUpdate(_ context.Context, in update) (bool, error) {
 	if len(in.Configuration) > 0 {
-		g.install(in.Configuration, in.From)
+		g.installConfiguration(in.Configuration, in.From)
 	}
 	if len(in.Packed) > 0 {
 		r, err := unpackRecords(in.Packed)
@@ -167,13 +170,13 @@
 	return true, nil
 }
 
-// exchange tells the other relays whose names come after this one's, and hears
-// them; a newer configuration there is fetched.
-func (g *Gossip) exchange(c context.Context) {
-	status := g.together()
-	own, far := g.targets()
+// exchangeWithRelays calls the relays whose box names sort after this one's, so that each pair
+// exchanges statuses once per round, and catches up with newer data.
+func (g *Gossip) exchangeWithRelays(c context.Context) {
+	status := g.relayStatus()
+	local, remote := g.relayTargets()
 	var w sync.WaitGroup
-	for _, s := range append(own, far...) {
+	for _, s := range append(local, remote...) {
 		if s.box < g.Box {
 			continue
 		}
@@ -181,92 +184,92 @@
 			var in Status
 			out := status
 			out.Limits, out.Now = g.Quota.Tell(s.box, boottime.Now()), g.Clock.Now()
-			told := g.otherRelay(s.box)
-			out.Leavers = g.known.Roster.Leavers(told.Leavers.Sum)
-			out.Rates = g.Rates.Report(told.Rates.Sum, boottime.Now())
+			last := g.lastRelayStatus(s.box)
+			out.Leavers = g.known.Roster.Leavers(last.Leavers.Sum)
+			out.Rates = g.Rates.Report(last.Rates.Sum, boottime.Now())
 			if err := g.call(c, s.address, "gossip.relay", out, &in); err == nil {
-				g.hearRelay(in)
+				g.mergeRelayStatus(in)
 			}
 		})
 	}
 	w.Wait()
-	g.fetchNewer()
-	g.forget()
+	g.catchUpFromRelays()
+	g.forgetUnreachable()
 }
 
-// otherRelay returns what another relay last told.
-func (g *Gossip) otherRelay(box string) Status {
+// lastRelayStatus returns the latest status of another relay.
+func (g *Gossip) lastRelayStatus(box string) Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.others[box].Status
+	return g.otherRelays[box].Status
 }
 
-// forget drops boxes that have been away for long.
-func (g *Gossip) forget() {
+// forgetUnreachable drops boxes that have been unreachable for forgetAfter.
+func (g *Gossip) forgetUnreachable() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	before := boottime.Now().Add(-forgotten)
+	cutoff := boottime.Now().Add(-forgetAfter)
 	for n, h := range g.members {
-		if h.at.Before(before) {
+		if h.receivedAt.Before(cutoff) {
 			delete(g.members, n)
 		}
 	}
-	for n, h := range g.others {
-		if h.at.Before(before) {
-			delete(g.others, n)
+	for n, h := range g.otherRelays {
+		if h.receivedAt.Before(cutoff) {
+			delete(g.otherRelays, n)
 			g.Quota.Forget(n)
 		}
 	}
 }
 
-// push tells the members of a change at once, and a relay that watches the store the
-// other relays too.
-func (g *Gossip) push(c context.Context, u update) {
-	if !g.holds() {
+// pushUpdate sends a change immediately to the members and, if this relay watches the store, to the
+// other relays.
+func (g *Gossip) pushUpdate(c context.Context, u update) {
+	if !g.holdsSlot() {
 		return
 	}
-	to := g.membersHeard()
+	to := g.reachableMembers()
 	if g.known.Follows() {
-		to = append(to, g.relaysHeard()...)
+		to = append(to, g.reachableRelays()...)
 	}
-	g.tellAll(c, to, "gossip.update", u)
+	g.broadcast(c, to, "gossip.update", u)
 }
 
-// tellAll makes the same call to some boxes, encoded once for all. One that is not reached finds
-// out in its next round.
-func (g *Gossip) tellAll(c context.Context, to []string, method string, in any) {
+// broadcast makes the same call to several boxes, encoded once. A box that isn't reached catches up
+// in its next round.
+func (g *Gossip) broadcast(c context.Context, to []string, method string, in any) {
 	if len(to) == 0 {
 		return
 	}
 	b, err := msgpack.Marshal(in)
 	if err != nil {
-		g.log.Error().Str("event", "told").Str("method", method).Err(err).Msg("not told; others ask for it")
+		g.log.Error().Str("event", "told").Str("method", method).Err(err).Msg("not sent; others fetch it")
 		return
 	}
 	for _, a := range to {
 		g.spawn(func() {
-			var took bool
-			if err := g.call(c, a, method, msgpack.RawMessage(b), &took); err != nil {
+			var accepted bool
+			if err := g.call(c, a, method, msgpack.RawMessage(b), &accepted); err != nil {
 				g.log.Debug().Str("event", "told").Str("method", method).Str("to", a).Err(err).Msg("not reached")
 			}
 		})
 	}
 }
 
-// membersHeard returns the addresses of the members that this relay has lately heard.
-func (g *Gossip) membersHeard() []string { return g.addresses(g.members) }
+// reachableMembers returns the addresses of the members that have reported recently.
+func (g *Gossip) reachableMembers() []string { return g.reachableAddresses(g.members) }
 
-// relaysHeard returns the addresses of the other relays that this one has lately heard.
-func (g *Gossip) relaysHeard() []string { return g.addresses(g.others) }
+// reachableRelays returns the addresses of the other relays that have reported recently.
+func (g *Gossip) reachableRelays() []string { return g.reachableAddresses(g.otherRelays) }
 
-func (g *Gossip) addresses(of map[string]heard) []string {
+func (g *Gossip) reachableAddresses(statuses map[string]receivedStatus) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var to []string
-	for _, h := range of {
-		if boottime.Since(h.at) < lost {
-			to = append(to, h.Address)
+	var addresses []string
+	for _, h := range statuses {
+		if boottime.Since(h.receivedAt) < unreachableAfter {
+			addresses = append(addresses, h.Address)
 		}
 	}
-	return to
+	return addresses
 }
--- a/gossip/rollouts.go
+++ b/gossip/rollouts.go
@@ -5,23 +5,23 @@
 	"birchlink.dev/birchlink/rollout"
 )
 
-// Ordered takes all orders of roll-outs as the store has them, and tells the others: a version's
-// endpoints may start as soon as its order stands.
-func (g *Gossip) Ordered(o rollout.Orders) {
+// BroadcastOrders sets all rollout orders as read from the store and notifies the other boxes. The
+// endpoints of a version may start as soon as its order is stored.
+func (g *Gossip) BroadcastOrders(o rollout.Orders) {
 	if g.Rollouts.SetOrders(o) {
-		g.tellNews(news{Orders: o})
+		g.notify(notification{Orders: o})
 	}
 }
 
-// Decided tells the others at once how far a roll-out is: while a bad version is known to one box
-// alone, all others go on sending it requests.
-func (g *Gossip) Decided(words map[string]rollout.Progress) {
-	g.Rollouts.UpdateProgress(words, boottime.Now())
-	g.tellNews(news{Words: words})
+// BroadcastProgress notifies the other boxes immediately of the progress of rollouts. Until they know
+// that a version is bad, they keep sending it requests.
+func (g *Gossip) BroadcastProgress(progress map[string]rollout.Progress) {
+	g.Rollouts.UpdateProgress(progress, boottime.Now())
+	g.notify(notification{Words: progress})
 }
 
-// hearRollouts takes in what another box tells in a round.
-func (g *Gossip) hearRollouts(o rollout.Orders, words map[string]rollout.Progress) {
+// mergeRollouts takes in what another box reports in a round.
+func (g *Gossip) mergeRollouts(o rollout.Orders, progress map[string]rollout.Progress) {
 	g.Rollouts.SetOrders(o)
-	g.Rollouts.UpdateProgress(words, boottime.Now())
+	g.Rollouts.UpdateProgress(progress, boottime.Now())
 }
--- a/gossip/rollouts_test.go
+++ b/gossip/rollouts_test.go
@@ -11,11 +11,11 @@
 
 // The order of a version, what its holder says of it and what boxes have seen of it reach all boxes,
 // also one that starts later.
-func TestRolloutsReachAll(t *testing.T) {
+func TestRolloutsReachAllBoxes(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
-	bs := seven(t, m)
-	await(t, func() bool { return count(bs, func(b *box) bool { return b.sum().Boxes == 6 }) == 7 })
+	bs := startSevenBoxes(t, m)
+	waitUntil(t, func() bool { return countBoxes(bs, func(b *box) bool { return b.othersTotal().Boxes == 6 }) == 7 })
 	o := rollout.Order{Service: "s", Version: "v2", Duration: time.Minute, Revision: 5}
 	stage := func(b *box) rollout.Stage {
 		v, s := b.Rollouts.Stage("s", boottime.Now())
@@ -26,22 +26,22 @@
 	}
 	relay := bs[0]
 	for _, b := range bs {
-		if b.Relay() {
+		if b.IsRelay() {
 			relay = b
 		}
 	}
-	relay.Ordered(rollout.Orders{Revision: 6, List: []rollout.Order{o}})
-	await(t, func() bool { return count(bs, func(b *box) bool { return stage(b) == rollout.Closed }) == 7 })
-	b := member(bs)
+	relay.BroadcastOrders(rollout.Orders{Revision: 6, List: []rollout.Order{o}})
+	waitUntil(t, func() bool { return countBoxes(bs, func(b *box) bool { return stage(b) == rollout.Closed }) == 7 })
+	b := anyMember(bs)
 	b.Rollouts.RecordAnswer("s", "r", "v2", true, false)
 	bs[0].Rollouts.RecordAnswer("s", "r", "v1", false, true)
-	await(t, func() bool {
-		e := rollout.AddEvidence(b.Rollouts.Evidence(), b.sum().Evidence)["s"].Routes["r"]
-		f := rollout.AddEvidence(relay.Rollouts.Evidence(), relay.sum().Evidence)["s"].Routes["r"]
+	waitUntil(t, func() bool {
+		e := rollout.AddEvidence(b.Rollouts.Evidence(), b.othersTotal().Evidence)["s"].Routes["r"]
+		f := rollout.AddEvidence(relay.Rollouts.Evidence(), relay.othersTotal().Evidence)["s"].Routes["r"]
 		return e.New.Failed == 1 && f.New.Failed == 1 && f.Old.Slow == 1
 	})
-	b.Decided(map[string]rollout.Progress{"s": {Order: o, Stage: rollout.Reverted, Fence: 1, Count: 1}})
-	await(t, func() bool { return count(bs, func(b *box) bool { return stage(b) == rollout.Reverted }) == 7 })
-	late := start(t, m, "late", "dc1")
-	await(t, func() bool { return stage(late) == rollout.Closed })
+	b.BroadcastProgress(map[string]rollout.Progress{"s": {Order: o, Stage: rollout.Reverted, Fence: 1, Count: 1}})
+	waitUntil(t, func() bool { return countBoxes(bs, func(b *box) bool { return stage(b) == rollout.Reverted }) == 7 })
+	late := startBox(t, m, "late", "dc1")
+	waitUntil(t, func() bool { return stage(late) == rollout.Closed })
 }
--- a/gossip/starts_test.go
+++ b/gossip/startup_test.go
@@ -13,35 +13,35 @@
 )
 
 // counted is a store that counts the whole reads of each prefix.
-type counted struct {
+type rangeCounter struct {
 	store.Store
 
 	mu    sync.Mutex
 	reads map[string]int
 }
 
-func (s *counted) Range(c context.Context, prefix string) ([]store.Item, uint64, error) {
+func (s *rangeCounter) Range(c context.Context, prefix string) ([]store.Item, uint64, error) {
 	s.mu.Lock()
 	s.reads[prefix]++
 	s.mu.Unlock()
 	return s.Store.Range(c, prefix)
 }
 
-func (s *counted) of(prefix string) int {
+func (s *rangeCounter) rangesOf(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reads[prefix]
 }
 
 // gets is a store that counts the reads of one key.
-type gets struct {
+type getCounter struct {
 	store.Store
 
 	mu   sync.Mutex
 	keys map[string]int
 }
 
-func (s *gets) Get(c context.Context, key string) (store.Item, error) {
+func (s *getCounter) Get(c context.Context, key string) (store.Item, error) {
 	s.mu.Lock()
 	s.keys[key]++
 	s.mu.Unlock()
@@ -49,13 +49,13 @@
 }
 
 // On the first start of the whole system nothing was before, and no box asks for it.
-func TestFirstStart(t *testing.T) {
+func TestFirstStartReadsNoSnapshot(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
-	s := &gets{Store: m, keys: map[string]int{}}
-	a := startFirst(t, s, "a", "dc0")
-	b := startFirst(t, s, "b", "dc1")
-	await(t, func() bool { return a.sum().Boxes == 1 && b.sum().Boxes == 1 && a.played() > 10 })
+	s := &getCounter{Store: m, keys: map[string]int{}}
+	a := startBoxFirstTime(t, s, "a", "dc0")
+	b := startBoxFirstTime(t, s, "b", "dc1")
+	waitUntil(t, func() bool { return a.othersTotal().Boxes == 1 && b.othersTotal().Boxes == 1 && a.roundCount() > 10 })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	require.Zero(t, s.keys["before"])
@@ -65,20 +65,22 @@
 // and 3 MB each, before it had looked for a relay that could tell it: what a start cost the store
 // grew with boxes times endpoints. A box looks for its relays first, so that the records are read
 // by those that watch the store for all, and by no more boxes where there are more.
-func TestStartsReadLittle(t *testing.T) {
+func TestStartupReadsBounded(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
 	for i := range 50 {
 		m.Set(fmt.Sprint("e/", i), "ready")
 	}
-	s := &counted{Store: m, reads: map[string]int{}}
+	s := &rangeCounter{Store: m, reads: map[string]int{}}
 	bs := make([]*box, 0, 30)
 	for i := range 30 {
-		bs = append(bs, start(t, s, fmt.Sprint("box", i), fmt.Sprint("dc", i%2)))
+		bs = append(bs, startBox(t, s, fmt.Sprint("box", i), fmt.Sprint("dc", i%2)))
 	}
-	await(t, func() bool {
-		return count(bs, func(b *box) bool { return b.version() == 3 && len(b.known.Roster.IDs()) == 50 && b.sum().Boxes == 29 }) == 30
+	waitUntil(t, func() bool {
+		return countBoxes(bs, func(b *box) bool {
+			return b.version() == 3 && len(b.known.Roster.IDs()) == 50 && b.othersTotal().Boxes == 29
+		}) == 30
 	})
-	require.LessOrEqual(t, s.of("e/"), 8)
-	require.LessOrEqual(t, s.of("config"), 8)
+	require.LessOrEqual(t, s.rangesOf("e/"), 8)
+	require.LessOrEqual(t, s.rangesOf("config"), 8)
 }
--- a/gossip/status.go
+++ b/gossip/status.go
@@ -1,6 +1,7 @@
-// Package gossip lets the boxes tell each other what they carry. In each data
-// centre a few boxes are relays: they alone watch the store, tell the others what
-// changes there, and exchange sums with the relays of other data centres.
+// Package gossip exchanges state between boxes: load, demand, limits and what was learned about
+// endpoints. In each data centre a few boxes are relays. Some relays watch the store and push its
+// changes to the other boxes. Every box reports to one relay of its data centre, and the relays
+// exchange sums of these reports.
 package gossip
 
 import (
@@ -18,85 +19,84 @@
 	"birchlink.dev/birchlink/tally"
 )
 
-// Status is what one box tells its relay, or what a relay tells other relays for
-// itself and its members. Boxes is for how many it speaks.
+// Status is the report of one box to its relay, or of a relay to other relays for itself and its
+// members. Boxes is the number of boxes that it covers.
 type Status struct {
 	Box        string
 	DataCentre string
 	Address    string
-	Relay      string // the relay that counts this box; any other only answers it
+	Relay      string // the relay that represents this box; any other relay only answers
 	Boxes      int
-	Version    uint64        // of the configuration in force
-	Revision   uint64        // of the endpoints' records that a relay knows
-	Silent     time.Duration // for how long the store has been silent to a relay
-	Limits     quota.Lease   // what this relay leases to the one that is told
-	Divided    uint64        // the version by which a member divides the limits
-	Leaving    bool          // the box stops
-	ForItself  bool          // the relay does not speak for this member yet
-	Knows      uint64        // the sum of the peers that a member was last told
-	Now        time.Time     // the time of day there
+	Version    uint64        // of the current configuration
+	Revision   uint64        // of the endpoint records; set by relays
+	Silent     time.Duration // time since the store last answered a relay
+	Limits     quota.Lease   // what this relay leases to the receiver
+	Divided    uint64        // version of the division of limits that a member uses
+	Leaving    bool          // the box is stopping
+	ForItself  bool          // the relay doesn't represent this member yet
+	Knows      uint64        // checksum of the peers that a member knows
+	Now        time.Time     // the sender's time of day
 	Load       map[string]balance.Load
-	Works      Works                              // the endpoints whose load a member is told
+	Works      EndpointSet                        // the endpoints for which a member needs load reports
 	Demand     map[string]map[string]demand.Stats // by service and data centre
 	Usage      []tally.Report
-	Speeds     map[string]estimate.Stats     // by service, what was observed of its endpoints; none means as last told
-	Members    []string                      // addresses of the boxes that a relay counts
-	Suspects   []quarantine.Suspect          // what was lately learnt of contents under which endpoints end
-	Judged     uint64                        // the sum of the verdicts on them that a member was last told
-	Failing    map[string]balance.CallCounts // at endpoints that fail some, by the boxes of this data centre
-	Leavers    endpoint.Leavers              // the endpoints that leave ahead of their records
-	Rates      stated.Report                 // what endpoints take from all boxes together
-	Orders     rollout.Orders                // of roll-outs, as a relay knows them
-	Words      map[string]rollout.Progress   // on how far these are, by service
+	Speeds     map[string]estimate.Stats     // endpoint statistics by service; nil means unchanged
+	Members    []string                      // addresses of the boxes that a relay represents
+	Suspects   []quarantine.Suspect          // recent suspicions of contents that may crash endpoints
+	Judged     uint64                        // checksum of the verdicts on contents that a member knows
+	Failing    map[string]balance.CallCounts // calls to endpoints with failures, from boxes of this data centre
+	Leavers    endpoint.Leavers              // endpoints that leave although their records don't say so yet
+	Rates      stated.Report                 // request rates that endpoints accept from all boxes together
+	Orders     rollout.Orders                // of rollouts; set by relays
+	Words      map[string]rollout.Progress   // progress of rollouts, by service
 	Evidence   map[string]rollout.Evidence
 }
 
-// Works is the endpoints that a box works with, by ID; none are all. Sum tells one set from
-// another, so that the set goes only to a relay that has another.
-type Works struct {
+// EndpointSet holds the IDs of the endpoints that a box uses; none means all. Sum is a checksum of
+// the set, so that the IDs are sent only to a relay that has another set.
+type EndpointSet struct {
 	Sum uint64
 	IDs []string
 }
 
-// World is what a box answers a member: all others together, how far it follows
-// the store, and for how long the store has been silent there. Relay says that the
-// box is a relay: what is told to another goes no further. Vacant says that its
-// data centre lacks a relay.
-type World struct {
+// MemberReply is the answer to a member: the sum of all other boxes, the state of the store there,
+// and Silent, the time since the store last answered. Relay says that the answering box is a relay;
+// other boxes don't forward what they receive. Vacant says that its data centre lacks a relay.
+type MemberReply struct {
 	Relay    bool
 	Vacant   bool
 	Others   Status
-	Arbiters []quota.Arbiter // the relays that may be asked
-	Now      time.Time       // the time of day there
-	Counts   map[string]int  // of the boxes that are heard, by data centre
-	Division quota.Division  // if it is newer than the member's
+	Arbiters []quota.Arbiter // relays that can be asked to admit requests of accounts
+	Now      time.Time       // the sender's time of day
+	Counts   map[string]int  // reachable boxes by data centre
+	Division quota.Division  // set if it is newer than the member's
 	Revision uint64
 	Silent   time.Duration
-	Peers    Peers                // without the lists, if the member has those
-	Verdicts []quarantine.Suspect // on contents under which endpoints end, if the member was told others
-	Judged   uint64               // their sum
-	Works    uint64               // the sum of the endpoints that the member named last
-	Leavers  endpoint.Leavers     // the endpoints that leave ahead of their records
-	Rates    stated.Report        // what endpoints take from all boxes together
-	Orders   rollout.Orders       // of roll-outs
+	Peers    Peers                // without the lists if the member has them
+	Verdicts []quarantine.Suspect // on contents that crash endpoints; nil if the member has them
+	Judged   uint64               // checksum of Verdicts
+	Works    uint64               // checksum of the member's EndpointSet as known to the relay
+	Leavers  endpoint.Leavers     // endpoints that leave although their records don't say so yet
+	Rates    stated.Report        // request rates that endpoints accept from all boxes together
+	Orders   rollout.Orders       // of rollouts
 }
 
-// update carries a configuration or records to a member.
+// update carries a change of the configuration or of endpoint records.
 type update struct {
 	Configuration []byte
 	Records       *known.Records
-	Packed        []byte // records, where there are many
+	Packed        []byte // packed records, used instead of Records for many
 	From          string
 }
 
-// heard is a status and when it came. Its words are as old as they were said to be then.
-type heard struct {
+// receivedStatus is a status and the time of its receipt. The ages of its Words refer to that time.
+type receivedStatus struct {
 	Status
-	at    time.Time
-	ahead time.Duration // how far its time of day was ahead of this box's
+	receivedAt  time.Time
+	clockOffset time.Duration // how far the sender's clock was ahead of this box's
 }
 
-// add sums another status up into s.
+// add adds another status to the sums of s.
 func (s *Status) add(o Status) {
 	s.Boxes += o.Boxes
 	s.Version = max(s.Version, o.Version)
@@ -124,43 +124,43 @@
 	}
 }
 
-// addWords takes in words on roll-outs, which have aged since they came.
-func (s *Status) addWords(h heard, now time.Time) {
-	s.Words = rollout.MergeProgress(s.Words, h.Words, now.Sub(h.at))
+// addProgress merges reports on rollouts, and adds the time since their receipt to their ages.
+func (s *Status) addProgress(h receivedStatus, now time.Time) {
+	s.Words = rollout.MergeProgress(s.Words, h.Words, now.Sub(h.receivedAt))
 }
 
-// addFailing sums up calls at endpoints that fail some.
-func (s *Status) addFailing(of map[string]balance.CallCounts) {
+// addFailing adds up the calls to endpoints with failures.
+func (s *Status) addFailing(calls map[string]balance.CallCounts) {
 	if s.Failing == nil {
 		s.Failing = map[string]balance.CallCounts{}
 	}
-	for id, c := range of {
+	for id, c := range calls {
 		sum := s.Failing[id]
 		s.Failing[id] = balance.CallCounts{Total: sum.Total + c.Total, Failed: sum.Failed + c.Failed}
 	}
 }
 
-// keepWorks takes over the endpoints that were named last if these are the same; if they are not
-// known here the box is told of all, and names them in its next round.
-func (s *Status) keepWorks(old Status) {
+// keepEndpointSet copies the endpoint IDs from the last status if the set is unchanged. If its IDs
+// are unknown here, the box receives the load of all endpoints, and sends the IDs in its next round.
+func (s *Status) keepEndpointSet(old Status) {
 	switch {
 	case s.Works.IDs != nil:
 	case s.Works.Sum == old.Works.Sum:
 		s.Works = old.Works
 	default:
-		s.Works = Works{}
+		s.Works = EndpointSet{}
 	}
 }
 
-// keepSpeeds takes over the speeds that were told last if none are told now.
-func (s *Status) keepSpeeds(old Status) {
+// keepStats copies the endpoint statistics from the last status if this one has none.
+func (s *Status) keepStats(old Status) {
 	if s.Speeds == nil {
 		s.Speeds = old.Speeds
 	}
 }
 
-// empty returns a status to add others to.
-func empty(box, dc, address string) Status {
+// emptyStatus returns a status to which others can be added.
+func emptyStatus(box, dc, address string) Status {
 	return Status{
 		Box: box, DataCentre: dc, Address: address, Load: map[string]balance.Load{},
 		Demand: map[string]map[string]demand.Stats{}, Speeds: map[string]estimate.Stats{},
--- a/gossip/sums_test.go
+++ b/gossip/sums_test.go
@@ -16,8 +16,8 @@
 )
 
 // drawn returns what a box with some calls under way tells.
-func drawn(chance *rand.Rand, name, dc string, calls, endpoints int) Status {
-	s := empty(name, dc, name)
+func randomStatus(chance *rand.Rand, name, dc string, calls, endpoints int) Status {
+	s := emptyStatus(name, dc, name)
 	s.Boxes, s.Failing = 1, map[string]balance.CallCounts{}
 	for range calls {
 		id := fmt.Sprint("i-", chance.IntN(endpoints))
@@ -33,45 +33,45 @@
 }
 
 // relayOf returns a relay that has heard some members, and other relays that speak for as many.
-func relayOf(members, relays, endpoints int) *Gossip {
+func newTestRelay(members, relays, endpoints int) *Gossip {
 	chance := rand.New(rand.NewPCG(1, 0))
 	g := New(zerolog.Nop())
 	g.Box, g.DataCentre, g.Address = "relay", "dc0", "relay"
-	g.seats["0"] = seat{dataCentre: "dc0", key: "0", box: g.Box, address: g.Address}
-	g.Own = func() Status { return drawn(chance, g.Box, g.DataCentre, 1, endpoints) }
+	g.slots["0"] = relaySlot{dataCentre: "dc0", key: "0", box: g.Box, address: g.Address}
+	g.LocalStatus = func() Status { return randomStatus(chance, g.Box, g.DataCentre, 1, endpoints) }
 	now := boottime.Now()
 	for i := range members {
-		s := drawn(chance, fmt.Sprint("member", i), "dc0", 1+i%3, endpoints)
-		g.members[s.Box] = heard{Status: s, at: now}
+		s := randomStatus(chance, fmt.Sprint("member", i), "dc0", 1+i%3, endpoints)
+		g.members[s.Box] = receivedStatus{Status: s, receivedAt: now}
 	}
 	for i := range relays {
-		s := drawn(chance, fmt.Sprint("other", i), fmt.Sprint("dc", i%5), 2*members, endpoints)
+		s := randomStatus(chance, fmt.Sprint("other", i), fmt.Sprint("dc", i%5), 2*members, endpoints)
 		s.Boxes = members
-		g.others[s.Box] = heard{Status: s, at: now}
+		g.otherRelays[s.Box] = receivedStatus{Status: s, receivedAt: now}
 	}
 	return g
 }
 
 // What a relay told each of its members was summed up for each of them. It is summed up once and
 // a member's own part taken out, and what a member is told is the same.
-func TestSumWithoutAMember(t *testing.T) {
-	g := relayOf(20, 3, 50)
-	self := g.Own()
-	g.Own = func() Status { return self }
+func TestReplyExcludesMember(t *testing.T) {
+	g := newTestRelay(20, 3, 50)
+	self := g.LocalStatus()
+	g.LocalStatus = func() Status { return self }
 	for n, h := range g.members {
-		want := empty(g.Box, g.DataCentre, g.Address)
+		want := emptyStatus(g.Box, g.DataCentre, g.Address)
 		want.addFailing(nil)
-		want.add(g.self())
+		want.add(g.ownStatus())
 		for m, o := range g.members {
 			if m != n {
 				want.add(o.Status)
 			}
 		}
-		for _, o := range g.others {
+		for _, o := range g.otherRelays {
 			want.add(o.Status)
 		}
-		var w World
-		g.answer(&w, h.Status)
+		var w MemberReply
+		g.fillReply(&w, h.Status)
 		require.Equal(t, want.Boxes, w.Others.Boxes)
 		require.Equal(t, want.Load, w.Others.Load)
 		require.Equal(t, want.Failing, w.Others.Failing)
@@ -83,14 +83,14 @@
 
 // A member is told the load of the endpoints that it works with, and of all before it has named
 // them to this relay.
-func TestToldOfItsPart(t *testing.T) {
-	g := relayOf(20, 3, 500)
+func TestReplyCoversUsedEndpoints(t *testing.T) {
+	g := newTestRelay(20, 3, 500)
 	s := g.members["member1"].Status
 	s.Load = nil
-	s.Works = worksOf([]string{"i-1", "i-2", "i-3"})
-	g.members[s.Box] = heard{Status: s, at: boottime.Now()}
-	var w World
-	g.answer(&w, s)
+	s.Works = newEndpointSet([]string{"i-1", "i-2", "i-3"})
+	g.members[s.Box] = receivedStatus{Status: s, receivedAt: boottime.Now()}
+	var w MemberReply
+	g.fillReply(&w, s)
 	require.NotEmpty(t, w.Others.Load)
 	for id := range w.Others.Load {
 		require.Contains(t, s.Works.IDs, id)
@@ -98,18 +98,18 @@
 	require.Equal(t, s.Works.Sum, w.Works)
 	again := s
 	again.Works.IDs = nil
-	again.keepWorks(s)
+	again.keepEndpointSet(s)
 	require.Equal(t, s.Works, again.Works)
 	again.Works.IDs = nil
-	again.keepWorks(Status{})
-	g.members[s.Box] = heard{Status: again, at: boottime.Now()}
-	g.answer(&w, again)
+	again.keepEndpointSet(Status{})
+	g.members[s.Box] = receivedStatus{Status: again, receivedAt: boottime.Now()}
+	g.fillReply(&w, again)
 	require.Greater(t, len(w.Others.Load), 3)
 	require.Zero(t, w.Works, "so that the member names them in its next round")
 }
 
 // Loads are told without the names of their fields; a box that tells them with these is understood.
-func TestLoadOfAnOlderBox(t *testing.T) {
+func TestLoadFromOlderVersion(t *testing.T) {
 	type older struct{ Running, Tokens int }
 	b, err := msgpack.Marshal(map[string]older{"x": {2, 30}})
 	require.NoError(t, err)
@@ -130,19 +130,19 @@
 func BenchmarkAnswer(b *testing.B) {
 	for _, members := range []int{30, 100, 500} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) {
-			g := relayOf(members, 9, 10*members)
+			g := newTestRelay(members, 9, 10*members)
 			s := g.members["member1"].Status
 			ids := make([]string, 128)
 			for i := range ids {
 				ids[i] = fmt.Sprint("i-", i)
 			}
-			s.Works, s.Speeds = worksOf(ids), nil
-			g.members[s.Box] = heard{Status: s, at: boottime.Now()}
+			s.Works, s.Speeds = newEndpointSet(ids), nil
+			g.members[s.Box] = receivedStatus{Status: s, receivedAt: boottime.Now()}
 			size := 0
 			b.ReportAllocs()
 			for b.Loop() {
-				var w World
-				g.answer(&w, s)
+				var w MemberReply
+				g.fillReply(&w, s)
 				w.Peers = Peers{Sum: w.Peers.Sum} // the member has the lists
 				out, err := msgpack.Marshal(w)
 				require.NoError(b, err)
--- a/gossip/watchers.go
+++ b/gossip/watchers.go
@@ -7,31 +7,31 @@
 	"birchlink.dev/birchlink/boottime"
 )
 
-// watches reports whether this relay is one of those that watch the store for all.
-func (g *Gossip) watches() bool {
-	own := g.session.Silent() <= stale
+// isWatcher reports whether this relay is one of those that watch the store.
+func (g *Gossip) isWatcher() bool {
+	ownAnswer := g.session.Silent() <= maxStoreSilence
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var hear []seat
-	for _, h := range g.others {
-		if boottime.Since(h.at) < watcherLost && h.Silent <= stale {
-			hear = append(hear, seat{dataCentre: h.DataCentre, box: h.Box})
+	var answered []relaySlot
+	for _, h := range g.otherRelays {
+		if boottime.Since(h.receivedAt) < watcherTimeout && h.Silent <= maxStoreSilence {
+			answered = append(answered, relaySlot{dataCentre: h.DataCentre, box: h.Box})
 		}
 	}
-	if !own {
-		return len(hear) == 0
+	if !ownAnswer {
+		return len(answered) == 0
 	}
-	hear = append(hear, seat{dataCentre: g.DataCentre, box: g.Box})
-	return slices.ContainsFunc(pickWatchers(hear), func(s seat) bool { return s.box == g.Box })
+	answered = append(answered, relaySlot{dataCentre: g.DataCentre, box: g.Box})
+	return slices.ContainsFunc(pickWatchers(answered), func(s relaySlot) bool { return s.box == g.Box })
 }
 
-// pickWatchers returns the relays that watch the store, of those that it answers: the
-// first by name, and the first of another data centre if there is one.
-func pickWatchers(among []seat) []seat {
-	slices.SortFunc(among, func(a, b seat) int { return strings.Compare(a.box, b.box) })
-	if len(among) < 2 {
-		return among
+// pickWatchers selects the relays that watch the store from those that it answers: the first by name
+// and, if possible, the first of another data centre.
+func pickWatchers(candidates []relaySlot) []relaySlot {
+	slices.SortFunc(candidates, func(a, b relaySlot) int { return strings.Compare(a.box, b.box) })
+	if len(candidates) < 2 {
+		return candidates
 	}
-	second := slices.IndexFunc(among, func(s seat) bool { return s.dataCentre != among[0].dataCentre })
-	return []seat{among[0], among[max(second, 1)]}
+	second := slices.IndexFunc(candidates, func(s relaySlot) bool { return s.dataCentre != candidates[0].dataCentre })
+	return []relaySlot{candidates[0], candidates[max(second, 1)]}
 }
