--- a/gossip/arbiters_test.go
+++ b/gossip/arbiters_test.go
@@ -10,7 +10,8 @@
 	"birchlink.dev/birchlink/stand/memstore"
 )
 
-// parts returns which part of an account's rate each box has.
+// accountShares returns the sum of the boxes' shares of an account's rate, and the number of boxes
+// with a share.
 func accountShares(bs []*box) (sum float64, arbiters int) {
 	for _, b := range bs {
 		p := b.Quota.Ask(quota.Question{Account: "a", Size: 0.001, Urgent: true}, time.Now()).Part
@@ -22,8 +23,8 @@
 	return sum, arbiters
 }
 
-// Two relays of different data centres have all of an account's rate, and no other box any
-// of it. When one of the two goes, another takes its part.
+// Two relays of different data centres hold all shares of an account's rate, and no other box holds
+// any. When one of the two stops, another takes over its share.
 func TestTwoArbitersHoldAllShares(t *testing.T) {
 	for _, dc := range []string{"dc0", "dc1"} {
 		t.Run(dc, func(t *testing.T) {
@@ -40,13 +41,13 @@
 	}
 }
 
-// settled reports whether two of some of seven boxes have all that these may have. Half of
-// the account is each data centre's, and an equal part of that each of its boxes'.
+// sharesSettled reports whether two of the boxes hold all shares of bs. Each data centre has half of
+// the account's rate, divided evenly among its four or three boxes.
 func sharesSettled(bs []*box) func() bool {
-	of := map[string]float64{"dc0": 0.5 / 4, "dc1": 0.5 / 3}
+	shares := map[string]float64{"dc0": 0.5 / 4, "dc1": 0.5 / 3}
 	want := 0.0
 	for _, b := range bs {
-		want += of[b.DataCentre]
+		want += shares[b.DataCentre]
 	}
 	return func() bool {
 		sum, n := accountShares(bs)
--- a/gossip/before_test.go
+++ b/gossip/before_test.go
@@ -9,19 +9,19 @@
 	"birchlink.dev/birchlink/quota"
 )
 
-// A smaller number of boxes counts when it has been heard for a while, and not while
-// the store is away: a box that is cut off hears few, and would write that down as soon
-// as it reaches the store again, before it hears the others.
+// A lower number of boxes is accepted only after it has been seen for boxCountChangeDelay while the
+// store is reachable. A partitioned box sees few others; it must not store their number when it
+// reaches the store again, before it has received the others' reports.
 func TestBoxCountUnchangedDuringPartition(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, c := range []struct {
-		away bool
-		want bool
+		storeDown bool
+		want      bool
 	}{{false, true}, {true, false}} {
 		s := snapshotState{stored: quota.Before{Boxes: 7}}
 		two := quota.Before{Boxes: 2}
 		for i := range 12 {
-			require.False(t, s.boxCountChanged(two, c.away, start.Add(time.Duration(i)*boxCountChangeDelay/12)))
+			require.False(t, s.boxCountChanged(two, c.storeDown, start.Add(time.Duration(i)*boxCountChangeDelay/12)))
 		}
 		require.Equal(t, c.want, s.boxCountChanged(two, false, start.Add(boxCountChangeDelay)))
 	}
--- a/gossip/broadcast_test.go
+++ b/gossip/broadcast_test.go
@@ -11,7 +11,7 @@
 	"birchlink.dev/birchlink/peer"
 )
 
-// encoded counts how often it is encoded.
+// countingEncoder counts how often it is encoded.
 type countingEncoder struct{ times *int }
 
 func (e countingEncoder) EncodeMsgpack(n *msgpack.Encoder) error {
@@ -19,8 +19,8 @@
 	return n.EncodeInt(1)
 }
 
-// A change that a relay tells a hundred members was encoded for each of them, ten times a second
-// while endpoints are replaced. It is encoded once for all.
+// A change is encoded once for all members. A relay may have a hundred members, and ten changes per
+// second while endpoints are replaced.
 func TestBroadcastEncodesOnce(t *testing.T) {
 	g := New(zerolog.Nop())
 	g.node = peer.NewNode("127.0.0.1:0", "127.0.0.1:0", "secret", metrics.NewRegistry())
--- a/gossip/fetch_test.go
+++ b/gossip/fetch_test.go
@@ -13,23 +13,23 @@
 	"birchlink.dev/birchlink/stand/memstore"
 )
 
-// slowLink passes connections on to an address, and holds back what comes from there on each once
-// it is more than some bytes, until it is released.
+// slowLink forwards connections to target. After the first freeBytes bytes from there, it holds back the
+// rest on each connection until it is released.
 type slowLink struct {
-	t        *testing.T
-	target   string
-	passed   int64
-	released chan struct{}
-	conns    atomic.Int64
-	mu       sync.Mutex
-	open     []net.Conn
+	t         *testing.T
+	target    string
+	freeBytes int64
+	released  chan struct{}
+	conns     atomic.Int64
+	mu        sync.Mutex
+	open      []net.Conn
 }
 
-func newSlowLink(t *testing.T, to string, free int64) (link *slowLink, address string) {
+func newSlowLink(t *testing.T, target string, freeBytes int64) (link *slowLink, address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.4:0")
 	require.NoError(t, err)
-	s := &slowLink{t: t, target: to, passed: free, released: make(chan struct{})}
+	s := &slowLink{t: t, target: target, freeBytes: freeBytes, released: make(chan struct{})}
 	t.Cleanup(func() {
 		_ = l.Close()
 		s.mu.Lock()
@@ -51,75 +51,75 @@
 	return s, l.Addr().String()
 }
 
-func (s *slowLink) forward(near net.Conn) {
-	far, err := net.Dial("tcp", s.target)
+func (s *slowLink) forward(client net.Conn) {
+	server, err := net.Dial("tcp", s.target)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
 	s.mu.Lock()
-	s.open = append(s.open, near, far)
+	s.open = append(s.open, client, server)
 	s.mu.Unlock()
 	go func() {
-		_, _ = io.Copy(far, near)
-		_ = far.Close()
+		_, _ = io.Copy(server, client)
+		_ = server.Close()
 	}()
-	_, _ = io.CopyN(near, far, s.passed)
+	_, _ = io.CopyN(client, server, s.freeBytes)
 	<-s.released
-	_, _ = io.Copy(near, far)
-	_ = near.Close()
+	_, _ = io.Copy(client, server)
+	_ = client.Close()
 }
 
-// The records of 10,000 endpoints take a relay's link longer than a round has when all its members
-// ask for them: each member gave up after 0.45 s, held up its rounds meanwhile, closed the
-// connection as a silent one and asked again, so that none got them. They are fetched beside the
-// rounds, on a connection of their own.
+// A slow fetch of records doesn't block the rounds, and uses its own connection. When all members
+// fetch the records of 10,000 endpoints, a relay's link needs longer than a round: with fetches inside
+// the rounds, each member gave up after 0.45 s, closed the connection as unresponsive and asked again,
+// and none received the records.
 func TestRoundsContinueDuringSlowFetch(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
 	for i := range 3000 {
 		m.Set(fmt.Sprintf("e/i-%08x", 2654435761*uint32(i)), "ready")
 	}
-	at := unusedAddress(t)
-	link, seen := newSlowLink(t, at, 24<<10)
-	a := startBoxWith(t, m, "a", "dc0", at, func(b *box) { b.Address = seen })
+	address := unusedAddress(t)
+	link, linkAddress := newSlowLink(t, address, 24<<10)
+	a := startBoxWith(t, m, "a", "dc0", address, func(b *box) { b.Address = linkAddress })
 	waitUntil(t, func() bool { return a.IsRelay() && len(a.known.Roster.IDs()) == 3000 })
 	waitUntil(t, func() bool { return len(slotsInStore(t, m)) == 1 })
-	own := &faultyStore{Store: m}
-	own.readOnly.Store(true) // it takes no place of a relay
-	b := startBox(t, own, "b", "dc0")
+	readOnlyStore := &faultyStore{Store: m}
+	readOnlyStore.readOnly.Store(true) // it can't claim a relay slot
+	b := startBox(t, readOnlyStore, "b", "dc0")
 	waitUntil(t, func() bool { return b.othersTotal().Boxes == 1 })
 	before := b.roundCount()
 	waitUntil(t, func() bool { return b.roundCount() > before+5 })
 	require.Equal(t, 1, b.othersTotal().Boxes)
 	require.Zero(t, b.known.Roster.Len())
-	require.LessOrEqual(t, link.conns.Load(), int64(3), "that of the rounds, and those that the two fetches opened at once")
+	require.LessOrEqual(t, link.conns.Load(), int64(3), "one for the rounds, and those opened by the two fetches")
 	close(link.released)
 	waitUntil(t, func() bool { return len(b.known.Roster.IDs()) == 3000 })
 }
 
-// A fetch whose connection a cut holds up says nothing for as long as it may take. A box that has
-// found another relay meanwhile fetches from that one.
+// A fetch can stall until its timeout when a partition blocks its connection. A box that has switched
+// to another relay meanwhile fetches from that one.
 func TestStalledFetchReplaced(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
 	for i := range 3000 {
 		m.Set(fmt.Sprintf("e/i-%08x", 2654435761*uint32(i)), "ready")
 	}
-	at := unusedAddress(t)
-	_, seen := newSlowLink(t, at, 24<<10)
+	address := unusedAddress(t)
+	_, linkAddress := newSlowLink(t, address, 24<<10)
 	first := &faultyStore{Store: m}
-	a := startBoxWith(t, first, "a", "dc0", at, func(b *box) { b.Address = seen })
+	a := startBoxWith(t, first, "a", "dc0", address, func(b *box) { b.Address = linkAddress })
 	waitUntil(t, func() bool { return a.IsRelay() && a.known.Roster.Len() == 3000 })
-	own := &faultyStore{Store: m}
-	own.readOnly.Store(true) // it takes no place of a relay
-	b := startBox(t, own, "b", "dc0")
+	readOnlyStore := &faultyStore{Store: m}
+	readOnlyStore.readOnly.Store(true) // it can't claim a relay slot
+	b := startBox(t, readOnlyStore, "b", "dc0")
 	waitUntil(t, func() bool { return b.othersTotal().Boxes == 1 })
 	before := b.roundCount()
 	waitUntil(t, func() bool { return b.roundCount() > before+3 })
 	require.Zero(t, b.known.Roster.Len())
 	c := startBox(t, m, "c", "dc0")
 	waitUntil(t, func() bool { return c.IsRelay() && c.known.Roster.Len() == 3000 })
-	first.silent.Store(true) // its relay hears the store no more, and is left for the other
+	first.silent.Store(true) // the store doesn't answer this relay, so its member switches
 	waitUntil(t, func() bool { return b.known.Roster.Len() == 3000 })
 }
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -140,7 +140,7 @@
 	reply            MemberReply               // the last reply of this box's relay
 	repliedAt        time.Time                 // when reply came
 	replyClockOffset time.Duration             // how far the relay's time of day was ahead then
-	lastContact      time.Time                 // when another box was last heard from
+	lastContact      time.Time                 // time of the last message of another box
 	startedAt        time.Time
 	snapshot         snapshotState
 	stopped          bool
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -32,7 +32,7 @@
 	"birchlink.dev/birchlink/store"
 )
 
-// box is one box with what gossip needs.
+// box is a box with the services that gossip needs.
 type box struct {
 	*gossip.Gossip
 	t       *testing.T
@@ -44,15 +44,15 @@
 	mu            sync.Mutex
 	others        gossip.Status
 	rounds        int
-	restoredQuota quota.Before // as the box was told at its start
+	restoredQuota quota.Before // passed to RestoreQuota at the start
 
 	stats         map[string]estimate.Stats
-	restoredStats map[string]estimate.Stats // what it was told then of speeds
+	restoredStats map[string]estimate.Stats // passed to RestoreEndpointStats at the start
 }
 
-// address returns an address that nobody listens on. Its IP number is none from which
-// connections are made: one of them took the port before it was listened on, in 32 of 1,152
-// runs that ran 12 at a time.
+// unusedAddress returns an address on which nobody listens. No connections are made from its IP
+// address: with the usual one, a connection took the port before the test listened on it in 32 of
+// 1,152 runs, 12 at a time.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.3:0")
@@ -61,28 +61,28 @@
 	return l.Addr().String()
 }
 
-// start begins a box; seeds are the addresses it knows from its settings.
+// startBox starts a box; seeds are the peer addresses in its settings.
 func startBox(t *testing.T, s store.Store, name, dc string, seeds ...string) *box {
 	t.Helper()
 	return startBoxAt(t, s, name, dc, unusedAddress(t), seeds...)
 }
 
-// startFirst begins a box on the first start of the whole system.
+// startBoxFirstTime starts a box at the first start of the whole system.
 func startBoxFirstTime(t *testing.T, s store.Store, name, dc string) *box {
 	t.Helper()
 	return startBoxWith(t, s, name, dc, unusedAddress(t), func(b *box) { b.FirstStart = true })
 }
 
-// lives numbers the processes that were started.
+// processCount numbers the started processes.
 var processCount atomic.Int64
 
-// startAt begins a box whose address for peers is given.
+// startBoxAt starts a box with the given peer address.
 func startBoxAt(t *testing.T, s store.Store, name, dc, a string, seeds ...string) *box {
 	t.Helper()
 	return startBoxWith(t, s, name, dc, a, func(b *box) { b.Seeds = seeds })
 }
 
-// startWith begins a box after something of it has been set.
+// startBoxWith starts a box after set has changed its fields.
 func startBoxWith(t *testing.T, s store.Store, name, dc, a string, set func(*box)) *box {
 	t.Helper()
 	b := &box{t: t, session: session.New(s, zerolog.Nop()), node: peer.NewNode(a, a, "secret", metrics.NewRegistry())}
@@ -99,7 +99,10 @@
 	b.known.Told = true
 	b.Gossip = gossip.New(zerolog.Nop())
 	b.Clock = daytime.New(time.Now)
-	b.Quota = &quota.Quota{Self: quota.Arbiter{Box: name, DataCentre: dc, Address: a}, Started: time.Now(), Incarnation: fmt.Sprint("life", processCount.Add(1)), Chance: rand.Float64}
+	b.Quota = &quota.Quota{
+		Self: quota.Arbiter{Box: name, DataCentre: dc, Address: a}, Started: time.Now(),
+		Incarnation: fmt.Sprint("life", processCount.Add(1)), Chance: rand.Float64,
+	}
 	b.Box, b.DataCentre, b.Address, b.Prefix, b.Store = name, dc, a, "relays/", s
 	b.LocalStatus = func() gossip.Status {
 		v, _ := b.known.Raw()
@@ -165,7 +168,7 @@
 	return b.others
 }
 
-// speed is how many answers the others were last told to have observed.
+// answersOfOthers returns the number of observed answers in the others' last endpoint statistics.
 func (b *box) answersOfOthers() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -207,7 +210,7 @@
 	return n
 }
 
-// Up to a dozen boxes all tell each other what they send, whether relays or members.
+// In a fleet of up to twelve boxes, all exchange hints, relays and members alike.
 func TestHintPeersInSmallFleet(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
@@ -220,8 +223,8 @@
 	})
 }
 
-// In a larger fleet the boxes of a data centre do, and those of others are told of very
-// long prompts only.
+// In a larger fleet, boxes of one data centre exchange all hints, and boxes of different ones only
+// those of very long prompts.
 func TestHintPeersInLargeFleet(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
@@ -237,8 +240,8 @@
 	})
 }
 
-// Two boxes of each data centre become relays, and two of these watch the store; each box
-// knows the sums of all others, and a change of the store reaches all.
+// Two boxes of each data centre become relays, and two of the relays watch the store. Each box learns
+// the sums of all others, and changes of the store reach all boxes.
 func TestRelaysAndMembers(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
@@ -262,28 +265,28 @@
 	})
 }
 
-// When a relay goes, a member takes its place, and the others are told on.
+// When a relay stops, a member claims its slot, and changes still reach all boxes.
 func TestMemberReplacesStoppedRelay(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
 	bs := startSevenBoxes(t, m)
 	waitUntil(t, func() bool { return countBoxes(bs, (*box).IsRelay) == 4 })
-	var left []*box
-	gone := false
+	var remaining []*box
+	stopped := false
 	for _, b := range bs {
-		if !gone && b.IsRelay() && b.DataCentre == "dc0" {
-			gone = true
+		if !stopped && b.IsRelay() && b.DataCentre == "dc0" {
+			stopped = true
 			b.stop()
 			continue
 		}
-		left = append(left, b)
+		remaining = append(remaining, b)
 	}
-	waitUntil(t, func() bool { return countBoxes(left, (*box).IsRelay) == 4 })
+	waitUntil(t, func() bool { return countBoxes(remaining, (*box).IsRelay) == 4 })
 	m.Set("config", `{"Version":6}`)
-	waitUntil(t, func() bool { return countBoxes(left, func(b *box) bool { return b.version() == 6 }) == 6 })
+	waitUntil(t, func() bool { return countBoxes(remaining, func(b *box) bool { return b.version() == 6 }) == 6 })
 }
 
-// away is a store that turns one box away while it serves the others.
+// unavailableStore is a store that one box can't reach.
 type unavailableStore struct {
 	store.Store
 }
@@ -300,8 +303,8 @@
 	return 0, 0, store.ErrAway
 }
 
-// A box that the store turns away from its start learns the configuration and
-// the endpoints from its neighbours, of whom its settings name one.
+// A box that can't reach the store from its start on learns the configuration and the endpoints from
+// other boxes, one of which is in its settings.
 func TestBoxWithoutStoreLearnsFromSeed(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
@@ -314,8 +317,7 @@
 	waitUntil(t, func() bool { return b.version() == 4 })
 }
 
-// partial is a store that can be made to take no changes, and to answer no
-// renewals.
+// faultyStore is a store that can be made to reject commits, and to leave lease calls unanswered.
 type faultyStore struct {
 	store.Store
 	readOnly, silent atomic.Bool
@@ -342,8 +344,8 @@
 	return p.Store.Revoke(c, l)
 }
 
-// four starts two relays of a data centre, each with its own way to the store, a
-// member of it, and a box of another data centre.
+// startFourBoxes starts two relays of a data centre with a store each, a member of the same data
+// centre, and a box of another one.
 func startFourBoxes(t *testing.T, m *memstore.Memory, p, q *faultyStore) []*box {
 	t.Helper()
 	a := startBox(t, p, "a", "dc0")
@@ -355,28 +357,28 @@
 	return bs
 }
 
-// While a relay does not hear the store, the boxes that told it are counted by
-// another, and by that one only.
+// While the store doesn't answer a relay, its members are represented by the other relay, and counted
+// once.
 func TestMemberCountedOnceAfterRelayChange(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
-	ps := []*faultyStore{{Store: m}, {Store: m}}
-	bs := startFourBoxes(t, m, ps[0], ps[1])
-	chosen := 0
+	stores := []*faultyStore{{Store: m}, {Store: m}}
+	bs := startFourBoxes(t, m, stores[0], stores[1])
+	relay := 0
 	if len(bs[1].Members()) > 0 {
-		chosen = 1
+		relay = 1
 	}
 	waitUntil(t, func() bool { return bs[3].othersTotal().Load["x"].Tokens == 30 })
-	ps[chosen].silent.Store(true)
-	waitUntil(t, func() bool { return len(bs[1-chosen].Members()) == 1 })
+	stores[relay].silent.Store(true)
+	waitUntil(t, func() bool { return len(bs[1-relay].Members()) == 1 })
 	n := bs[3].roundCount()
 	waitUntil(t, func() bool { return bs[3].roundCount() > n+2 })
 	waitUntil(t, func() bool { return bs[3].othersTotal().Boxes == 3 })
 	require.Equal(t, 30, bs[3].othersTotal().Load["x"].Tokens)
 }
 
-// A box that starts learns from the store how many there were, and which accounts
-// were short, before it has heard any of them.
+// A box that starts learns from the store the former number of boxes, the accounts that were short
+// and the endpoint statistics, before it receives other boxes' reports.
 func TestSnapshotRestoredAtStart(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
--- a/gossip/gzip_test.go
+++ b/gossip/gzip_test.go
@@ -11,7 +11,7 @@
 	"birchlink.dev/birchlink/store"
 )
 
-// many returns the records of some endpoints, as the store has them.
+// testRecords returns the records of n endpoints in the format of the store.
 func testRecords(n int) known.Records {
 	r := known.Records{Whole: true, From: 3, To: 9}
 	for i := range n {
@@ -21,7 +21,7 @@
 	return r
 }
 
-// Records come out as they went in, in less than a fifth of the bytes.
+// Records survive packing and unpacking, and pack into less than a fifth of their encoded size.
 func TestPackRecords(t *testing.T) {
 	r := testRecords(3000)
 	zip, err := packRecords(r)
--- a/gossip/leaving_test.go
+++ b/gossip/leavers_test.go
@@ -22,8 +22,8 @@
 	return nil
 }
 
-// What an endpoint says to one box, all know while its record says nothing: told at once, or
-// found in a round by those that were not told, as boxes that start later are.
+// All boxes learn that an endpoint leaves, although its record doesn't say so: from a notification, or
+// in a round if they missed it or started later.
 func TestLeavingEndpointsReachAllBoxes(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
@@ -45,7 +45,7 @@
 	require.Zero(t, countBoxes(bs, func(b *box) bool { return b.isDraining("z") }))
 }
 
-// Each box knows what the others of its data centre, and no more, say of endpoints that fail.
+// Each box receives the failure counts of the other boxes of its data centre, and of no others.
 func TestFailingByDataCentre(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
--- a/gossip/enlist_test.go
+++ b/gossip/places_test.go
@@ -12,8 +12,8 @@
 	"birchlink.dev/birchlink/stand/memstore"
 )
 
-// A relay whose process is killed and starts again keeps its place: it does not wait
-// until the lease of the process before has ended.
+// A relay that is killed and restarts keeps its slot, without waiting for the lease of its former
+// process to end.
 func TestRestartedRelayKeepsSlot(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
@@ -22,7 +22,7 @@
 	waitUntil(t, a.IsRelay)
 	first, err := m.Get(t.Context(), "relays/dc0/0")
 	require.NoError(t, err)
-	p.silent.Store(true) // a killed process gives nothing back
+	p.silent.Store(true) // a killed process doesn't revoke its lease
 	a.stop()
 	b := startBoxAt(t, m, "a", "dc0", a.Address)
 	waitUntil(t, func() bool {
@@ -34,8 +34,7 @@
 	require.Equal(t, first.Created, i.Created)
 }
 
-// A box that has lost its place as a relay counts nobody any more: the boxes that
-// told it tell another.
+// A box that has lost its relay slot represents no other box; its members switch to another relay.
 func TestMembersLeaveRelayWithoutSlot(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
@@ -49,7 +48,7 @@
 	})
 }
 
-// placesOf returns which boxes have the places of relays, by the store.
+// slotsInStore returns the keys and values of all relay slots in the store.
 func slotsInStore(t *testing.T, m *memstore.Memory) []string {
 	t.Helper()
 	items, _, err := m.Range(t.Context(), "relays/")
@@ -61,8 +60,8 @@
 	return out
 }
 
-// Where the store is away for so long that all leases end, the relays before it are those
-// after it: nothing that they hold or know has to move when it is back.
+// After an outage of the store in which all leases end, the same boxes are relays as before, so that
+// no state or lease has to move.
 func TestRelaysKeepSlotsAfterOutage(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
--- a/gossip/rollouts_test.go
+++ b/gossip/rollouts_test.go
@@ -9,8 +9,8 @@
 	"birchlink.dev/birchlink/stand/memstore"
 )
 
-// The order of a version, what its holder says of it and what boxes have seen of it reach all boxes,
-// also one that starts later.
+// The order of a rollout and its progress reach all boxes, also one that starts later, and so does the
+// boxes' evidence.
 func TestRolloutsReachAllBoxes(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
--- a/gossip/startup_test.go
+++ b/gossip/starts_test.go
@@ -12,7 +12,7 @@
 	"birchlink.dev/birchlink/store"
 )
 
-// counted is a store that counts the whole reads of each prefix.
+// rangeCounter is a store that counts the reads of each prefix.
 type rangeCounter struct {
 	store.Store
 
@@ -33,7 +33,7 @@
 	return s.reads[prefix]
 }
 
-// gets is a store that counts the reads of one key.
+// getCounter is a store that counts the reads of each key.
 type getCounter struct {
 	store.Store
 
@@ -48,7 +48,7 @@
 	return s.Store.Get(c, key)
 }
 
-// On the first start of the whole system nothing was before, and no box asks for it.
+// At the first start of the whole system there is no snapshot, and no box reads it.
 func TestFirstStartReadsNoSnapshot(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
@@ -61,10 +61,9 @@
 	require.Zero(t, s.keys["before"])
 }
 
-// Each of 985 boxes that started read all records of 10,000 endpoints from the store, 20 pages
-// and 3 MB each, before it had looked for a relay that could tell it: what a start cost the store
-// grew with boxes times endpoints. A box looks for its relays first, so that the records are read
-// by those that watch the store for all, and by no more boxes where there are more.
+// The number of boxes that read all records from the store at a start is bounded. When each of 985
+// boxes read the records of 10,000 endpoints before it looked for a relay, each read 20 pages and
+// 3 MB, and the load of the store grew with boxes times endpoints.
 func TestStartupReadsBounded(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
--- a/gossip/sums_test.go
+++ b/gossip/sums_test.go
@@ -15,15 +15,15 @@
 	"birchlink.dev/birchlink/estimate"
 )
 
-// drawn returns what a box with some calls under way tells.
-func randomStatus(chance *rand.Rand, name, dc string, calls, endpoints int) Status {
+// randomStatus returns the status of a box with some calls in progress.
+func randomStatus(random *rand.Rand, name, dc string, calls, endpoints int) Status {
 	s := emptyStatus(name, dc, name)
 	s.Boxes, s.Failing = 1, map[string]balance.CallCounts{}
 	for range calls {
-		id := fmt.Sprint("i-", chance.IntN(endpoints))
+		id := fmt.Sprint("i-", random.IntN(endpoints))
 		l := s.Load[id]
-		s.Load[id] = balance.Load{Running: l.Running + 1, Tokens: l.Tokens + chance.IntN(9000)}
-		if chance.IntN(20) == 0 {
+		s.Load[id] = balance.Load{Running: l.Running + 1, Tokens: l.Tokens + random.IntN(9000)}
+		if random.IntN(20) == 0 {
 			s.Failing[id] = balance.CallCounts{Total: 2, Failed: 1}
 		}
 	}
@@ -32,28 +32,29 @@
 	return s
 }
 
-// relayOf returns a relay that has heard some members, and other relays that speak for as many.
+// newTestRelay returns a relay that has received the statuses of members, and of other relays with as
+// many members each.
 func newTestRelay(members, relays, endpoints int) *Gossip {
-	chance := rand.New(rand.NewPCG(1, 0))
+	random := rand.New(rand.NewPCG(1, 0))
 	g := New(zerolog.Nop())
 	g.Box, g.DataCentre, g.Address = "relay", "dc0", "relay"
 	g.slots["0"] = relaySlot{dataCentre: "dc0", key: "0", box: g.Box, address: g.Address}
-	g.LocalStatus = func() Status { return randomStatus(chance, g.Box, g.DataCentre, 1, endpoints) }
+	g.LocalStatus = func() Status { return randomStatus(random, g.Box, g.DataCentre, 1, endpoints) }
 	now := boottime.Now()
 	for i := range members {
-		s := randomStatus(chance, fmt.Sprint("member", i), "dc0", 1+i%3, endpoints)
+		s := randomStatus(random, fmt.Sprint("member", i), "dc0", 1+i%3, endpoints)
 		g.members[s.Box] = receivedStatus{Status: s, receivedAt: now}
 	}
 	for i := range relays {
-		s := randomStatus(chance, fmt.Sprint("other", i), fmt.Sprint("dc", i%5), 2*members, endpoints)
+		s := randomStatus(random, fmt.Sprint("other", i), fmt.Sprint("dc", i%5), 2*members, endpoints)
 		s.Boxes = members
 		g.otherRelays[s.Box] = receivedStatus{Status: s, receivedAt: now}
 	}
 	return g
 }
 
-// What a relay told each of its members was summed up for each of them. It is summed up once and
-// a member's own part taken out, and what a member is told is the same.
+// A reply is computed from one total for all members by subtracting the member's own status. It equals
+// the sum of all other statuses.
 func TestReplyExcludesMember(t *testing.T) {
 	g := newTestRelay(20, 3, 50)
 	self := g.LocalStatus()
@@ -81,8 +82,8 @@
 	}
 }
 
-// A member is told the load of the endpoints that it works with, and of all before it has named
-// them to this relay.
+// A member receives the load of the endpoints that it uses, and of all endpoints before this relay
+// knows which these are.
 func TestReplyCoversUsedEndpoints(t *testing.T) {
 	g := newTestRelay(20, 3, 500)
 	s := g.members["member1"].Status
@@ -96,19 +97,20 @@
 		require.Contains(t, s.Works.IDs, id)
 	}
 	require.Equal(t, s.Works.Sum, w.Works)
-	again := s
-	again.Works.IDs = nil
-	again.keepEndpointSet(s)
-	require.Equal(t, s.Works, again.Works)
-	again.Works.IDs = nil
-	again.keepEndpointSet(Status{})
-	g.members[s.Box] = receivedStatus{Status: again, receivedAt: boottime.Now()}
-	g.fillReply(&w, again)
+	later := s
+	later.Works.IDs = nil
+	later.keepEndpointSet(s)
+	require.Equal(t, s.Works, later.Works)
+	later.Works.IDs = nil
+	later.keepEndpointSet(Status{})
+	g.members[s.Box] = receivedStatus{Status: later, receivedAt: boottime.Now()}
+	g.fillReply(&w, later)
 	require.Greater(t, len(w.Others.Load), 3)
-	require.Zero(t, w.Works, "so that the member names them in its next round")
+	require.Zero(t, w.Works, "the member must send the IDs in its next round")
 }
 
-// Loads are told without the names of their fields; a box that tells them with these is understood.
+// Loads are encoded as arrays. They can still be exchanged with an older version, which encodes them
+// with field names.
 func TestLoadFromOlderVersion(t *testing.T) {
 	type older struct{ Running, Tokens int }
 	b, err := msgpack.Marshal(map[string]older{"x": {2, 30}})
@@ -123,10 +125,10 @@
 	require.Equal(t, older{2, 30}, o["x"])
 }
 
-// BenchmarkAnswer makes and encodes what a relay answers a member of 30, 100 and 500, where ten
-// relays speak for as many with three calls under way each. Before sums were shared and kept to
-// what a member works with: 0.33, 1.4 and 7.6 ms, 22, 71 and 225 KB; since, 0.16, 0.19 and 0.40 ms,
-// 3.1, 3.6 and 7.0 KB.
+// BenchmarkAnswer computes and encodes a relay's reply to one of 30, 100 and 500 members, with ten
+// relays of as many members and three calls in progress on each. A shared total and the limitation to
+// used endpoints reduce it from 0.33, 1.4 and 7.6 ms to 0.16, 0.19 and 0.40 ms, and from 22, 71 and
+// 225 KB to 3.1, 3.6 and 7.0 KB.
 func BenchmarkAnswer(b *testing.B) {
 	for _, members := range []int{30, 100, 500} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) {
--- a/gossip/watchers_test.go
+++ b/gossip/watchers_test.go
@@ -14,7 +14,7 @@
 	"birchlink.dev/birchlink/store"
 )
 
-// watchers returns the data centres of the boxes that watch the store, sorted.
+// watcherDataCentres returns the data centres of the boxes that watch the store, sorted.
 func watcherDataCentres(bs []*box) []string {
 	var dcs []string
 	for _, b := range bs {
@@ -26,7 +26,7 @@
 	return dcs
 }
 
-// gate is one box's way to the store, which may be closed to it alone.
+// closableStore is one box's connection to the store, which can be closed.
 type closableStore struct {
 	store.Store
 	closed atomic.Bool
@@ -46,19 +46,19 @@
 	return g.Store.Watch(c, prefix, since, wait)
 }
 
-// Of all relays two watch the store, of different data centres. When one stops, or the
-// store answers it no more, another does, and all boxes hear of each change.
+// Two relays of different data centres watch the store. When one stops, or the store doesn't answer it
+// any longer, another takes over, and all changes reach all boxes.
 func TestWatcherReplaced(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":1}`)
-	bs, gates := make([]*box, 0, 9), make([]*closableStore, 0, 9)
+	bs, stores := make([]*box, 0, 9), make([]*closableStore, 0, 9)
 	for i := range 9 {
 		g := &closableStore{Store: m}
-		gates = append(gates, g)
+		stores = append(stores, g)
 		bs = append(bs, startBox(t, g, fmt.Sprint("box", i), fmt.Sprint("dc", i%3)))
 	}
 	version := 1
-	heard := func() bool {
+	caughtUp := func() bool {
 		return !slices.ContainsFunc(bs, func(b *box) bool {
 			return !b.stopped && (b.version() != uint64(version) || len(b.known.Roster.IDs()) != version-1)
 		})
@@ -71,7 +71,7 @@
 		version++
 		m.Set("config", fmt.Sprintf(`{"Version":%d}`, version))
 		m.Set(fmt.Sprint("e/", version), "ready")
-		waitUntil(t, heard)
+		waitUntil(t, caughtUp)
 	}
 	waitUntil(t, func() bool { return countBoxes(bs, (*box).IsRelay) == 6 })
 	waitUntil(t, settled)
@@ -81,7 +81,7 @@
 	change()
 	waitUntil(t, settled)
 	next := slices.IndexFunc(bs, func(b *box) bool { return !b.stopped && b.known.Follows() })
-	gates[next].closed.Store(true)
+	stores[next].closed.Store(true)
 	change()
 	waitUntil(t, func() bool {
 		return len(watcherDataCentres(bs)) >= 2 && !bs[next].known.Follows()
@@ -89,7 +89,7 @@
 	change()
 }
 
-// counting counts the calls that read what is under a prefix, or wait for changes there.
+// callCounter counts the calls that read or watch a prefix.
 type callCounter struct {
 	*memstore.Memory
 	ranges  atomic.Int64
@@ -106,8 +106,8 @@
 	return c.Memory.Range(x, prefix)
 }
 
-// While the store answers nobody, members stay with what they know: none asks it for
-// everything for want of a relay that hears it. When it is back, all hear of changes.
+// While the store answers nobody, members keep what they know, and none requests everything from the
+// store because it finds no usable relay. When the store is back, changes reach all boxes.
 func TestStoreOutageForAllBoxes(t *testing.T) {
 	m := &callCounter{Memory: &memstore.Memory{}}
 	m.Set("config", `{"Version":3}`)
@@ -115,18 +115,18 @@
 	for i := range 12 {
 		bs = append(bs, startBox(t, m, fmt.Sprint("box", i), fmt.Sprint("dc", i%2)))
 	}
-	all := func(version uint64) func() bool {
+	caughtUp := func(version uint64) func() bool {
 		return func() bool {
 			return !slices.ContainsFunc(bs, func(b *box) bool { return b.version() != version || b.othersTotal().Boxes != 11 })
 		}
 	}
-	waitUntil(t, all(3))
+	waitUntil(t, caughtUp(3))
 	last, since := int64(0), 0
 	waitUntil(t, func() bool {
 		if n := m.ranges.Load(); n != last {
 			last, since = n, bs[0].roundCount()
 		}
-		return bs[0].roundCount() >= since+6 // nobody looks for a place, or for a relay, any more
+		return bs[0].roundCount() >= since+6 // no box is looking for a slot or a relay
 	})
 	m.SetDown(true)
 	before := m.ranges.Load() + m.watches.Load()
@@ -136,10 +136,10 @@
 	require.LessOrEqual(t, m.ranges.Load()+m.watches.Load()-before, int64(24))
 	m.SetDown(false)
 	m.Set("config", `{"Version":5}`)
-	waitUntil(t, all(5))
+	waitUntil(t, caughtUp(5))
 }
 
-// Many endpoints that change together reach all boxes.
+// Changes of many endpoints at once reach all boxes.
 func TestManyRecordsReachAllBoxes(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
