--- a/gossip/starts_test.go
+++ b/gossip/starts_test.go
@@ -12,73 +12,74 @@
 	"birchlink.dev/birchlink/store"
 )
 
-// counted is a store that counts the whole reads of each prefix.
-type counted struct {
+// rangeCounter is a store that counts the reads of each prefix.
+type rangeCounter struct {
 	store.Store
 
 	mu    sync.Mutex
 	reads map[string]int
 }
 
-func (s *counted) Range(c context.Context, prefix string) ([]store.Item, uint64, error) {
+func (s *rangeCounter) Range(c context.Context, prefix string) ([]store.Item, uint64, error) {
 	s.mu.Lock()
 	s.reads[prefix]++
 	s.mu.Unlock()
 	return s.Store.Range(c, prefix)
 }
 
-func (s *counted) of(prefix string) int {
+func (s *rangeCounter) rangesOf(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reads[prefix]
 }
 
-// gets is a store that counts the reads of one key.
-type gets struct {
+// getCounter is a store that counts the reads of each key.
+type getCounter struct {
 	store.Store
 
 	mu   sync.Mutex
 	keys map[string]int
 }
 
-func (s *gets) Get(c context.Context, key string) (store.Item, error) {
+func (s *getCounter) Get(c context.Context, key string) (store.Item, error) {
 	s.mu.Lock()
 	s.keys[key]++
 	s.mu.Unlock()
 	return s.Store.Get(c, key)
 }
 
-// On the first start of the whole system nothing was before, and no box asks for it.
-func TestFirstStart(t *testing.T) {
+// At the first start of the whole system there is no snapshot, and no box reads it.
+func TestFirstStartReadsNoSnapshot(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
-	s := &gets{Store: m, keys: map[string]int{}}
-	a := startFirst(t, s, "a", "dc0")
-	b := startFirst(t, s, "b", "dc1")
-	await(t, func() bool { return a.sum().Boxes == 1 && b.sum().Boxes == 1 && a.played() > 10 })
+	s := &getCounter{Store: m, keys: map[string]int{}}
+	a := startBoxFirstTime(t, s, "a", "dc0")
+	b := startBoxFirstTime(t, s, "b", "dc1")
+	waitUntil(t, func() bool { return a.othersTotal().Boxes == 1 && b.othersTotal().Boxes == 1 && a.roundCount() > 10 })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	require.Zero(t, s.keys["before"])
 }
 
-// Each of 985 boxes that started read all records of 10,000 endpoints from the store, 20 pages
-// and 3 MB each, before it had looked for a relay that could tell it: what a start cost the store
-// grew with boxes times endpoints. A box looks for its relays first, so that the records are read
-// by those that watch the store for all, and by no more boxes where there are more.
-func TestStartsReadLittle(t *testing.T) {
+// The number of boxes that read all records from the store at a start is bounded. When each of 985
+// boxes read the records of 10,000 endpoints before it looked for a relay, each read 20 pages and
+// 3 MB, and the load of the store grew with boxes times endpoints.
+func TestStartupReadsBounded(t *testing.T) {
 	m := &memstore.Memory{}
 	m.Set("config", `{"Version":3}`)
 	for i := range 50 {
 		m.Set(fmt.Sprint("e/", i), "ready")
 	}
-	s := &counted{Store: m, reads: map[string]int{}}
+	s := &rangeCounter{Store: m, reads: map[string]int{}}
 	bs := make([]*box, 0, 30)
 	for i := range 30 {
-		bs = append(bs, start(t, s, fmt.Sprint("box", i), fmt.Sprint("dc", i%2)))
+		bs = append(bs, startBox(t, s, fmt.Sprint("box", i), fmt.Sprint("dc", i%2)))
 	}
-	await(t, func() bool {
-		return count(bs, func(b *box) bool { return b.version() == 3 && len(b.known.Roster.IDs()) == 50 && b.sum().Boxes == 29 }) == 30
+	waitUntil(t, func() bool {
+		return countBoxes(bs, func(b *box) bool {
+			return b.version() == 3 && len(b.known.Roster.IDs()) == 50 && b.othersTotal().Boxes == 29
+		}) == 30
 	})
-	require.LessOrEqual(t, s.of("e/"), 8)
-	require.LessOrEqual(t, s.of("config"), 8)
+	require.LessOrEqual(t, s.rangesOf("e/"), 8)
+	require.LessOrEqual(t, s.rangesOf("config"), 8)
 }
