--- a/admission/capacity.go
+++ b/admission/capacity.go
@@ -5,18 +5,19 @@
 	"birchlink.dev/birchlink/view"
 )
 
-// Capacity is the number of slots of the usable endpoints of a data centre: one for each stream of
-// an engine (Engines) and for each call of a plain service (Services). Kept is the fraction of the
-// engines of all data centres that remains after the worst announced reclaim, which takes all
-// reclaimable boxes of one data centre.
+// Capacity is the number of slots of the usable endpoints of a data centre: one for each stream
+// of an engine (EngineSlots) and for each call of a plain service (ServiceSlots). RetainedShare
+// is the fraction of the engines of all data centres that remains after the worst announced
+// reclaim, which takes all reclaimable boxes of one data centre.
 type Capacity struct {
-	Engines  float64
-	Services float64
-	Kept     float64
+	EngineSlots   float64
+	ServiceSlots  float64
+	RetainedShare float64
 }
 
-// Measure returns the capacity of the data centre dc, given the endpoints of all data centres.
-func Measure(ss []*view.Slot, dc string) Capacity {
+// MeasureCapacity returns the capacity of the data centre dc, given the endpoints of all data
+// centres.
+func MeasureCapacity(ss []*view.Slot, dc string) Capacity {
 	var c Capacity
 	all, worst := 0, 0
 	lost := map[string]int{}
@@ -35,13 +36,13 @@
 			continue
 		}
 		if s.Role == fleet.EngineRole {
-			c.Engines += float64(s.Slots)
+			c.EngineSlots += float64(s.Slots)
 		} else {
-			c.Services += float64(s.Slots)
+			c.ServiceSlots += float64(s.Slots)
 		}
 	}
 	if all > 0 {
-		c.Kept = float64(all-worst) / float64(all)
+		c.RetainedShare = float64(all-worst) / float64(all)
 	}
 	return c
 }
--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -12,16 +12,16 @@
 	"birchlink.dev/birchlink/errkind"
 )
 
-func ask(account string, k admission.Kind) admission.Request {
+func newRequest(account string, k admission.Kind) admission.Request {
 	return admission.Request{Account: account, Kind: k, Weight: 1, Rate: 1e6}
 }
 
-var room = admission.Room{Slots: 40, Share: 1, Plain: 40}
+var limits = admission.Limits{Slots: 40, RateShare: 1, PlainSlots: 40}
 
 // fill enters requests until one is refused, and returns the number admitted.
 func fill(t require.TestingT, g *admission.Gate, r admission.Request, now time.Time) int {
 	for n := range 1000 {
-		if _, err := g.Enter(r, room, now); err != nil {
+		if _, err := g.Enter(r, limits, now); err != nil {
 			require.True(t, errkind.Is(err, errkind.Overloaded))
 			require.Positive(t, errkind.Of(err).RetryAfter)
 			return n
@@ -31,46 +31,46 @@
 }
 
 // Tests that requests of a kind that is not urgent leave the reserve to urgent ones.
-func TestUrgentHasRoom(t *testing.T) {
+func TestReserveForUrgentKinds(t *testing.T) {
 	g := admission.Gate{Reserve: 0.25}
-	drafts := fill(t, &g, ask("a", admission.Draft), time.Now())
+	drafts := fill(t, &g, newRequest("a", admission.Draft), time.Now())
 	require.Equal(t, 45, drafts)
-	require.Equal(t, 15, fill(t, &g, ask("b", admission.Alert), time.Now()))
+	require.Equal(t, 15, fill(t, &g, newRequest("b", admission.Alert), time.Now()))
 }
 
 // Tests that capacity released by an account that used all of it goes to another account up to that
 // account's share.
-func TestFairByAccount(t *testing.T) {
+func TestFairShareByAccount(t *testing.T) {
 	var g admission.Gate
 	now := time.Now()
 	var release []func()
 	for {
-		f, err := g.Enter(ask("large", admission.Draft), room, now)
+		f, err := g.Enter(newRequest("large", admission.Draft), limits, now)
 		if err != nil {
 			break
 		}
 		release = append(release, f)
 	}
-	_, err := g.Enter(ask("small", admission.Draft), room, now)
+	_, err := g.Enter(newRequest("small", admission.Draft), limits, now)
 	require.Error(t, err, "the room is full")
 	for _, f := range release[:20] {
 		f()
 	}
-	require.Equal(t, 20, fill(t, &g, ask("small", admission.Draft), now))
-	_, err = g.Enter(ask("large", admission.Draft), room, now)
+	require.Equal(t, 20, fill(t, &g, newRequest("small", admission.Draft), now))
+	_, err = g.Enter(newRequest("large", admission.Draft), limits, now)
 	require.Error(t, err)
 }
 
 // Tests that after any sequence of admitted and ended requests the whole capacity is available.
-func TestNothingLeaks(t *testing.T) {
+func TestReleaseRestoresCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var g admission.Gate
 		now := time.Now()
 		var release []func()
 		for range rapid.IntRange(0, 200).Draw(t, "steps") {
-			r := ask(rapid.StringMatching("[a-c]").Draw(t, "account"), rapid.SampledFrom(admission.Kinds()).Draw(t, "kind"))
+			r := newRequest(rapid.StringMatching("[a-c]").Draw(t, "account"), rapid.SampledFrom(admission.Kinds()).Draw(t, "kind"))
 			r.Plain = rapid.Bool().Draw(t, "plain")
-			if f, err := g.Enter(r, room, now); err == nil {
+			if f, err := g.Enter(r, limits, now); err == nil {
 				release = append(release, f)
 			}
 			if len(release) > 0 && rapid.Bool().Draw(t, "leave") {
@@ -82,12 +82,12 @@
 			f()
 		}
 		now = now.Add(time.Hour)
-		require.Equal(t, 60, fill(t, &g, ask("fresh", admission.Draft), now))
+		require.Equal(t, 60, fill(t, &g, newRequest("fresh", admission.Draft), now))
 	})
 }
 
 // Tests that boxes which divide the rate of an account admit no more together than the rate.
-func TestRateHoldsOverBoxes(t *testing.T) {
+func TestRateHoldsAcrossBoxes(t *testing.T) {
 	now := time.Now()
 	boxes := make([]admission.Gate, 4)
 	shares := []float64{0.4, 0.3, 0.2, 0.1}
@@ -97,7 +97,7 @@
 		now = now.Add(10 * time.Millisecond)
 		for i := range boxes {
 			r := admission.Request{Account: "a", Kind: admission.Tick, Weight: 1, Rate: 50, Plain: true}
-			if f, err := boxes[i].Enter(r, admission.Room{Share: shares[i], Plain: 1e6}, now); err == nil {
+			if f, err := boxes[i].Enter(r, admission.Limits{RateShare: shares[i], PlainSlots: 1e6}, now); err == nil {
 				admitted++
 				f()
 			} else {
@@ -115,9 +115,9 @@
 			now := time.Now()
 			rs := make([]admission.Request, n)
 			for i := range rs {
-				rs[i] = ask(fmt.Sprint(i), admission.Draft)
+				rs[i] = newRequest(fmt.Sprint(i), admission.Draft)
 			}
-			m := admission.Room{Slots: 1e6, Share: 1}
+			m := admission.Limits{Slots: 1e6, RateShare: 1}
 			for i := 0; b.Loop(); i++ {
 				if f, err := g.Enter(rs[i%n], m, now); err == nil {
 					f()
--- a/admission/service.go
+++ b/admission/service.go
@@ -19,19 +19,19 @@
 // Name is the name of the service.
 const Name = "admission"
 
-// demandHalf is the time constant of the decay of demand: it decays by a tenth each second.
-const demandHalf = 10 * time.Second
+// demandDecayTime is the time constant of the decay of demand: it decays by a tenth each second.
+const demandDecayTime = 10 * time.Second
 
 // The retry budget of an account: its initial value, what each admitted request adds, and its
 // maximum, in retries.
 const (
-	retryFirst = 10
-	retryShare = 0.2
-	retryMost  = 20
+	initialRetries    = 10
+	retriesPerRequest = 0.2
+	maxRetries        = 20
 )
 
-// forgetDemand is the time for which a demand report of another box is used.
-const forgetDemand = 30 * time.Second
+// demandReportTTL is the time for which a demand report of another box is used.
+const demandReportTTL = 30 * time.Second
 
 // Demand is the demand at one box: a decaying count of requests by account, and a decaying peak of
 // concurrent streams by workload.
@@ -42,8 +42,8 @@
 	Workloads map[string]float32
 }
 
-// told is the demand reported by another box and the time of the report.
-type told struct {
+// demandReport is the demand reported by another box and the time of the report.
+type demandReport struct {
 	Demand
 	at time.Time
 }
@@ -53,21 +53,21 @@
 	view    *view.View
 	members *member.Service
 
-	mu      sync.Mutex
-	gate    Gate
-	demand  map[string]float64 // requests by account, decaying
-	streams map[string]int     // streams in flight by workload
-	peak    map[string]float64 // peak of streams by workload, decaying
-	others  map[string]told    // by box
-	decayed time.Time          // time up to which demand and peak are decayed
-	retries map[string]float64 // retries left by account
+	mu              sync.Mutex
+	gate            Gate
+	demand          map[string]float64      // requests by account, decaying
+	streamsInFlight map[string]int          // streams in flight by workload
+	peakStreams     map[string]float64      // peak of streams by workload, decaying
+	reports         map[string]demandReport // by box
+	decayedUntil    time.Time               // time up to which demand and peak are decayed
+	retriesLeft     map[string]float64      // retries left by account
 }
 
 // New returns an admission control service.
 func New() *Admission {
 	return &Admission{
-		demand: map[string]float64{}, streams: map[string]int{}, peak: map[string]float64{},
-		others: map[string]told{}, retries: map[string]float64{}, decayed: time.Now(),
+		demand: map[string]float64{}, streamsInFlight: map[string]int{}, peakStreams: map[string]float64{},
+		reports: map[string]demandReport{}, retriesLeft: map[string]float64{}, decayedUntil: time.Now(),
 	}
 }
 
@@ -104,7 +104,7 @@
 // Enter admits or refuses a request; see Gate.Enter. The function that it returns may be called
 // more than once.
 func (a *Admission) Enter(r Request) (func(), error) {
-	m := a.measure(r.Account)
+	m := a.limitsFor(r.Account)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.decay(time.Now())
@@ -113,13 +113,13 @@
 	if err != nil {
 		return nil, err
 	}
-	a.retries[r.Account] = min(a.budget(r.Account)+retryShare, retryMost)
-	a.streams[r.Workload]++
-	a.peak[r.Workload] = max(a.peak[r.Workload], float64(a.streams[r.Workload]))
+	a.retriesLeft[r.Account] = min(a.retryBudget(r.Account)+retriesPerRequest, maxRetries)
+	a.streamsInFlight[r.Workload]++
+	a.peakStreams[r.Workload] = max(a.peakStreams[r.Workload], float64(a.streamsInFlight[r.Workload]))
 	return sync.OnceFunc(func() {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.streams[r.Workload]--
+		a.streamsInFlight[r.Workload]--
 		release()
 	}), nil
 }
@@ -128,42 +128,42 @@
 func (a *Admission) Retry(account string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	left := a.budget(account)
+	left := a.retryBudget(account)
 	if left < 1 {
 		return false
 	}
-	a.retries[account] = left - 1
+	a.retriesLeft[account] = left - 1
 	return true
 }
 
-// budget returns the retries that an account has left. The caller holds a.mu.
-func (a *Admission) budget(account string) float64 {
-	if v, known := a.retries[account]; known {
+// retryBudget returns the retries that an account has left. The caller holds a.mu.
+func (a *Admission) retryBudget(account string) float64 {
+	if v, known := a.retriesLeft[account]; known {
 		return v
 	}
-	return retryFirst
+	return initialRetries
 }
 
-// measure computes the limits of this box from the capacity of the data centre and the number of
+// limitsFor computes the limits of this box from the capacity of the data centre and the number of
 // entry boxes.
-func (a *Admission) measure(account string) Room {
+func (a *Admission) limitsFor(account string) Limits {
 	all := float64(max(len(a.members.Up("")), 1))
 	here := float64(max(len(a.members.Names()), 1))
-	c := Measure(a.view.Slots(), a.members.Self().DataCentre)
-	return Room{Slots: c.Engines * c.Kept / here, Plain: c.Services / here, Share: a.share(account, here) * here / all}
+	c := MeasureCapacity(a.view.Slots(), a.members.Self().DataCentre)
+	return Limits{Slots: c.EngineSlots * c.RetainedShare / here, PlainSlots: c.ServiceSlots / here, RateShare: a.rateShare(account, here) * here / all}
 }
 
-// share returns this box's share of the data centre's part of the account's rate. It is proportional
-// to demand, but at least a quarter of an equal share.
-func (a *Admission) share(account string, boxes float64) float64 {
+// rateShare returns this box's share of the data centre's part of the account's rate. It is
+// proportional to demand, but at least a quarter of an equal share.
+func (a *Admission) rateShare(account string, boxes float64) float64 {
 	const minShareDivisor = 4
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	own := a.demand[account] + 1
 	sum := own
-	for box, t := range a.others {
-		if time.Since(t.at) > forgetDemand {
-			delete(a.others, box)
+	for box, t := range a.reports {
+		if time.Since(t.at) > demandReportTTL {
+			delete(a.reports, box)
 			continue
 		}
 		sum += float64(t.Accounts[account])
@@ -176,12 +176,12 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.decay(time.Now())
-	return Demand{Accounts: narrow(a.demand), Workloads: narrow(a.peak)}
+	return Demand{Accounts: topValues(a.demand), Workloads: topValues(a.peakStreams)}
 }
 
-// maxTold is the maximum number of accounts, and of workloads, in a report: those with the highest
-// demand. The demand of the others counts as zero at the receiver.
-const maxTold = 24
+// maxReported is the maximum number of accounts, and of workloads, in a report: those with the
+// highest demand. The demand of the others counts as zero at the receiver.
+const maxReported = 24
 
 // DataCentreDemand returns the peak of streams by workload, summed over this box and all boxes that
 // reported theirs.
@@ -189,8 +189,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.decay(time.Now())
-	m := maps.Clone(a.peak)
-	for _, t := range a.others {
+	m := maps.Clone(a.peakStreams)
+	for _, t := range a.reports {
 		for w, n := range t.Workloads {
 			m[w] += float64(n)
 		}
@@ -198,11 +198,11 @@
 	return m
 }
 
-// narrow returns the maxTold highest values of m.
-func narrow(m map[string]float64) map[string]float32 {
+// topValues returns the maxReported highest values of m.
+func topValues(m map[string]float64) map[string]float32 {
 	ks := slices.SortedFunc(maps.Keys(m), func(x, y string) int { return cmp.Or(cmp.Compare(m[y], m[x]), cmp.Compare(x, y)) })
-	n := make(map[string]float32, maxTold)
-	for _, k := range ks[:min(len(ks), maxTold)] {
+	n := make(map[string]float32, maxReported)
+	for _, k := range ks[:min(len(ks), maxReported)] {
 		n[k] = float32(m[k])
 	}
 	return n
@@ -212,30 +212,30 @@
 func (a *Admission) SetDemand(from string, d Demand) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.others[from] = told{Demand: d, at: time.Now()}
+	a.reports[from] = demandReport{Demand: d, at: time.Now()}
 }
 
 // decay decays demand and peaks, in steps of a second, up to now. The caller holds a.mu.
 func (a *Admission) decay(now time.Time) {
 	const step = time.Second
-	for now.Sub(a.decayed) >= step {
-		a.decayed = a.decayed.Add(step)
-		fade(a.demand)
-		fade(a.peak)
-		for w, n := range a.streams {
-			a.peak[w] = max(a.peak[w], float64(n))
+	for now.Sub(a.decayedUntil) >= step {
+		a.decayedUntil = a.decayedUntil.Add(step)
+		decayValues(a.demand)
+		decayValues(a.peakStreams)
+		for w, n := range a.streamsInFlight {
+			a.peakStreams[w] = max(a.peakStreams[w], float64(n))
 			if n == 0 {
-				delete(a.streams, w)
+				delete(a.streamsInFlight, w)
 			}
 		}
 	}
 }
 
-// fade decays each value by one second and deletes negligible ones.
-func fade(m map[string]float64) {
+// decayValues decays each value by one second and deletes negligible ones.
+func decayValues(m map[string]float64) {
 	const negligible = 0.01
 	for k, v := range m {
-		v *= 1 - float64(time.Second)/float64(demandHalf)
+		v *= 1 - float64(time.Second)/float64(demandDecayTime)
 		if v < negligible {
 			delete(m, k)
 			continue
--- a/compare/requests.go
+++ b/compare/requests.go
@@ -103,7 +103,7 @@
 }
 
 // room is what a data centre may have under way after the worst reclaim.
-func (s *state) room(dc string) admission.Room {
+func (s *state) room(dc string) admission.Limits {
 	all, own, lost := 0, 0, map[string]int{}
 	for _, e := range s.engines {
 		all += e.Slots
@@ -118,7 +118,7 @@
 	for _, n := range lost {
 		worst = max(worst, n)
 	}
-	return admission.Room{Slots: float64(own) * float64(all-worst) / float64(max(all, 1)), Share: 1}
+	return admission.Limits{Slots: float64(own) * float64(all-worst) / float64(max(all, 1)), RateShare: 1}
 }
 
 // give routes one request, and counts what it costs where it went.
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -172,13 +172,13 @@
 	p := newEntryParts(s, log)
 	limits := limit.New(p.quota, &p.book.Availability.Rates, m, log)
 	f := &forward.Forwarder{
-		DataCentre: s.DataCentre, Roster: &p.known.Roster, Book: p.book, Budget: p.budget, Meter: p.meter, Quarantine: p.gossip.Quarantine, Rollouts: p.gossip.Rollouts,
-		Pool: &exchange.Pool{DialLimit: dialEndpoint}, Codec: platform.Wire{}, Began: p.began, Metrics: m, Log: log,
-		Sent: p.sent, Ended: func(e endpoint.Endpoint) { p.gossip.Ended(e.Incarnation()) },
-		Leaves: func(e endpoint.Endpoint) { p.gossip.Leaves(e.Incarnation()) },
-		Stated: p.gossip.Stated, Permit: limits.Permit,
+		DataCentre: s.DataCentre, Roster: &p.known.Roster, Balancer: p.book, Budget: p.budget, Meter: p.meter, Quarantine: p.gossip.Quarantine, Rollouts: p.gossip.Rollouts,
+		Pool: &exchange.Pool{DialTimeout: dialEndpoint}, Codec: platform.Wire{}, OnStart: p.began, Metrics: m, Log: log,
+		OnSend: p.sent, OnCrash: func(e endpoint.Endpoint) { p.gossip.Ended(e.Incarnation()) },
+		OnDraining:    func(e endpoint.Endpoint) { p.gossip.Leaves(e.Incarnation()) },
+		OnLimitChange: p.gossip.Stated, RequestPermit: limits.Permit,
 	}
-	p.known.Roster.OnReplaced(f.Replaced)
+	p.known.Roster.OnReplaced(f.CancelReplaced)
 	p.known.OnForeign = func(r endpoint.Reason) {
 		metrics.GetOrRegisterCounter("endpoints.foreign."+string(r), m).Inc(1)
 	}
@@ -214,7 +214,7 @@
 	fs.Gauge("boxes.known", func() int64 { return p.boxes.Load() })
 	fs.Gauge("requests.live", func() int64 { return int64(in.Live()) })
 	fs.Gauge("contents.refused", func() int64 { return int64(len(p.gossip.Quarantine.Refused(boottime.Now()))) })
-	fs.Gauge("connections.idle", func() int64 { return int64(f.Pool.Idle()) })
+	fs.Gauge("connections.idle", func() int64 { return int64(f.Pool.CountIdle()) })
 	return fs
 }
 
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -26,9 +26,9 @@
 const Name = "dispatch"
 
 const (
-	maxRecords = 200_000                // keys and tickets
-	retryPeer  = 2 * time.Second        // retry time reported while a run goes on or a peer is unavailable
-	verdictIn  = 500 * time.Millisecond // time after the deadline for a stream to report how it ended
+	maxRecords     = 200_000                // keys and tickets
+	peerRetryAfter = 2 * time.Second        // retry time reported while a run goes on or a peer is unavailable
+	deadlineGrace  = 500 * time.Millisecond // time after the deadline for a stream to report how it ended
 )
 
 // Result is the outcome of a run: a stream, which may still be running, a response, or an error.
@@ -39,7 +39,7 @@
 
 	// Inherited holds the tokens of a stream taken over from another process. The remaining tokens,
 	// if any, are read by the stream's ID.
-	Inherited *inherited
+	Inherited *partialStream
 }
 
 // Dispatcher is the dispatch service of one box.
@@ -54,7 +54,7 @@
 	proxy     *plain.Proxy
 	admission *admission.Admission
 	decisions *decisions.Log
-	group     sync.WaitGroup
+	runs      sync.WaitGroup
 }
 
 // New returns a dispatcher that keeps the records of keys and tickets for ttl.
@@ -78,22 +78,22 @@
 	); err != nil {
 		return err
 	}
-	d.peers.Server.Handle("once.do", d.answer)
-	peer.Handle(d.peers.Server, "once.inherit", d.inherit)
+	d.peers.Server.Handle("once.do", d.handleForwarded)
+	peer.Handle(d.peers.Server, "once.inherit", d.handleHandover)
 	return nil
 }
 
 // Stop waits for the runs that are under way, also those whose callers have disconnected, and hands
 // the records of this process over to a peer.
 func (d *Dispatcher) Stop(c context.Context) error {
-	d.group.Wait()
-	d.bequeath(c)
+	d.runs.Wait()
+	d.handOver(c)
 	return nil
 }
 
-// Mint issues n tickets. Calls with these tickets run only in this process, or in the one that
-// takes over its records.
-func (d *Dispatcher) Mint(n int) ([]string, error) {
+// IssueTickets issues n tickets. Calls with these tickets run only in this process, or in the one
+// that takes over its records.
+func (d *Dispatcher) IssueTickets(n int) ([]string, error) {
 	ts := make([]string, n)
 	for i := range ts {
 		t := ticket.New(d.members.Self().Incarnation).String()
@@ -106,10 +106,11 @@
 }
 
 // Do runs a call, or finds the run of an earlier call with the same key or ticket, and passes the
-// response to sink. Its errors are of package errkind.
+// response to sink.
 func (d *Dispatcher) Do(c context.Context, q Call, sink Sink) error {
-	// A stream stops at the deadline by itself; verdictIn leaves it time to report how it ended.
-	c, cancel := context.WithDeadline(c, q.deadline().Add(verdictIn))
+	// A stream stops at the deadline by itself; deadlineGrace leaves it time to report how it
+	// ended.
+	c, cancel := context.WithDeadline(c, q.deadline().Add(deadlineGrace))
 	defer cancel()
 	switch {
 	case q.Ticket != "":
@@ -117,13 +118,13 @@
 	case q.Key != "":
 		return d.doKey(c, q, sink)
 	default:
-		return d.doFree(c, q, sink)
+		return d.doUnkeyed(c, q, sink)
 	}
 }
 
-// doFree runs a call without key or ticket.
-func (d *Dispatcher) doFree(c context.Context, q Call, sink Sink) error {
-	release, remote, err := d.enter(q)
+// doUnkeyed runs a call without key or ticket.
+func (d *Dispatcher) doUnkeyed(c context.Context, q Call, sink Sink) error {
+	release, remote, err := d.admit(q)
 	if err != nil {
 		return err
 	}
@@ -135,21 +136,21 @@
 		}
 		return sink(Item{Plain: a})
 	}
-	return d.read(c, d.start(q, remote), sink)
+	return d.readStream(c, d.startStream(q, remote), sink)
 }
 
-// start starts the stream of a chat call, in this data centre or in another one.
-func (d *Dispatcher) start(q Call, remote bool) *stream.Stream {
+// startStream starts the stream of a chat call, in this data centre or in another one.
+func (d *Dispatcher) startStream(q Call, remote bool) *stream.Stream {
 	if remote {
 		return d.keeper.RunAbroad(*q.Chat)
 	}
 	return d.keeper.Run(*q.Chat)
 }
 
-// enter asks admission control for a call. A chat call that is refused for lack of capacity in this
-// data centre may run in another one, which is reported by remote. The caller calls release when the
-// call has ended.
-func (d *Dispatcher) enter(q Call) (release func(), remote bool, err error) {
+// admit asks admission control for a call. A chat call that is refused for lack of capacity in
+// this data centre may run in another one, which is reported by remote. The caller calls release
+// when the call has ended.
+func (d *Dispatcher) admit(q Call) (release func(), remote bool, err error) {
 	release, err = d.admission.Enter(q.admission())
 	n := decisions.Decision{Subject: q.id(), Event: "admit", Choice: "accepted"}
 	if errkind.Is(err, errkind.Overloaded) && q.Chat != nil && d.keeper.Abroad() {
@@ -163,9 +164,9 @@
 	return release, remote, err
 }
 
-// read passes the tokens of a stream to a sink. If the stream has moved to a peer, the remaining
-// tokens are read from that peer.
-func (d *Dispatcher) read(c context.Context, s *stream.Stream, sink Sink) error {
+// readStream passes the tokens of a stream to a sink. If the stream has moved to a peer, the
+// remaining tokens are read from that peer.
+func (d *Dispatcher) readStream(c context.Context, s *stream.Stream, sink Sink) error {
 	next := 0
 	each := func(i int, t string) error {
 		next = i + 1
@@ -240,7 +241,7 @@
 		return sink(i)
 	})
 	if errkind.Is(err, errkind.Unavailable) {
-		return errkind.Of(err).After(retryPeer)
+		return errkind.Of(err).After(peerRetryAfter)
 	}
 	return err
 }
@@ -252,8 +253,8 @@
 	To   string
 }
 
-// answer handles a call forwarded by a peer.
-func (d *Dispatcher) answer(c context.Context, body []byte, send func(any) error) (any, error) {
+// handleForwarded handles a call forwarded by a peer.
+func (d *Dispatcher) handleForwarded(c context.Context, body []byte, send func(any) error) (any, error) {
 	var f forwarded
 	if err := msgpack.Unmarshal(body, &f); err != nil {
 		return nil, errkind.New(errkind.BadRequest, "decode call: %w", err)
@@ -280,24 +281,24 @@
 // runRecord runs the call of a record unless it has run already, and passes the outcome to sink.
 func (d *Dispatcher) runRecord(c context.Context, r *once.Record[Result], q Call, sink Sink) error {
 	if r.Begin(d.TTL / 2) {
-		release, remote, err := d.enter(q)
+		release, remote, err := d.admit(q)
 		if err != nil {
 			r.Settle(Result{Err: err}, false)
 			return err
 		}
-		d.group.Go(func() {
+		d.runs.Go(func() {
 			defer release()
 			d.run(r, q, remote)
 		})
 	}
-	st, v, err := r.Wait(c, settled)
+	st, v, err := r.Wait(c, hasOutcome)
 	switch {
 	case err != nil:
-		return errkind.New(errkind.StillRunning, "it still runs; come back for its answer").After(retryPeer)
+		return errkind.New(errkind.StillRunning, "it still runs; come back for its answer").After(peerRetryAfter)
 	case v.Stream != nil:
-		return d.read(c, v.Stream, sink)
+		return d.readStream(c, v.Stream, sink)
 	case v.Inherited != nil:
-		return d.readInherited(c, v.Inherited, sink)
+		return d.readPartial(c, v.Inherited, sink)
 	case v.Err != nil:
 		return v.Err
 	case st == once.Open:
@@ -306,8 +307,8 @@
 	return sink(Item{Plain: v.Plain})
 }
 
-// settled reports whether there is an outcome, or a stream to read from.
-func settled(s once.State, r Result) bool {
+// hasOutcome reports whether there is an outcome, or a stream to read from.
+func hasOutcome(s once.State, r Result) bool {
 	return s != once.Running || r.Stream != nil
 }
 
@@ -315,20 +316,20 @@
 func (d *Dispatcher) run(r *once.Record[Result], q Call, remote bool) {
 	if q.Plain != nil {
 		a, err := d.proxy.Do(context.Background(), *q.Plain)
-		r.Settle(Result{Plain: a, Err: err}, didRun(err))
+		r.Settle(Result{Plain: a, Err: err}, mayHaveRun(err))
 		return
 	}
-	s := d.start(q, remote)
+	s := d.startStream(q, remote)
 	r.Share(Result{Stream: s})
 	err := s.Wait(context.Background())
-	if err != nil && !didRun(err) {
+	if err != nil && !mayHaveRun(err) {
 		r.Settle(Result{Err: err}, false)
 		return
 	}
 	r.Settle(Result{Stream: s}, true)
 }
 
-// didRun reports whether a call that ended with err may have run.
-func didRun(err error) bool {
+// mayHaveRun reports whether a call that ended with err may have run.
+func mayHaveRun(err error) bool {
 	return err == nil || errkind.Of(err).Kind.Answer().Run != errkind.NotRun
 }
--- a/dispatch/inherit.go
+++ b/dispatch/handover.go
@@ -14,54 +14,54 @@
 )
 
 const (
-	bequestLimit = 3 * time.Second // for all batches of a handover
-	bequestSize  = 2000            // records in a batch
+	handoverTimeout = 3 * time.Second // for all batches of a handover
+	handoverBatch   = 2000            // records in a batch
 
-	// answersFor is the age up to which responses are handed over. Of older records the peer only
-	// learns that they ran, so that retries get OutcomeUnknown.
-	answersFor = 2 * time.Minute
+	// maxResponseAge is the age up to which responses are handed over. Of older records the peer
+	// only learns that they ran, so that retries get OutcomeUnknown.
+	maxResponseAge = 2 * time.Minute
 )
 
-// inherited is a stream taken over from another process. If Tokens is not the complete response
+// partialStream is a stream taken over from another process. If Tokens is not the complete response
 // (Whole is false), a peer continues the stream and the remaining tokens are read by its ID.
-type inherited struct {
+type partialStream struct {
 	ID      string
 	Account string
 	Tokens  []string
 	Whole   bool
 }
 
-// bequest is a record as it is sent to the process that takes it over. Open means that its call
-// has not run.
-type bequest struct {
+// handoverRecord is a record as it is sent to the process that takes it over. Open means that its
+// call has not run.
+type handoverRecord struct {
 	Name   string
 	Nonce  uint64
 	Digest uint64
 	Age    time.Duration
 	Open   bool
-	Stream *inherited
+	Stream *partialStream
 	Plain  *plain.Response
 	Kind   errkind.Kind
 	Reason string
 }
 
-// bequeath hands the records over to a peer in the same data centre. From then on no record starts
+// handOver hands the records over to a peer in the same data centre. From then on no record starts
 // a run in this process, even if the peer did not receive the records.
-func (d *Dispatcher) bequeath(c context.Context) {
-	to, ok := d.heir()
+func (d *Dispatcher) handOver(c context.Context) {
+	to, ok := d.successor()
 	if !ok {
 		return
 	}
-	var all []bequest
+	var all []handoverRecord
 	for name, r := range d.records.Close() {
-		if b, ok := pack(name, r); ok {
+		if b, ok := packRecord(name, r); ok {
 			all = append(all, b)
 		}
 	}
-	c, cancel := context.WithTimeout(c, bequestLimit)
+	c, cancel := context.WithTimeout(c, handoverTimeout)
 	defer cancel()
 	for len(all) > 0 {
-		n := min(len(all), bequestSize)
+		n := min(len(all), handoverBatch)
 		if err := d.peers.Client.Call(c, to.Address, "once.inherit", all[:n], nil); err != nil {
 			d.decisions.Note(decisions.Decision{Subject: "records", Event: "bequeath", Choice: to.Box, Reason: "not taken: " + err.Error()})
 			return
@@ -72,7 +72,7 @@
 	d.decisions.Note(decisions.Decision{Subject: "records", Event: "bequeath", Choice: to.Box, Reason: "this process ends"})
 }
 
-func (d *Dispatcher) heir() (member.Member, bool) {
+func (d *Dispatcher) successor() (member.Member, bool) {
 	self := d.members.Self()
 	for _, m := range d.members.Up(self.DataCentre) {
 		if m.Box != self.Box && m.State == member.Alive {
@@ -82,15 +82,15 @@
 	return member.Member{}, false
 }
 
-// pack converts a record to the form that is handed over. It reports false for a record that is
-// neither open nor done.
-func pack(name string, r *once.Record[Result]) (bequest, bool) {
+// packRecord converts a record to the form that is handed over. It reports false for a record
+// that is neither open nor done.
+func packRecord(name string, r *once.Record[Result]) (handoverRecord, bool) {
 	s, v, _ := r.Look()
-	b := bequest{Name: name, Nonce: r.Nonce, Digest: r.Digest, Age: r.Age(), Open: s == once.Open, Plain: v.Plain}
+	b := handoverRecord{Name: name, Nonce: r.Nonce, Digest: r.Digest, Age: r.Age(), Open: s == once.Open, Plain: v.Plain}
 	if b.Open {
 		return b, true
 	}
-	if b.Age > answersFor {
+	if b.Age > maxResponseAge {
 		b.Plain, b.Kind, b.Reason = nil, errkind.OutcomeUnknown, "it ran; its answer is no longer held"
 		return b, true
 	}
@@ -100,7 +100,7 @@
 	}
 	if v.Stream != nil {
 		ts, whole, err := v.Stream.Tokens()
-		b.Stream = &inherited{ID: v.Stream.ID, Account: v.Stream.Account, Tokens: ts, Whole: whole}
+		b.Stream = &partialStream{ID: v.Stream.ID, Account: v.Stream.Account, Tokens: ts, Whole: whole}
 		var m *stream.MovedError
 		if err != nil && !errors.As(err, &m) {
 			e := errkind.Of(err)
@@ -113,8 +113,8 @@
 	return b, s == once.Done
 }
 
-// inherit handles the records handed over by a process that shuts down.
-func (d *Dispatcher) inherit(_ context.Context, bs []bequest) (struct{}, error) {
+// handleHandover handles the records handed over by a process that shuts down.
+func (d *Dispatcher) handleHandover(_ context.Context, bs []handoverRecord) (struct{}, error) {
 	for _, b := range bs {
 		s, v := once.Done, Result{Plain: b.Plain, Inherited: b.Stream}
 		if b.Reason != "" {
@@ -128,9 +128,9 @@
 	return struct{}{}, nil
 }
 
-// readInherited passes the tokens taken over to sink, and then those that it reads from the peer
+// readPartial passes the tokens taken over to sink, and then those that it reads from the peer
 // that continues the stream.
-func (d *Dispatcher) readInherited(c context.Context, h *inherited, sink Sink) error {
+func (d *Dispatcher) readPartial(c context.Context, h *partialStream, sink Sink) error {
 	for i, t := range h.Tokens {
 		if err := sink(Item{Index: i, Token: t}); err != nil {
 			return err
--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -12,21 +12,21 @@
 
 // Conn is a connection to an endpoint, used by one call at a time.
 type Conn struct {
-	net    net.Conn
-	reader *bufio.Reader
-	rested time.Time     // when the last call ended
-	keep   time.Duration // keep-alive timeout announced by the endpoint; zero if none
-	calls  int
+	net       net.Conn
+	reader    *bufio.Reader
+	idleSince time.Time     // when the last call ended
+	keepAlive time.Duration // keep-alive timeout announced by the endpoint; zero if none
+	calls     int
 }
 
-// readBuffer is the size of the read buffer in bytes. Response heads and events are short.
-const readBuffer = 4 << 10
+// readBufferSize is the size of the read buffer in bytes. Response heads and events are short.
+const readBufferSize = 4 << 10
 
-func newConn(c net.Conn) *Conn { return &Conn{net: c, reader: bufio.NewReaderSize(c, readBuffer)} }
+func newConn(c net.Conn) *Conn { return &Conn{net: c, reader: bufio.NewReaderSize(c, readBufferSize)} }
 
-// reset closes the connection with a TCP reset, which discards data that is not delivered yet. After
-// a plain close the kernel keeps retransmitting: a request sent during a network partition would
-// reach its endpoint when the partition ends, long after the call was given up.
+// reset closes the connection with a TCP reset, which discards data that is not delivered yet.
+// After a plain close the kernel keeps retransmitting: a request sent during a network partition
+// would reach its endpoint when the partition ends, long after the call was given up.
 func (c *Conn) reset() {
 	if t, ok := c.net.(*net.TCPConn); ok {
 		_ = t.SetLinger(0) // fails only on a closed connection
@@ -34,9 +34,9 @@
 	_ = c.net.Close()
 }
 
-// quiet reports whether an idle connection can be used again: the endpoint has not closed it and
-// nothing unexpected has arrived on it.
-func (c *Conn) quiet() bool {
+// isReusable reports whether an idle connection can be used again: the endpoint has not closed it
+// and nothing unexpected has arrived on it.
+func (c *Conn) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -35,14 +35,14 @@
 func request(l net.Listener) exchange.Request {
 	return exchange.Request{
 		Address: l.Addr().String(), Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Body: []byte("body"),
-		Mine: func(http.Header) bool { return true },
+		Matches: func(http.Header) bool { return true },
 	}
 }
 
 // Tests that a cancelled call resets its connection. Otherwise the kernel keeps retransmitting a
 // request sent during a partition, and the endpoint receives it when the partition ends, after the
 // call was retried at another endpoint.
-func TestGivenUpIsTakenBack(t *testing.T) {
+func TestCancelledRequestResetsConnection(t *testing.T) {
 	c, cancel := context.WithCancel(t.Context())
 	end := make(chan error, 1)
 	l := listen(t, func(n net.Conn) {
@@ -54,14 +54,14 @@
 		}
 		end <- err
 	})
-	p := &exchange.Pool{DialLimit: time.Minute}
+	p := &exchange.Pool{DialTimeout: time.Minute}
 	_, err := p.Do(c, request(l))
 	require.ErrorIs(t, err, context.Canceled)
 	require.ErrorIs(t, <-end, syscall.ECONNRESET)
 }
 
 // Tests that closing a response before its end resets the connection.
-func TestAnswerGivenUpIsTakenBack(t *testing.T) {
+func TestClosingIncompleteResponseResetsConnection(t *testing.T) {
 	end := make(chan error, 1)
 	l := listen(t, func(n net.Conn) {
 		_, err := http.ReadRequest(bufio.NewReader(n))
@@ -73,45 +73,45 @@
 		}
 		end <- err
 	})
-	p := &exchange.Pool{DialLimit: time.Minute}
+	p := &exchange.Pool{DialTimeout: time.Minute}
 	a, err := p.Do(t.Context(), request(l))
 	require.NoError(t, err)
 	a.Close()
 	require.ErrorIs(t, <-end, syscall.ECONNRESET)
 }
 
-// Tests that a request for which Still returns false is not sent, and that the connection returns to
-// the pool.
-func TestWithheld(t *testing.T) {
+// Tests that a request for which ShouldSend returns false is not sent, and that the connection
+// returns to the pool.
+func TestShouldSendFalse(t *testing.T) {
 	l := listen(t, func(n net.Conn) {
 		if _, err := http.ReadRequest(bufio.NewReader(n)); err == nil {
 			_, _ = io.WriteString(n, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
-	p := &exchange.Pool{DialLimit: time.Minute}
+	p := &exchange.Pool{DialTimeout: time.Minute}
 	q := request(l)
-	q.Still = func() bool { return false }
+	q.ShouldSend = func() bool { return false }
 	_, err := p.Do(t.Context(), q)
-	require.ErrorIs(t, err, exchange.ErrWithheld)
-	require.Equal(t, 1, p.Idle())
-	q.Still, q.Rest = func() bool { return true }, time.Minute
+	require.ErrorIs(t, err, exchange.ErrNotSent)
+	require.Equal(t, 1, p.CountIdle())
+	q.ShouldSend, q.MaxIdle = func() bool { return true }, time.Minute
 	a, err := p.Do(t.Context(), q)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, a.Status)
 	a.Close()
 }
 
-// Tests that Refused reports an address without a listener, and that a connection which is accepted
-// returns to the pool.
-func TestRefused(t *testing.T) {
+// Tests that RefusesConnections reports an address without a listener, and that a connection
+// which is accepted returns to the pool.
+func TestRefusesConnections(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
 	l := listen(t, func(net.Conn) { <-hold })
-	p := &exchange.Pool{DialLimit: time.Minute}
-	require.False(t, p.Refused(t.Context(), l.Addr().String()))
-	require.Equal(t, 1, p.Idle())
+	p := &exchange.Pool{DialTimeout: time.Minute}
+	require.False(t, p.RefusesConnections(t.Context(), l.Addr().String()))
+	require.Equal(t, 1, p.CountIdle())
 	gone, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, gone.Close())
-	require.True(t, p.Refused(t.Context(), gone.Addr().String()))
+	require.True(t, p.RefusesConnections(t.Context(), gone.Addr().String()))
 }
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -17,25 +17,26 @@
 // Pool dials endpoints and keeps idle connections. The zero value is ready to use and dials without
 // a time limit.
 type Pool struct {
-	// DialLimit is the maximum time to establish a connection.
-	DialLimit time.Duration
+	// DialTimeout is the maximum time to establish a connection.
+	DialTimeout time.Duration
 
-	checks singleflight.Group // calls of Refused, by address
+	refusalChecks singleflight.Group // calls of RefusesConnections, by address
 
 	mu   sync.Mutex
 	idle map[string][]*Conn
 }
 
-// Idle connections are kept for keepPart of the keep-alive timeout that the endpoint announced, as
-// the endpoint's timer starts earlier than the pool's, or for keepUntold if it announced none.
+// Idle connections are kept for keepAliveShare of the keep-alive timeout that the endpoint
+// announced, as the endpoint's timer starts earlier than the pool's, or for defaultMaxIdle if it
+// announced none.
 const (
-	keepPart   = 0.6
-	keepUntold = 3 * time.Second
+	keepAliveShare = 0.6
+	defaultMaxIdle = 3 * time.Second
 )
 
-// take returns a connection to an address that has been idle for at most maxIdle, or nil. It closes
+// get returns a connection to an address that has been idle for at most maxIdle, or nil. It closes
 // the connections that it finds unusable.
-func (p *Pool) take(address string, maxIdle time.Duration) *Conn {
+func (p *Pool) get(address string, maxIdle time.Duration) *Conn {
 	now := boottime.Now()
 	for {
 		p.mu.Lock()
@@ -47,24 +48,24 @@
 		c := cs[len(cs)-1]
 		p.idle[address] = cs[:len(cs)-1]
 		p.mu.Unlock()
-		if age := now.Sub(c.rested); age <= maxIdle && age < c.kept() && c.quiet() {
+		if age := now.Sub(c.idleSince); age <= maxIdle && age < c.maxIdle() && c.isReusable() {
 			return c
 		}
 		_ = c.net.Close()
 	}
 }
 
-// kept returns the time for which the connection may be idle.
-func (c *Conn) kept() time.Duration {
-	if c.keep <= 0 {
-		return keepUntold
+// maxIdle returns the time for which the connection may be idle.
+func (c *Conn) maxIdle() time.Duration {
+	if c.keepAlive <= 0 {
+		return defaultMaxIdle
 	}
-	return time.Duration(keepPart * float64(c.keep))
+	return time.Duration(keepAliveShare * float64(c.keepAlive))
 }
 
 // put adds an idle connection to the pool.
 func (p *Pool) put(address string, c *Conn) {
-	c.rested = boottime.Now()
+	c.idleSince = boottime.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.idle == nil {
@@ -82,7 +83,7 @@
 	for a, cs := range p.idle {
 		kept := cs[:0]
 		for _, c := range cs {
-			if known[a] && now.Sub(c.rested) < c.kept() {
+			if known[a] && now.Sub(c.idleSince) < c.maxIdle() {
 				kept = append(kept, c)
 				continue
 			}
@@ -94,8 +95,8 @@
 	}
 }
 
-// Idle returns the number of idle connections.
-func (p *Pool) Idle() int {
+// CountIdle returns the number of idle connections.
+func (p *Pool) CountIdle() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
@@ -105,16 +106,16 @@
 	return n
 }
 
-// checkLimit is the timeout of Refused. A live process accepts, and a box whose process has ended
-// refuses, within a round trip of a few milliseconds.
-const checkLimit = 25 * time.Millisecond
+// refusalTimeout is the timeout of RefusesConnections. A live process accepts, and a box whose
+// process has ended refuses, within a round trip of a few milliseconds.
+const refusalTimeout = 25 * time.Millisecond
 
-// Refused reports whether connections to an address are refused, that is, whether no process
-// listens there. A connection that is established returns to the pool. Concurrent calls for the
-// same address share one attempt.
-func (p *Pool) Refused(c context.Context, address string) bool {
-	v, _, _ := p.checks.Do(address, func() (any, error) {
-		x, cancel := context.WithTimeout(c, checkLimit)
+// RefusesConnections reports whether connections to an address are refused, that is, whether no
+// process listens there. A connection that is established returns to the pool. Concurrent calls
+// for the same address share one attempt.
+func (p *Pool) RefusesConnections(c context.Context, address string) bool {
+	v, _, _ := p.refusalChecks.Do(address, func() (any, error) {
+		x, cancel := context.WithTimeout(c, refusalTimeout)
 		defer cancel()
 		n, err := p.dial(x, address)
 		if err == nil {
@@ -127,7 +128,7 @@
 }
 
 func (p *Pool) dial(c context.Context, address string) (*Conn, error) {
-	d := net.Dialer{Timeout: p.DialLimit, KeepAlive: -1}
+	d := net.Dialer{Timeout: p.DialTimeout, KeepAlive: -1}
 	n, err := d.DialContext(c, "tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("reach %s: %w", address, err)
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -15,99 +15,101 @@
 	"birchlink.dev/birchlink/recovery"
 )
 
-// The idle time up to which a connection is reused, for repeatable and for other requests. A request
-// that must not be repeated fails if its connection breaks, so it uses only a connection that was in
-// use recently, or a new one.
+// The idle time up to which a connection is reused, for repeatable and for other requests. A
+// request that must not be repeated fails if its connection breaks, so it uses only a connection
+// that was in use recently, or a new one.
 const (
-	restRepeatable = 5 * time.Second
-	restOnce       = time.Second
+	maxIdleRepeatable = 5 * time.Second
+	maxIdleOnce       = time.Second
 )
 
 // attempt sends the request to one endpoint and passes its response to the sink.
-func (r *run) attempt(c context.Context, ch balance.Choice) ended {
+func (r *run) attempt(c context.Context, ch balance.Choice) attemptResult {
 	x, cancel := context.WithCancelCause(c)
 	defer cancel(nil)
-	maxIdle := restOnce
+	maxIdle := maxIdleOnce
 	if r.q.Route.Repeatable() {
-		maxIdle = restRepeatable
+		maxIdle = maxIdleRepeatable
 	}
 	e := ch.Endpoint
-	a := call.Attempt{Endpoint: e.ID, Account: r.q.AccountName(), Left: boottime.Until(r.q.Expires), LastEvent: r.last, Priority: r.priority(ch)}
+	a := call.Attempt{Endpoint: e.ID, Account: r.q.AccountName(), Left: boottime.Until(r.q.Expires), LastEvent: r.lastEventID, Priority: r.priority(ch)}
 	cl := r.q.Call
-	defer r.f.Meter.Begin(r.q.Service.Name, r.load(ch), boottime.Now())()
-	n := r.f.Book.Begin(e, ch, boottime.Now())
-	r.f.Sent(e, ch.Tokens)
-	w := r.watch(cancel, ch)
+	defer r.f.Meter.Begin(r.q.Service.Name, r.addedTokens(ch), boottime.Now())()
+	n := r.f.Balancer.Begin(e, ch, boottime.Now())
+	r.f.OnSend(e, ch.Tokens)
+	w := r.startWatchdog(cancel, ch)
 	defer w.stop()
-	defer r.f.flights.begin(e.Incarnation(), cancel)()
+	defer r.f.attempts.add(e.Incarnation(), cancel)()
 	defer r.f.Rollouts.Begin(r.q.Service.Name, e.Version)()
 	sent := boottime.Now()
 	ans, err := r.f.Pool.Do(x, exchange.Request{
-		Address: e.Address, Method: cl.Method, Target: cl.Target, Host: cl.Host, Header: r.f.Codec.Head(cl, a), Body: cl.Body, Rest: maxIdle,
-		Still: func() bool { return r.may(e) },
-		Mine:  func(h http.Header) bool { return r.f.Codec.Outcome(0, h).ID == cl.ID },
+		Address: e.Address, Method: cl.Method, Target: cl.Target, Host: cl.Host, Header: r.f.Codec.Head(cl, a), Body: cl.Body, MaxIdle: maxIdle,
+		ShouldSend: func() bool { return r.maySend(e) },
+		Matches:    func(h http.Header) bool { return r.f.Codec.Outcome(0, h).ID == cl.ID },
 	})
 	if err != nil {
 		unreachable := errors.Is(err, exchange.ErrUnreachable)
-		withheld := errors.Is(err, exchange.ErrWithheld)
-		n.End(c.Err() == nil && !withheld, boottime.Now())
+		notSent := errors.Is(err, exchange.ErrNotSent)
+		n.End(c.Err() == nil && !notSent, boottime.Now())
 		switch {
 		case unreachable:
-			return ended{breakage: recovery.Unreachable, err: err}
-		case withheld:
-			return ended{breakage: recovery.NeverSeen, err: err}
+			return attemptResult{breakage: recovery.Unreachable, err: err}
+		case notSent:
+			return attemptResult{breakage: recovery.NeverSeen, err: err}
 		}
-		return ended{breakage: recovery.Gone, err: cause(x, err)}
+		return attemptResult{breakage: recovery.Gone, err: cancelCause(x, err)}
 	}
 	defer ans.Close()
-	r.trace.First = boottime.Since(sent)
-	out := r.take(ans, n, w, sent)
-	r.compare(ch, out, sent)
-	out.err = cause(x, out.err)
+	r.trace.ResponseTime = boottime.Since(sent)
+	out := r.readResponse(ans, n, w, sent)
+	r.recordForRollout(ch, out, sent)
+	out.err = cancelCause(x, out.err)
 	n.End(!out.done && c.Err() == nil, boottime.Now())
 	return out
 }
 
-// load returns the prompt tokens that an attempt adds to the demand of the service: none if an
-// earlier attempt that did not run has added them already.
-func (r *run) load(ch balance.Choice) int {
-	if len(r.sent)+r.dials+r.refusals > 0 && !r.ran {
+// addedTokens returns the prompt tokens that an attempt adds to the demand of the service: none
+// if an earlier attempt that did not run has added them already.
+func (r *run) addedTokens(ch balance.Choice) int {
+	if len(r.reached)+r.failedDials+r.refusedDials > 0 && !r.mayHaveRun {
 		return 0
 	}
 	return ch.Tokens
 }
 
-// priority returns the priority of the request at the endpoint; lower values are served first. The
-// account's priority counts most, then the route's, then the length of the prompt: shortest first
-// keeps short prompts from waiting for the prefill of long ones. For prompts of 1,000 to 2,000 tokens
-// it lowers the 97th percentile of the wait from 232 ms to 176 ms.
+// priority returns the priority of the request at the endpoint; lower values are served first.
+// The account's priority counts most, then the route's, then the length of the prompt: shortest
+// first keeps short prompts from waiting for the prefill of long ones. For prompts of 1,000 to
+// 2,000 tokens it lowers the 97th percentile of the wait from 232 ms to 176 ms.
 func (r *run) priority(ch balance.Choice) int {
-	p := r.q.Route.Priority + bits.Len(uint(ch.Tokens/shortPrompt))
+	p := r.q.Route.Priority + bits.Len(uint(ch.Tokens/shortPromptTokens))
 	if r.q.Account != nil {
 		p += 3 * r.q.Account.Priority
 	}
 	return p
 }
 
-// shortPrompt is the length in tokens below which all prompts have the same priority. At this length
-// and at each doubling of it the priority value increases by one.
-const shortPrompt = 500
+// shortPromptTokens is the length in tokens below which all prompts have the same priority. At
+// this length and at each doubling of it the priority value increases by one.
+const shortPromptTokens = 500
 
-// began reports the request to Forwarder.Began when an endpoint first begins to run it.
-func (r *run) began(at time.Time) {
-	if r.counted {
+// recordStart calls Forwarder.OnStart when an endpoint first begins to run the request, if the
+// request has an account.
+func (r *run) recordStart(at time.Time) {
+	if r.startRecorded {
 		return
 	}
-	r.counted = true
+	r.startRecorded = true
 	if n := r.q.AccountName(); n != "" {
-		r.f.Began(n, at)
+		r.f.OnStart(n, at)
 	}
 }
 
-func (r *run) stream() bool { return r.q.Route.Kind == catalog.Stream }
+func (r *run) isStream() bool { return r.q.Route.Kind == catalog.Stream }
 
-// cause returns the cause of the cancellation if this box cancelled the attempt, otherwise err.
-func cause(x context.Context, err error) error {
+// cancelCause returns the cause of the cancellation if this box cancelled the attempt, otherwise
+// err.
+func cancelCause(x context.Context, err error) error {
 	if err == nil {
 		return nil
 	}
--- a/forward/suspect.go
+++ b/forward/crash.go
@@ -10,13 +10,13 @@
 	"birchlink.dev/birchlink/recovery"
 )
 
-// suspect reports an interrupted attempt to the quarantine unless the endpoint was draining, and
+// checkCrash reports an interrupted attempt to the quarantine unless the endpoint was draining, and
 // checks at once whether the endpoint has crashed. A request that crashes endpoints is repeated
 // within a second, and without the check each other request would detect the crash by itself.
-func (r *run) suspect(c context.Context, out ended, e endpoint.Endpoint) {
+func (r *run) checkCrash(c context.Context, out attemptResult, e endpoint.Endpoint) {
 	switch {
 	case errors.Is(out.err, syscall.ECONNREFUSED):
-		r.ended(e)
+		r.reportCrash(e)
 		return
 	case out.breakage != recovery.Gone || out.answered || c.Err() != nil:
 		return
@@ -26,20 +26,20 @@
 		r.f.Quarantine.RecordCrash(e.Incarnation(), "another started under its ID", boottime.Now())
 		return
 	}
-	if !r.f.serves(e) {
+	if !r.f.isServing(e) {
 		return
 	}
 	r.f.Quarantine.RecordFailure(r.trace.Content, e.Incarnation(), boottime.Now())
-	if errors.Is(out.err, errSilent) || !r.f.Pool.Refused(c, e.Address) {
+	if errors.Is(out.err, errUnresponsive) || !r.f.Pool.RefusesConnections(c, e.Address) {
 		return
 	}
-	r.ended(e)
+	r.reportCrash(e)
 }
 
-// ended records that an endpoint has crashed, since it refuses connections.
-func (r *run) ended(e endpoint.Endpoint) {
+// reportCrash records that an endpoint has crashed, since it refuses connections.
+func (r *run) reportCrash(e endpoint.Endpoint) {
 	now := boottime.Now()
-	r.f.Book.Crashed(e.ID, now)
+	r.f.Balancer.Crashed(e.ID, now)
 	r.f.Quarantine.RecordCrash(e.Incarnation(), "it refuses connections", now)
-	r.f.Ended(e)
+	r.f.OnCrash(e)
 }
--- a/forward/endpoint_test.go
+++ b/forward/endpoint_test.go
@@ -18,31 +18,31 @@
 	"birchlink.dev/birchlink/boottime"
 )
 
-// fake is an endpoint that answers each request with the next of its behaviours, and all further
-// requests with the last one.
-type fake struct {
-	t        *testing.T
-	name     string
-	listener net.Listener
-	behave   []string
-	leave    func()        // marks this endpoint as draining
-	anew     func()        // registers another process under the endpoint's ID
-	closed   chan struct{} // receives an item for each connection that the endpoint closed
+// fakeEndpoint is an endpoint that answers each request with the next of its behaviours, and all
+// further requests with the last one.
+type fakeEndpoint struct {
+	t          *testing.T
+	name       string
+	listener   net.Listener
+	behaviours []string
+	drain      func()        // marks this endpoint as draining
+	replace    func()        // registers another process under the endpoint's ID
+	closed     chan struct{} // receives an item for each connection that the endpoint closed
 
-	mu    sync.Mutex
-	asked int // requests received, run or not
-	runs  int // requests run
-	conns int
-	from  []string // last event ID of each request
-	open  []net.Conn
-	ended bool // the endpoint crashed
+	mu         sync.Mutex
+	requests   int // requests received, run or not
+	runs       int // requests run
+	conns      int
+	lastEvents []string // last event ID of each request
+	open       []net.Conn
+	crashed    bool // the endpoint crashed
 }
 
-func newFake(t *testing.T, name string, behave []string) *fake {
+func newFakeEndpoint(t *testing.T, name string, behave []string) *fakeEndpoint {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	f := &fake{t: t, name: name, listener: l, behave: behave, closed: make(chan struct{}, 16)}
+	f := &fakeEndpoint{t: t, name: name, listener: l, behaviours: behave, closed: make(chan struct{}, 16)}
 	if behave[0] == "refuse" {
 		require.NoError(t, l.Close())
 		return f
@@ -52,7 +52,7 @@
 	return f
 }
 
-func (f *fake) accept() {
+func (f *fakeEndpoint) accept() {
 	for {
 		c, err := f.listener.Accept()
 		if err != nil {
@@ -67,22 +67,22 @@
 }
 
 // next records a request and returns the behaviour for it.
-func (f *fake) next(last string) string {
+func (f *fakeEndpoint) next(last string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	b := f.behave[0]
-	if len(f.behave) > 1 {
-		f.behave = f.behave[1:]
+	b := f.behaviours[0]
+	if len(f.behaviours) > 1 {
+		f.behaviours = f.behaviours[1:]
 	}
-	f.asked++
+	f.requests++
 	if kind, _, _ := strings.Cut(b, ":"); !slices.Contains([]string{"shed", "shed_limit", "rest", "shed_says_leaving", "elsewhere"}, kind) {
 		f.runs++
 	}
-	f.from = append(f.from, last)
+	f.lastEvents = append(f.lastEvents, last)
 	return b
 }
 
-func (f *fake) serve(c net.Conn) {
+func (f *fakeEndpoint) serve(c net.Conn) {
 	defer func() {
 		_ = c.Close()
 		f.closed <- struct{}{}
@@ -107,10 +107,10 @@
 }
 
 // crash closes the listener and all connections, as the end of the endpoint's process does.
-func (f *fake) crash() {
+func (f *fakeEndpoint) crash() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.ended = true
+	f.crashed = true
 	_ = f.listener.Close()
 	for _, c := range f.open {
 		_ = c.Close()
@@ -118,7 +118,7 @@
 }
 
 // answer performs a behaviour and reports whether to keep the connection.
-func (f *fake) answer(c net.Conn, behave, id, last string) bool {
+func (f *fakeEndpoint) answer(c net.Conn, behave, id, last string) bool {
 	kind, arg, _ := strings.Cut(behave, ":")
 	n, _ := strconv.Atoi(arg)
 	body := "from " + f.name
@@ -156,7 +156,7 @@
 		fmt.Fprintf(c, "HTTP/1.1 421 Elsewhere\r\nId: %s\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n", id)
 	case "error", "error_leave":
 		if kind == "error_leave" {
-			f.leave()
+			f.drain()
 		}
 		fmt.Fprintf(c, "HTTP/1.1 %d Bad\r\nId: %s\r\nContent-Length: 3\r\n\r\nbad", n, id)
 	case "crossed":
@@ -188,7 +188,7 @@
 		whole(id)
 		return false
 	case "mute_anew": // the process never answers, and another starts under its ID
-		f.anew()
+		f.replace()
 		_, _ = io.Copy(io.Discard, c)
 		return false
 	case "mute":
@@ -215,7 +215,7 @@
 }
 
 // stream sends the events after last up to n, and ends the response as kind requires.
-func (f *fake) stream(c net.Conn, kind, id, last string, n int) bool {
+func (f *fakeEndpoint) stream(c net.Conn, kind, id, last string, n int) bool {
 	says := ""
 	if kind == "stream_says_leaving" {
 		says = "Leaving: 1\r\n"
@@ -231,7 +231,7 @@
 		chunk(fmt.Sprintf("id: %d\nda", n+1))
 		return false
 	case "stream_leave":
-		f.leave()
+		f.drain()
 		return false
 	case "stream_cut":
 		return false
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -63,39 +63,39 @@
 	return o
 }
 
-// alone holds the leases of a single box, granted at the given time.
-type alone time.Time
+// soleLeases holds the leases of a single box, granted at the given time.
+type soleLeases time.Time
 
-func (a alone) Given(_ string, now time.Time) (seconds, part float64) {
+func (a soleLeases) Given(_ string, now time.Time) (seconds, part float64) {
 	return now.Sub(time.Time(a)).Seconds(), 1
 }
 
-// answer is a sink that records the response.
-type answer struct {
+// recorder is a sink that records the response.
+type recorder struct {
 	status int
 	body   string
 	heads  int // calls of Head and Whole
 }
 
-func (a *answer) Head(status int, _ http.Header) error {
+func (a *recorder) Head(status int, _ http.Header) error {
 	a.status = status
 	a.heads++
 	return nil
 }
 
-func (a *answer) Event(raw []byte) error {
+func (a *recorder) Event(raw []byte) error {
 	a.body += string(raw)
 	return nil
 }
 
-func (a *answer) Whole(status int, _ http.Header, body []byte) error {
+func (a *recorder) Whole(status int, _ http.Header, body []byte) error {
 	a.status, a.body = status, string(body)
 	a.heads++
 	return nil
 }
 
 // events returns the IDs of the events received.
-func (a *answer) events() string {
+func (a *recorder) events() string {
 	var out []string
 	for l := range strings.SplitSeq(a.body, "\n") {
 		if id, ok := strings.CutPrefix(l, "id: "); ok {
@@ -108,16 +108,16 @@
 // script is the state of a test script: endpoints with their behaviours, calls, and the results
 // expected.
 type script struct {
-	t      *testing.T
-	f      *forward.Forwarder
-	fakes  map[string]*fake
-	route  catalog.Route
-	began  int     // requests that an endpoint began to run
-	last   *answer // to the last call
-	err    error   // of the last call
-	serial int
-	order  rollout.Order
-	words  uint64 // progress updates so far
+	t               *testing.T
+	f               *forward.Forwarder
+	endpoints       map[string]*fakeEndpoint
+	route           catalog.Route
+	started         int       // requests that an endpoint began to run
+	last            *recorder // response to the last call
+	err             error     // error of the last call
+	serial          int
+	order           rollout.Order
+	progressUpdates uint64 // progress updates so far
 }
 
 // stages maps the names in scripts to the stages of a roll-out.
@@ -131,28 +131,29 @@
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
 	for _, p := range files {
-		t.Run(strings.TrimSuffix(filepath.Base(p), ".txt"), func(t *testing.T) { play(t, p) })
+		t.Run(strings.TrimSuffix(filepath.Base(p), ".txt"), func(t *testing.T) { runScript(t, p) })
 	}
 }
 
 // newScript returns a script whose forwarder has no endpoints.
 func newScript(t *testing.T) *script {
 	t.Helper()
-	s := &script{t: t, fakes: map[string]*fake{}}
+	s := &script{t: t, endpoints: map[string]*fakeEndpoint{}}
 	s.f = &forward.Forwarder{
-		Roster: &endpoint.Roster{}, Rollouts: &rollout.Gate{}, Book: &balance.Balancer{}, Pool: &exchange.Pool{DialLimit: time.Second},
+		Roster: &endpoint.Roster{}, Rollouts: &rollout.Gate{}, Balancer: &balance.Balancer{}, Pool: &exchange.Pool{DialTimeout: time.Second},
 		Budget: budget.New(budget.Limits{Ratio: 1, Slack: 1000, Window: time.Minute}), Meter: &demand.Meter{}, Quarantine: &quarantine.Quarantine{},
-		Codec: codec{}, Began: func(string, time.Time) { s.began++ }, Sent: func(endpoint.Endpoint, int) {}, Ended: func(endpoint.Endpoint) {}, Leaves: func(endpoint.Endpoint) {},
-		Stated:  func(stated.Statement) {},
-		Metrics: metrics.NewRegistry(), Log: zerolog.Nop(),
+		Codec: codec{}, OnStart: func(string, time.Time) { s.started++ }, OnSend: func(endpoint.Endpoint, int) {},
+		OnCrash: func(endpoint.Endpoint) {}, OnDraining: func(endpoint.Endpoint) {},
+		OnLimitChange: func(stated.Statement) {},
+		Metrics:       metrics.NewRegistry(), Log: zerolog.Nop(),
 	}
-	s.f.Roster.OnReplaced(s.f.Replaced)
-	th := &throttle.Throttle{Leases: alone(boottime.Now())}
-	s.f.Permit = func(_ context.Context, q throttle.Question) throttle.Answer { return th.Ask(q, boottime.Now()) }
+	s.f.Roster.OnReplaced(s.f.CancelReplaced)
+	th := &throttle.Throttle{Leases: soleLeases(boottime.Now())}
+	s.f.RequestPermit = func(_ context.Context, q throttle.Question) throttle.Answer { return th.Ask(q, boottime.Now()) }
 	return s
 }
 
-func play(t *testing.T, path string) {
+func runScript(t *testing.T, path string) {
 	f, err := os.Open(path)
 	require.NoError(t, err)
 	defer f.Close()
@@ -173,14 +174,14 @@
 	case "route":
 		s.setRoute(words[1:])
 	case "endpoint":
-		s.fakes[words[1]] = newFake(s.t, words[1], words[2:])
-		s.fakes[words[1]].leave = func() { s.f.Roster.Put(endpoint.Endpoint{ID: words[1], Draining: true}) }
-		s.f.Roster.Put(endpoint.Endpoint{ID: words[1], Service: "s", Slots: 4, Address: s.fakes[words[1]].listener.Addr().String()})
-		s.fakes[words[1]].anew = func() {
-			s.f.Roster.Put(endpoint.Endpoint{ID: words[1], Born: 2, Service: "s", Slots: 4, Address: s.fakes["anew"].listener.Addr().String()})
+		s.endpoints[words[1]] = newFakeEndpoint(s.t, words[1], words[2:])
+		s.endpoints[words[1]].drain = func() { s.f.Roster.Put(endpoint.Endpoint{ID: words[1], Draining: true}) }
+		s.f.Roster.Put(endpoint.Endpoint{ID: words[1], Service: "s", Slots: 4, Address: s.endpoints[words[1]].listener.Addr().String()})
+		s.endpoints[words[1]].replace = func() {
+			s.f.Roster.Put(endpoint.Endpoint{ID: words[1], Born: 2, Service: "s", Slots: 4, Address: s.endpoints["anew"].listener.Addr().String()})
 		}
 	case "process": // a process that is not registered as an endpoint
-		s.fakes[words[1]] = newFake(s.t, words[1], words[2:])
+		s.endpoints[words[1]] = newFakeEndpoint(s.t, words[1], words[2:])
 	case "version": // the software version of an endpoint
 		e, _ := s.f.Roster.Get(words[1])
 		e.Version = words[2]
@@ -191,8 +192,8 @@
 	case "stage": // the stage of the roll-out and the share of the requests that may go to the version
 		share, err := strconv.ParseFloat(words[2], 64)
 		require.NoError(s.t, err, at)
-		s.words++
-		w := rollout.Progress{Order: s.order, Stage: stages[words[1]], Share: share, Count: s.words}
+		s.progressUpdates++
+		w := rollout.Progress{Order: s.order, Stage: stages[words[1]], Share: share, Count: s.progressUpdates}
 		s.f.Rollouts.UpdateProgress(map[string]rollout.Progress{"s": w}, boottime.Now())
 	case "budget":
 		s.f.Budget = budget.New(budget.Limits{Window: time.Minute})
@@ -203,9 +204,9 @@
 		require.NoError(s.t, err, at)
 		boottime.Skip(d)
 	case "anew": // start another process under the ID of an endpoint
-		s.fakes[words[1]].anew()
+		s.endpoints[words[1]].replace()
 	case "closed":
-		<-s.fakes[words[1]].closed
+		<-s.endpoints[words[1]].closed
 	case "expect":
 		s.expect(words[1:], at)
 	default:
@@ -225,7 +226,7 @@
 
 func (s *script) call() {
 	s.serial++
-	s.last = &answer{}
+	s.last = &recorder{}
 	c := &call.Call{ID: strconv.Itoa(s.serial), Method: http.MethodPost, Host: "h", Target: "/x", Path: "/x", Body: []byte("body"), Arrived: boottime.Now()}
 	q := forward.Request{
 		Call: c, Route: &s.route, Service: &catalog.Service{Name: "s"}, Account: &catalog.Account{Name: "a"}, Expires: boottime.Now().Add(5 * time.Second),
@@ -251,15 +252,15 @@
 		require.True(s.t, errors.As(s.err, &e), "%s: %v", at, s.err)
 		require.Equal(s.t, words[1], e.Kind.String(), at)
 	case "runs":
-		f := s.fakes[words[1]]
+		f := s.endpoints[words[1]]
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		require.Equal(s.t, words[2], strconv.Itoa(f.runs), at)
 	case "asked":
-		f := s.fakes[words[1]]
+		f := s.endpoints[words[1]]
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		require.Equal(s.t, words[2], strconv.Itoa(f.asked), at)
+		require.Equal(s.t, words[2], strconv.Itoa(f.requests), at)
 	case "retry_after": // with up to a fifth added; less is left, since the script takes time
 		var e *errkind.Error
 		require.True(s.t, errors.As(s.err, &e), "%s: %v", at, s.err)
@@ -268,27 +269,27 @@
 		require.Greater(s.t, e.RetryAfter, d/2, at)
 		require.LessOrEqual(s.t, e.RetryAfter, d*6/5, at)
 	case "connections":
-		f := s.fakes[words[1]]
+		f := s.endpoints[words[1]]
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		require.Equal(s.t, words[2], strconv.Itoa(f.conns), at)
 	case "resumed":
-		f := s.fakes[words[1]]
+		f := s.endpoints[words[1]]
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		require.Contains(s.t, f.from, words[2], at)
+		require.Contains(s.t, f.lastEvents, words[2], at)
 	case "ended":
 		n := 0
-		for _, f := range s.fakes {
+		for _, f := range s.endpoints {
 			f.mu.Lock()
-			if f.ended {
+			if f.crashed {
 				n++
 			}
 			f.mu.Unlock()
 		}
 		require.Equal(s.t, words[1], strconv.Itoa(n), at)
 	case "began":
-		require.Equal(s.t, words[1], strconv.Itoa(s.began), at)
+		require.Equal(s.t, words[1], strconv.Itoa(s.started), at)
 	default:
 		s.t.Fatalf("%s: nothing to expect is called %q", at, words[0])
 	}
@@ -296,7 +297,7 @@
 
 // Tests that logs and metrics distinguish an endpoint that answered with an error from one that did
 // not answer.
-func TestBreaksAreNamed(t *testing.T) {
+func TestBreakNames(t *testing.T) {
 	for behave, want := range map[string]string{"error:500": "failed", "reset": "gone"} {
 		var out bytes.Buffer
 		s := newScript(t)
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -62,42 +62,42 @@
 	return q.Account.Name
 }
 
-// Began is called once for each request that an endpoint begins to run.
-type Began func(account string, at time.Time)
+// StartFunc is called once for each request of an account that an endpoint begins to run.
+type StartFunc func(account string, at time.Time)
 
-// Sent is called for each attempt, with the prompt tokens sent to the endpoint.
-type Sent func(e endpoint.Endpoint, tokens int)
+// SendFunc is called for each attempt, with the prompt tokens sent to the endpoint.
+type SendFunc func(e endpoint.Endpoint, tokens int)
 
-// Ended is called for each endpoint that is found to have crashed.
-type Ended func(e endpoint.Endpoint)
+// CrashFunc is called for each endpoint that is found to have crashed.
+type CrashFunc func(e endpoint.Endpoint)
 
-// Leaves is called for each endpoint that reports in a response that it is draining.
-type Leaves func(e endpoint.Endpoint)
+// DrainFunc is called for each endpoint that reports in a response that it is draining.
+type DrainFunc func(e endpoint.Endpoint)
 
-// Stated is called when an endpoint sets, lowers or removes the limit on its request rate.
-type Stated func(w stated.Statement)
+// LimitFunc is called when an endpoint sets, lowers or removes the limit on its request rate.
+type LimitFunc func(w stated.Statement)
 
 // Forwarder forwards requests. All exported fields must be set.
 type Forwarder struct {
-	DataCentre string
-	Roster     *endpoint.Roster
-	Book       *balance.Balancer
-	Pool       *exchange.Pool
-	Budget     *budget.Budget
-	Meter      *demand.Meter
-	Quarantine *quarantine.Quarantine
-	Rollouts   *rollout.Gate
-	Codec      Codec
-	Permit     Permit
-	Began      Began
-	Sent       Sent
-	Ended      Ended
-	Leaves     Leaves
-	Stated     Stated
-	Metrics    metrics.Registry
-	Log        zerolog.Logger
-
-	flights flights
+	DataCentre    string
+	Roster        *endpoint.Roster
+	Balancer      *balance.Balancer
+	Pool          *exchange.Pool
+	Budget        *budget.Budget
+	Meter         *demand.Meter
+	Quarantine    *quarantine.Quarantine
+	Rollouts      *rollout.Gate
+	Codec         Codec
+	RequestPermit PermitFunc
+	OnStart       StartFunc
+	OnSend        SendFunc
+	OnCrash       CrashFunc
+	OnDraining    DrainFunc
+	OnLimitChange LimitFunc
+	Metrics       metrics.Registry
+	Log           zerolog.Logger
+
+	attempts attemptSet
 }
 
 // Check returns an error if a request must not be sent to any endpoint: its content is quarantined
@@ -106,28 +106,28 @@
 	if left, refused := f.Quarantine.Refuses(q.Content, boottime.Now()); refused {
 		return errkind.New(errkind.Quarantined, "endpoints of %s ended while they ran this request", q.Service.Name).After(left)
 	}
-	if left := f.back(q.Service.Name); left > 0 {
+	if left := f.retryAfter(q.Service.Name); left > 0 {
 		return errkind.New(errkind.NoEndpoint, "no endpoint of %s takes a request now: they rest, or their rates are used up", q.Service.Name).After(left)
 	}
 	return nil
 }
 
-// back returns the time until the first endpoint of a service accepts requests. It is zero if one
-// does now or none is known.
-func (f *Forwarder) back(service string) time.Duration {
+// retryAfter returns the time until the first endpoint of a service accepts requests. It is zero
+// if one does now or none is known.
+func (f *Forwarder) retryAfter(service string) time.Duration {
 	es, all := f.Roster.Part(service)
-	left := f.Book.RetryAfter(es, boottime.Now())
+	left := f.Balancer.RetryAfter(es, boottime.Now())
 	if left == 0 || all {
 		return left
 	}
-	return f.Book.RetryAfter(f.Roster.Serving(service), boottime.Now())
+	return f.Balancer.RetryAfter(f.Roster.Serving(service), boottime.Now())
 }
 
 // Do forwards a request. If the error is nil, the sink has received the complete response. Errors
 // are of package errkind; if the sink has received a head before, the caller of Do must abort the
 // response. The trace is for the log.
 func (f *Forwarder) Do(c context.Context, q Request, s Sink) (Trace, error) {
-	r := &run{f: f, q: q, sink: s, skip: map[string]bool{}, last: q.Call.LastEvent}
+	r := &run{f: f, q: q, sink: s, tried: map[string]bool{}, lastEventID: q.Call.LastEvent}
 	r.trace.Content = q.Content
 	f.Budget.CountRequest(q.Service.Name, boottime.Now())
 	c, cancel := context.WithTimeout(c, boottime.Until(q.Expires))
--- /dev/null
+++ b/forward/response.go
@@ -0,0 +1,176 @@
+package forward
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/rcrowley/go-metrics"
+
+	"birchlink.dev/birchlink/balance"
+	"birchlink.dev/birchlink/boottime"
+	"birchlink.dev/birchlink/call"
+	"birchlink.dev/birchlink/endpoint"
+	"birchlink.dev/birchlink/exchange"
+	"birchlink.dev/birchlink/recovery"
+	"birchlink.dev/birchlink/sse"
+)
+
+// maxResponseSize is the maximum size of a response that is not a stream, in bytes.
+const maxResponseSize = 8 << 20
+
+// errCallerWrite reports that writing to the caller failed.
+var errCallerWrite = errors.New("the caller does not read")
+
+// readResponse reads a response and passes it to the sink if it is usable.
+func (r *run) readResponse(a *exchange.Response, n *balance.Attempt, w *watchdog, sent time.Time) attemptResult {
+	o := r.f.Codec.Outcome(a.Status, a.Header)
+	r.handleOutcome(o)
+	n.BackOff(o.Rest, boottime.Now())
+	if o.NotRun {
+		n.Refused(boottime.Now())
+		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxResponseSize))
+		return attemptResult{breakage: recovery.Refused, err: fmt.Errorf("status %d: not run", a.Status)}
+	}
+	if a.EventStream && a.Status < http.StatusMultipleChoices && r.isStream() {
+		return r.forwardEvents(a, n, w)
+	}
+	b, err := io.ReadAll(io.LimitReader(a.Body, maxResponseSize+1))
+	if err == nil && len(b) > maxResponseSize {
+		err = fmt.Errorf("the answer is over %d bytes", maxResponseSize)
+	}
+	if err != nil {
+		return attemptResult{breakage: recovery.Gone, err: fmt.Errorf("the answer was cut: %w", err)}
+	}
+	n.Progress(boottime.Now())
+	read := boottime.Now()
+	r.recordStart(sent)
+	if a.Status < http.StatusMultipleChoices {
+		n.Answered()
+	}
+	r.recordSurvival(a)
+	if a.Status >= http.StatusInternalServerError {
+		r.keepErrorResponse(a, b)
+		return attemptResult{breakage: recovery.Gone, answered: true, err: fmt.Errorf("status %d", a.Status)}
+	}
+	if r.headSent {
+		return attemptResult{breakage: recovery.Gone, answered: true, err: fmt.Errorf("status %d in place of the rest of a stream", a.Status)}
+	}
+	// Return the connection to the pool before writing to a possibly slow caller.
+	a.Close()
+	if err := r.sink.Whole(a.Status, a.Header, b); err != nil {
+		return attemptResult{breakage: recovery.Gone, err: fmt.Errorf("%w: %w", errCallerWrite, err)}
+	}
+	out := attemptResult{done: true}
+	out.recordEvent(read)
+	return out
+}
+
+// handleOutcome processes what a response reports about its endpoint: a back-off period, a rate
+// limit, or that it is draining. The last is broadcast to all boxes, since the endpoint's record
+// does not arrive while the store is unavailable.
+func (r *run) handleOutcome(o call.Outcome) {
+	r.trace.Outcome = o
+	e := r.trace.Choice.Endpoint
+	if o.Rest > 0 {
+		metrics.GetOrRegisterCounter("answers.says_rest", r.f.Metrics).Inc(1)
+		r.f.Log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.Born).Str("request", r.q.Call.ID).Dur("rest", o.Rest).Msg("rests")
+	}
+	if !o.Elsewhere {
+		r.handleRateLimit(o.Statement, e)
+	}
+	if !o.Leaving {
+		return
+	}
+	metrics.GetOrRegisterCounter("answers.says_leaving", r.f.Metrics).Inc(1)
+	if r.f.Roster.Leave(e.Incarnation()) {
+		r.f.Log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.Born).Str("request", r.q.Call.ID).
+			Str("seen", "it said so in an answer").Msg("leaves")
+		r.f.OnDraining(e)
+	}
+}
+
+// handleRateLimit processes the rate limit that a response reports for its endpoint. A limit that
+// was set, lowered or removed is broadcast to all boxes.
+func (r *run) handleRateLimit(s endpoint.Statement, e endpoint.Endpoint) {
+	if s.Unreadable != "" {
+		metrics.GetOrRegisterCounter("answers.says_unreadable_limit", r.f.Metrics).Inc(1)
+		return
+	}
+	if s.Limit.Named {
+		metrics.GetOrRegisterCounter("answers.says_limit", r.f.Metrics).Inc(1)
+	}
+	w, changed := r.f.Balancer.Availability.Rates.Observe(e.Incarnation(), s.Limit, boottime.Now())
+	if !changed {
+		return
+	}
+	r.f.Log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.Born).Str("request", r.q.Call.ID).Bool("limited", w.Named).
+		Float64("per_second", w.PerSecond).Str("seen", "it said so in an answer").Msg("takes a rate")
+	r.f.OnLimitChange(w)
+}
+
+// recordSurvival reports to the quarantine that the endpoint ran the request without crashing. An
+// error response does not show that, since the endpoint may not have begun to run the request,
+// nor does a response that ends with its connection, since the endpoint may have crashed.
+func (r *run) recordSurvival(a *exchange.Response) {
+	if a.Status < http.StatusInternalServerError && a.Framed() {
+		r.f.Quarantine.RecordAnswer(r.trace.Content, boottime.Now())
+	}
+}
+
+// keepErrorResponse stores an endpoint's error response, which is returned if no other attempt
+// succeeds. Status 503 tells the caller that the request did not run, which is not known here, so
+// it is not kept.
+func (r *run) keepErrorResponse(a *exchange.Response, b []byte) {
+	if a.Status == http.StatusServiceUnavailable {
+		return
+	}
+	r.errorResponse = &response{a.Status, a.Header, b}
+}
+
+// forwardEvents passes complete events to the sink as they arrive. The caller gets the head of
+// the first response that has an event.
+func (r *run) forwardEvents(a *exchange.Response, n *balance.Attempt, w *watchdog) attemptResult {
+	rd := sse.NewReader(a.Body)
+	out := attemptResult{breakage: recovery.Gone}
+	for {
+		e, err := rd.Next()
+		if errors.Is(err, io.EOF) {
+			if !r.headSent {
+				out.err = errors.New("the stream ended before its first event")
+				return out
+			}
+			r.recordSurvival(a)
+			out.done = true
+			return out
+		}
+		if err != nil {
+			out.err = fmt.Errorf("the stream broke: %w", err)
+			return out
+		}
+		w.recordEvent()
+		n.Progress(boottime.Now())
+		out.recordEvent(boottime.Now())
+		if !out.advanced {
+			n.Answered()
+		}
+		r.recordStart(boottime.Now())
+		if !r.headSent {
+			r.headSent = true
+			if err := r.sink.Head(a.Status, a.Header); err != nil {
+				out.err = fmt.Errorf("%w: %w", errCallerWrite, err)
+				return out
+			}
+		}
+		if err := r.sink.Event(e.Raw); err != nil {
+			out.err = fmt.Errorf("%w: %w", errCallerWrite, err)
+			return out
+		}
+		out.advanced = true
+		if e.ID != "" {
+			r.lastEventID = e.ID
+		}
+	}
+}
--- a/forward/run.go
+++ b/forward/run.go
@@ -18,20 +18,21 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// maxDials is the number of endpoints that a request may fail to reach, and maxRefusals the number
-// that may refuse its connection. An unreachable endpoint costs a quarter of a second, a refusal one
-// round trip. With a limit of 3 for both, 7% of the requests failed for want of an endpoint while 39
-// endpoints, of a dozen at a time, crashed within 17 s.
+// A request fails after maxFailedDials endpoints that it could not reach, or maxRefusedDials that
+// refused its connection. An unreachable endpoint costs a quarter of a second, a refusal one round
+// trip. With 3 for both, 7% of the requests failed for want of an endpoint while 39 endpoints, of a
+// dozen at a time, crashed within 17 s.
 const (
-	maxDials    = 3
-	maxRefusals = 12
+	maxFailedDials  = 3
+	maxRefusedDials = 12
 )
 
-// noneWait is the time that a request waits for an endpoint if none is known, and nonePause the
-// polling interval. The wait does not cover the start of a new endpoint, which takes seconds.
+// endpointTimeout is the time that a request waits for an endpoint if none is known, and
+// endpointPollInterval the polling interval. The wait does not cover the start of a new endpoint,
+// which takes seconds.
 const (
-	noneWait  = 100 * time.Millisecond
-	nonePause = 20 * time.Millisecond
+	endpointTimeout      = 100 * time.Millisecond
+	endpointPollInterval = 20 * time.Millisecond
 )
 
 // run is the state of one request.
@@ -40,63 +41,64 @@
 	q    Request
 	sink Sink
 
-	skip     map[string]bool // incarnations of the endpoints tried
-	sent     []reached       // the endpoints that the request reached
-	dials    int             // endpoints that could not be reached
-	refusals int             // endpoints that refused the connection
-	ran      bool            // an attempt may have run
-	counted  bool            // Forwarder.Began was called
-	headSent bool            // the sink has received a head
-	last     string          // ID of the last event passed to the sink
+	tried         map[string]bool   // incarnations of the endpoints tried
+	reached       []reachedEndpoint // the endpoints that the request reached
+	failedDials   int               // endpoints that could not be reached
+	refusedDials  int               // endpoints that refused the connection
+	mayHaveRun    bool              // an attempt may have run
+	startRecorded bool              // recordStart was called
+	headSent      bool              // the sink has received a head
+	lastEventID   string            // last event passed to the sink
 
-	// permitted reports whether the current attempt has a permit for its endpoint's rate.
-	permitted bool
-	// back is the shortest time until an endpoint with an exhausted rate accepts a request.
-	back time.Duration
+	// hasPermit reports whether the current attempt has a permit for its endpoint's rate.
+	hasPermit bool
+	// permitRetryAfter is the shortest time until an endpoint with an exhausted rate accepts a
+	// request.
+	permitRetryAfter time.Duration
 
-	trace Trace
-	held  *whole // error response of an endpoint, returned if no other attempt succeeds
+	trace         Trace
+	errorResponse *response // error response of an endpoint, returned if no other attempt succeeds
 }
 
-// reached is an endpoint that the request reached. If it answered, it has run the request.
-type reached struct {
+// reachedEndpoint is an endpoint that the request reached. If it answered, it has run the request.
+type reachedEndpoint struct {
 	endpoint endpoint.Endpoint
 	answered bool
 }
 
-// whole is a complete response.
-type whole struct {
+// response is a complete response.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// ended is the result of an attempt.
-type ended struct {
+// attemptResult is the result of an attempt.
+type attemptResult struct {
 	breakage recovery.Break
 	err      error
 	done     bool // the sink has received the complete response
-	progress bool // the attempt added events to the caller's stream
+	advanced bool // the attempt added events to the caller's stream
 	answered bool // the endpoint sent a complete response that can't be used
 
 	// The times of the first and the last event and their number. A response that is not a stream
 	// counts as one event.
-	first, last time.Time
-	events      int
+	firstEventAt, lastEventAt time.Time
+	eventCount                int
 }
 
-// came records an event.
-func (e *ended) came(now time.Time) {
-	if e.events == 0 {
-		e.first = now
+// recordEvent records an event.
+func (e *attemptResult) recordEvent(now time.Time) {
+	if e.eventCount == 0 {
+		e.firstEventAt = now
 	}
-	e.last = now
-	e.events++
+	e.lastEventAt = now
+	e.eventCount++
 }
 
-// name returns the name of the break in logs and metrics. An endpoint that answered with an error
-// is not gone, although recovery treats both alike.
-func (e ended) name() string {
+// breakName returns the name of the break in logs and metrics. An endpoint that answered with an
+// error is not gone, although recovery treats both alike.
+func (e attemptResult) breakName() string {
 	if e.answered {
 		return "failed"
 	}
@@ -107,24 +109,24 @@
 // ends the request.
 func (r *run) step(c context.Context) (bool, error) {
 	if err := r.f.Check(r.q); err != nil {
-		if r.ran {
+		if r.mayHaveRun {
 			return r.fail(errkind.EngineFailed, err.Error())
 		}
 		return false, err
 	}
-	if r.expired(c) {
+	if r.isExpired(c) {
 		// The deadline may have passed without cancelling the context: its timer stops while
 		// the box is suspended.
-		return r.late()
+		return r.failExpired()
 	}
 	ch, ok := r.choose(c)
 	if !ok {
 		return r.fail(errkind.NoEndpoint, "no endpoint of "+r.q.Service.Name+" is left")
 	}
 	e := ch.Endpoint
-	r.skip[e.Incarnation()] = true
+	r.tried[e.Incarnation()] = true
 	r.trace = Trace{Content: r.trace.Content, Attempts: r.trace.Attempts + 1, Choice: ch}
-	if len(r.sent) > 0 && !r.f.Budget.Spend(r.q.Service.Name, boottime.Now()) {
+	if len(r.reached) > 0 && !r.f.Budget.Spend(r.q.Service.Name, boottime.Now()) {
 		return r.fail(errkind.Overloaded, "the service's retries are used up")
 	}
 	r.f.Quarantine.RecordSend(r.q.Content, boottime.Now())
@@ -132,93 +134,94 @@
 	if out.done {
 		return true, nil
 	}
-	if errors.Is(out.err, errSink) || errors.Is(c.Err(), context.Canceled) {
+	if errors.Is(out.err, errCallerWrite) || errors.Is(c.Err(), context.Canceled) {
 		return false, errkind.New(errkind.CallerGone, "the caller left: %w", out.err)
 	}
-	r.note(out, e)
-	r.suspect(c, out, e)
-	metrics.GetOrRegisterCounter("attempts.broke."+out.name(), r.f.Metrics).Inc(1)
+	r.recordFailure(out, e)
+	r.checkCrash(c, out, e)
+	metrics.GetOrRegisterCounter("attempts.broke."+out.breakName(), r.f.Metrics).Inc(1)
 	d := recovery.Decide(recovery.State{
 		Break: out.breakage, Repeatable: r.q.Route.Repeatable(), Tries: recovery.MaxTries,
-		Attempts: r.attempts() + (max(r.dials-maxDials+1, 0)+max(r.refusals-maxRefusals+1, 0))*recovery.MaxAttempts, Ran: r.ran,
-		Expired: r.expired(c), Limit: r.limit(),
+		Attempts: r.countAttempts() + (max(r.failedDials-maxFailedDials+1, 0)+max(r.refusedDials-maxRefusedDials+1, 0))*recovery.MaxAttempts,
+		Ran:      r.mayHaveRun, Expired: r.isExpired(c), Limit: r.maxAttempts(),
 		Budget:  out.breakage == recovery.Unreachable || out.breakage == recovery.NeverSeen || r.f.Budget.Allowed(r.q.Service.Name, boottime.Now()),
 		Charged: true,
 	})
-	r.f.Log.Info().Str("event", "attempt broke").Str("request", r.q.Call.ID).Stringer("content", r.trace.Content).Str("endpoint", e.ID).Int("attempt", len(r.sent)).
-		Str("break", out.name()).Str("last_event", r.last).Bool("ran", r.ran).Err(out.err).Str("reason", d.Reason).Func(r.trace.said).Msg("decision")
+	r.f.Log.Info().Str("event", "attempt broke").Str("request", r.q.Call.ID).Stringer("content", r.trace.Content).Str("endpoint", e.ID).
+		Int("attempt", len(r.reached)).Str("break", out.breakName()).Str("last_event", r.lastEventID).Bool("ran", r.mayHaveRun).Err(out.err).
+		Str("reason", d.Reason).Func(r.trace.marshalReported).Msg("decision")
 	if d.Step == recovery.Elsewhere {
 		return false, nil
 	}
 	return r.fail(d.Kind, d.Reason+": "+errText(out.err))
 }
 
-// note records a failed attempt by the way it ended.
-func (r *run) note(out ended, e endpoint.Endpoint) {
+// recordFailure records a failed attempt by the way it ended.
+func (r *run) recordFailure(out attemptResult, e endpoint.Endpoint) {
 	switch {
 	case errors.Is(out.err, syscall.ECONNREFUSED):
-		r.refusals++
+		r.refusedDials++
 	case out.breakage == recovery.Unreachable:
-		r.dials++
-		r.f.Book.Avoid(e, boottime.Now())
+		r.failedDials++
+		r.f.Balancer.Avoid(e, boottime.Now())
 	case out.breakage == recovery.NeverSeen:
 	case out.breakage == recovery.Refused:
-		r.sent = append(r.sent, reached{endpoint: e})
+		r.reached = append(r.reached, reachedEndpoint{endpoint: e})
 	default:
-		r.sent = append(r.sent, reached{e, out.answered})
-		r.ran = true
-		if out.progress {
+		r.reached = append(r.reached, reachedEndpoint{e, out.answered})
+		r.mayHaveRun = true
+		if out.advanced {
 			// The stream has advanced and may resume at another endpoint, so an earlier
 			// error response no longer applies.
-			r.held = nil
+			r.errorResponse = nil
 		}
 	}
 }
 
-// attempts returns the number of attempts that count against the limit of the request. Endpoints
-// that left without an answer do not count: their work is lost in any case. From
+// countAttempts returns the number of attempts that count against the limit of the request.
+// Endpoints that left without an answer do not count: their work is lost in any case. From
 // recovery.MaxAttempts on, all count.
-func (r *run) attempts() int {
-	if len(r.sent) >= recovery.MaxAttempts {
+func (r *run) countAttempts() int {
+	if len(r.reached) >= recovery.MaxAttempts {
 		return recovery.MaxAttempts
 	}
 	n := 0
-	for _, s := range r.sent {
-		if s.answered || r.f.serves(s.endpoint) {
+	for _, s := range r.reached {
+		if s.answered || r.f.isServing(s.endpoint) {
 			n++
 		}
 	}
 	return n
 }
 
-// expired reports whether the request was cancelled or its deadline has passed.
-func (r *run) expired(c context.Context) bool {
+// isExpired reports whether the request was cancelled or its deadline has passed.
+func (r *run) isExpired(c context.Context) bool {
 	return c.Err() != nil || boottime.Until(r.q.Expires) <= 0
 }
 
-// late ends a request whose deadline has passed before another attempt.
-func (r *run) late() (bool, error) {
-	if r.ran {
+// failExpired ends a request whose deadline has passed before another attempt.
+func (r *run) failExpired() (bool, error) {
+	if r.mayHaveRun {
 		return r.fail(errkind.DeadlinePassed, "deadline passed")
 	}
 	return r.fail(errkind.DeadlineShort, "deadline passed before it ran")
 }
 
-// limit returns the number of endpoints to which the request may be sent.
-func (r *run) limit() int { return max(r.q.Route.MaxAttempts, 1) }
+// maxAttempts returns the number of endpoints to which the request may be sent.
+func (r *run) maxAttempts() int { return max(r.q.Route.MaxAttempts, 1) }
 
 // fail ends a request for which no attempt succeeded. If an endpoint sent an error response, the
 // sink gets that response instead of an error of this box.
 func (r *run) fail(k errkind.Kind, reason string) (bool, error) {
-	if r.held != nil && !r.headSent {
-		r.f.Log.Info().Str("event", "answer").Str("request", r.q.Call.ID).Int("status", r.held.status).Str("reason", reason).
+	if r.errorResponse != nil && !r.headSent {
+		r.f.Log.Info().Str("event", "answer").Str("request", r.q.Call.ID).Int("status", r.errorResponse.status).Str("reason", reason).
 			Msg("returning the endpoint's error response")
-		if err := r.sink.Whole(r.held.status, r.held.header, r.held.body); err != nil {
+		if err := r.sink.Whole(r.errorResponse.status, r.errorResponse.header, r.errorResponse.body); err != nil {
 			return false, errkind.New(errkind.CallerGone, "the caller left: %w", err)
 		}
 		return true, nil
 	}
-	if r.ran && k.Answer().Run == errkind.NotRun {
+	if r.mayHaveRun && k.Answer().Run == errkind.NotRun {
 		k = errkind.EngineFailed
 		if !r.q.Route.Repeatable() {
 			k = errkind.OutcomeUnknown
@@ -226,31 +229,31 @@
 	}
 	err := errkind.New(k, "%s", reason)
 	if k == errkind.NoEndpoint {
-		err = err.After(cmp.Or(r.f.back(r.q.Service.Name), r.back))
+		err = err.After(cmp.Or(r.f.retryAfter(r.q.Service.Name), r.permitRetryAfter))
 	}
 	return false, err
 }
 
 // choose picks an endpoint that was not tried and for which it gets a permit. If no endpoint is
-// known, it waits up to noneWait for one.
+// known, it waits up to endpointTimeout for one.
 func (r *run) choose(c context.Context) (balance.Choice, bool) {
-	q := r.query()
-	p := permits{began: boottime.Now()}
-	versions := r.f.Rollouts.PickVersion(r.q.Service.Name, len(r.sent)+r.dials+r.refusals > 0, boottime.Now())
-	deadline := boottime.Now().Add(noneWait)
+	q := r.newQuery()
+	p := permitState{started: boottime.Now()}
+	versions := r.f.Rollouts.PickVersion(r.q.Service.Name, len(r.reached)+r.failedDials+r.refusedDials > 0, boottime.Now())
+	deadline := boottime.Now().Add(endpointTimeout)
 	for {
-		ch, known, ok := r.f.findFor(r.q.Service.Name, q, versions)
-		if ok && r.permit(c, &p, ch.Endpoint) {
+		ch, known, ok := r.f.findVersion(r.q.Service.Name, q, versions)
+		if ok && r.acquirePermit(c, &p, ch.Endpoint) {
 			return ch, true
 		}
-		r.back, q.UnlimitedOnly = p.first, p.over()
+		r.permitRetryAfter, q.UnlimitedOnly = p.retryAfter, p.isTimedOut()
 		if ok {
 			continue
 		}
-		if known || len(r.sent)+r.dials+r.refusals > 0 || boottime.Now().After(deadline) || c.Err() != nil {
+		if known || len(r.reached)+r.failedDials+r.refusedDials > 0 || boottime.Now().After(deadline) || c.Err() != nil {
 			return balance.Choice{}, false
 		}
-		wait.For(c, nonePause)
+		wait.For(c, endpointPollInterval)
 	}
 }
 
@@ -261,17 +264,17 @@
 	if k := q.PreferredKey(); k != "" && !all {
 		q.Preferred, _ = f.Roster.Home(service, k)
 	}
-	ch, ok = f.Book.Choose(es, q, boottime.Now())
+	ch, ok = f.Balancer.Choose(es, q, boottime.Now())
 	if ok || all {
 		return ch, len(es) > 0, ok
 	}
-	ch, ok = f.Book.Choose(f.Roster.Serving(service), q, boottime.Now())
+	ch, ok = f.Balancer.Choose(f.Roster.Serving(service), q, boottime.Now())
 	return ch, true, ok
 }
 
-func (r *run) query() balance.Query {
+func (r *run) newQuery() balance.Query {
 	q := balance.Query{
-		DataCentre: r.f.DataCentre, Engine: r.q.Service.Engine != nil, Skip: r.skip, EndpointLost: r.ran || r.dials > 0,
+		DataCentre: r.f.DataCentre, Engine: r.q.Service.Engine != nil, Skip: r.tried, EndpointLost: r.mayHaveRun || r.failedDials > 0,
 		Objective: r.q.Route.Objective,
 		Parts:     r.q.Call.Parts, Prompt: r.q.Call.PromptTokens,
 	}
--- a/forward/trace.go
+++ b/forward/trace.go
@@ -19,9 +19,9 @@
 	// Outcome is what the last response reported.
 	Outcome call.Outcome
 
-	// First is the time from sending the last attempt to the head of its response; zero if none
-	// arrived.
-	First time.Duration
+	// ResponseTime is the time from sending the last attempt to the head of its response; zero if
+	// none arrived.
+	ResponseTime time.Duration
 }
 
 // MarshalZerologObject adds the trace to a log entry about its request.
@@ -34,12 +34,12 @@
 	}
 	c := t.Choice
 	e.Str("endpoint", c.Endpoint.ID).Int("attempts", t.Attempts).Int("running", c.Running).Int("to_read", c.Tokens).
-		Dur("expected", c.Expected).Dur("first", t.First).Dur("load_age", c.LoadAge)
-	t.said(e)
+		Dur("expected", c.Expected).Dur("first", t.ResponseTime).Dur("load_age", c.LoadAge)
+	t.marshalReported(e)
 }
 
-// said adds what the last response reported about its endpoint.
-func (t Trace) said(e *zerolog.Event) {
+// marshalReported adds what the last response reported about its endpoint.
+func (t Trace) marshalReported(e *zerolog.Event) {
 	if t.Outcome.Leaving {
 		e.Bool("says_leaving", true)
 	}
--- a/front/service.go
+++ b/front/service.go
@@ -111,7 +111,7 @@
 	if q.Count < 1 || q.Count > maxTickets {
 		return errkind.New(errkind.BadRequest, "count is from 1 to %d", maxTickets)
 	}
-	ts, err := f.dispatcher.Mint(q.Count)
+	ts, err := f.dispatcher.IssueTickets(q.Count)
 	if err != nil {
 		return err
 	}
--- a/front/token_test.go
+++ b/front/token_test.go
@@ -16,7 +16,7 @@
 // to a caller, but for the two sockets.
 func BenchmarkToken(b *testing.B) {
 	l := engine.Line{RequestID: "0fd6a3a4-8f3c-4d0e-b6f9-4d8c1e0b2a77", Attempt: 1, Token: "token "}
-	s := splice.Splicer{RequestID: l.RequestID, Attempt: 1, Max: 1 << 60}
+	s := splice.Splicer{RequestID: l.RequestID, Attempt: 1, MaxTokens: 1 << 60}
 	w := httptest.NewRecorder()
 	o := newWriter(&session{w: w}, openai.ChatRequest{Stream: true, Model: "birch-llm"}, l.RequestID)
 	for i := 0; b.Loop(); i++ {
@@ -25,7 +25,7 @@
 		require.NoError(b, err)
 		var got engine.Line
 		require.NoError(b, json.Unmarshal(raw, &got))
-		require.Equal(b, splice.Accepted, s.Take(got))
+		require.Equal(b, splice.Accepted, s.Accept(got))
 		require.NoError(b, o.token(i, got.Token))
 		w.Body.Reset()
 	}
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -129,10 +129,10 @@
 		},
 	}, b.store, zerolog.Nop())
 	f := &forward.Forwarder{
-		Roster: &b.known.Roster, Book: &balance.Balancer{}, Pool: &exchange.Pool{DialLimit: time.Second}, Meter: &demand.Meter{}, Quarantine: &quarantine.Quarantine{},
+		Roster: &b.known.Roster, Balancer: &balance.Balancer{}, Pool: &exchange.Pool{DialTimeout: time.Second}, Meter: &demand.Meter{}, Quarantine: &quarantine.Quarantine{},
 		Rollouts: &rollout.Gate{},
-		Budget:   budget.New(budget.Limits{Window: time.Minute}), Codec: codec{}, Began: func(string, time.Time) {},
-		Sent: func(endpoint.Endpoint, int) {}, Ended: func(endpoint.Endpoint) {}, Leaves: func(endpoint.Endpoint) {},
+		Budget:   budget.New(budget.Limits{Window: time.Minute}), Codec: codec{}, OnStart: func(string, time.Time) {},
+		OnSend: func(endpoint.Endpoint, int) {}, OnCrash: func(endpoint.Endpoint) {}, OnDraining: func(endpoint.Endpoint) {},
 		Metrics: metrics.NewRegistry(), Log: zerolog.Nop(),
 	}
 	o := ingress.Options{Address: "127.0.0.1:0", Ready: "127.0.0.1:0", ReadyPath: "/ready", Notice: time.Millisecond, Limit: 20 * time.Second}
--- a/splice/splicer.go
+++ b/splice/splicer.go
@@ -11,27 +11,28 @@
 const (
 	Dropped  Verdict = iota // late, duplicate, or of another request or attempt
 	Accepted                // the next token
-	Gap                     // lines are missing before this one, or it exceeds Splicer.Max
-	Ended                   // the end of a complete response
+	Gap                     // lines are missing before this one, or it exceeds Splicer.MaxTokens
+	Complete                // the end of a complete response
 	Halted                  // the engine stopped before the response was complete
 )
 
-// endWhole is the reason in the end mark of a complete response.
-const endWhole = "stop"
+// reasonComplete is the reason in the end mark of a complete response.
+const reasonComplete = "stop"
 
 // Splicer accepts the tokens of one request in order and only from the current attempt. Next is
-// the index of the next token, Max the number of tokens allowed.
+// the index of the next token, MaxTokens the number of tokens allowed.
 type Splicer struct {
 	RequestID string
 	Attempt   int
 	Next      int
-	Max       int
+	MaxTokens int
 }
 
-// Take classifies one line and advances Next if the line is Accepted. Late and duplicate lines and
-// those of another request or attempt are Dropped. A token or end mark beyond Next, or a token
-// beyond Max, is a Gap. An end mark at Next is Ended if the response is complete, otherwise Halted.
-func (s *Splicer) Take(l engine.Line) Verdict {
+// Accept classifies one line and advances Next if the line is Accepted. Late and duplicate lines
+// and those of another request or attempt are Dropped. A token or end mark beyond Next, or a
+// token beyond MaxTokens, is a Gap. An end mark at Next is Complete if the response is complete,
+// otherwise Halted.
+func (s *Splicer) Accept(l engine.Line) Verdict {
 	switch {
 	case l.RequestID != s.RequestID || l.Attempt != s.Attempt:
 		return Dropped
@@ -40,17 +41,17 @@
 	case l.Index > s.Next:
 		return Gap
 	case !l.End:
-		if s.Next >= s.Max {
+		if s.Next >= s.MaxTokens {
 			return Gap
 		}
 		s.Next++
 		return Accepted
-	case l.Reason == endWhole:
-		return Ended
+	case l.Reason == reasonComplete:
+		return Complete
 	default:
 		return Halted
 	}
 }
 
-// Begin makes attempt the current one. The splicer continues at Next.
-func (s *Splicer) Begin(attempt int) { s.Attempt = attempt }
+// StartAttempt makes attempt the current one. The splicer continues at Next.
+func (s *Splicer) StartAttempt(attempt int) { s.Attempt = attempt }
--- a/splice/splicer_test.go
+++ b/splice/splicer_test.go
@@ -11,11 +11,11 @@
 	"birchlink.dev/birchlink/splice"
 )
 
-func ExampleSplicer_Take() {
-	s := splice.Splicer{RequestID: "r", Attempt: 2, Max: 2}
-	fmt.Println(s.Take(engine.Line{RequestID: "r", Attempt: 1, Token: "late "}) == splice.Dropped)
-	fmt.Println(s.Take(engine.Line{RequestID: "r", Attempt: 2, Token: "on "}) == splice.Accepted)
-	fmt.Println(s.Take(engine.Line{RequestID: "r", Attempt: 2, Index: 1, End: true, Reason: "stop"}) == splice.Ended)
+func ExampleSplicer_Accept() {
+	s := splice.Splicer{RequestID: "r", Attempt: 2, MaxTokens: 2}
+	fmt.Println(s.Accept(engine.Line{RequestID: "r", Attempt: 1, Token: "late "}) == splice.Dropped)
+	fmt.Println(s.Accept(engine.Line{RequestID: "r", Attempt: 2, Token: "on "}) == splice.Accepted)
+	fmt.Println(s.Accept(engine.Line{RequestID: "r", Attempt: 2, Index: 1, End: true, Reason: "stop"}) == splice.Complete)
 	// Output:
 	// true
 	// true
@@ -24,9 +24,9 @@
 
 // Tests that, for any sequence of lines, only the request's own tokens are accepted, each once and
 // in order, and that an end mark counts only directly after the last of them.
-func TestAcceptedIsInOrder(t *testing.T) {
+func TestAcceptsTokensInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := splice.Splicer{RequestID: "r", Attempt: 1, Max: 20}
+		s := splice.Splicer{RequestID: "r", Attempt: 1, MaxTokens: 20}
 		for range rapid.IntRange(0, 200).Draw(t, "lines") {
 			l := engine.Line{
 				RequestID: rapid.SampledFrom([]string{"r", "r", "r", "x"}).Draw(t, "id"),
@@ -36,19 +36,19 @@
 				Reason:    rapid.SampledFrom([]string{"stop", "cancelled", ""}).Draw(t, "reason"),
 			}
 			before := s.Next
-			v := s.Take(l)
+			v := s.Accept(l)
 			own := l.RequestID == "r" && l.Attempt == s.Attempt
-			require.Equal(t, v == splice.Accepted, own && !l.End && l.Index == before && before < s.Max)
+			require.Equal(t, v == splice.Accepted, own && !l.End && l.Index == before && before < s.MaxTokens)
 			if v == splice.Accepted {
 				require.Equal(t, before+1, s.Next)
 			} else {
 				require.Equal(t, before, s.Next)
 			}
-			if v == splice.Ended {
+			if v == splice.Complete {
 				require.True(t, own && l.End && l.Index == s.Next && l.Reason == "stop")
 			}
 			if rapid.IntRange(0, 19).Draw(t, "again") == 0 {
-				s.Begin(s.Attempt + 1)
+				s.StartAttempt(s.Attempt + 1)
 			}
 		}
 	})
--- a/stream/relay.go
+++ b/stream/relay.go
@@ -221,7 +221,7 @@
 	k.launch(s, func(c context.Context) {
 		r := newRun(k, s)
 		r.attempt, r.ran = h.Attempt, h.Ran
-		r.splice.Begin(h.Attempt)
+		r.splice.StartAttempt(h.Attempt)
 		r.aim(target{box: h.Box, incarnation: h.Incarnation, address: h.Address, slot: slot})
 		s.set(func() { s.stats.Attempts, s.stats.Box = h.Attempt, h.Box })
 		e, b := r.reattach(c)
--- a/stream/run.go
+++ b/stream/run.go
@@ -76,7 +76,7 @@
 func newRun(k *Keeper, s *Stream) *run {
 	return &run{
 		k: k, s: s, avoid: map[string]bool{}, content: s.content(),
-		splice: splice.Splicer{RequestID: s.ID, Max: s.MaxTokens, Next: s.Len()},
+		splice: splice.Splicer{RequestID: s.ID, MaxTokens: s.MaxTokens, Next: s.Len()},
 	}
 }
 
@@ -156,7 +156,7 @@
 func (r *run) generate(c context.Context) (end, recovery.Break) {
 	r.attempt++
 	r.tries = 0
-	r.splice.Begin(r.attempt)
+	r.splice.StartAttempt(r.attempt)
 	r.s.set(func() { r.s.stats.Attempts, r.s.stats.Box = r.attempt, r.target.box })
 	p, _ := r.s.Kind.Priority()
 	q := engine.Request{
@@ -251,13 +251,13 @@
 
 // take gives a line to the splicer. The last result says that the pump ends.
 func (r *run) take(l engine.Line) (end, recovery.Break, bool) {
-	switch r.splice.Take(l) {
+	switch r.splice.Accept(l) {
 	case splice.Accepted:
 		r.ran = true
 		r.tries = 0
 		r.account(l)
 		r.s.add(l.Token)
-	case splice.Ended:
+	case splice.Complete:
 		return whole, 0, true
 	case splice.Halted:
 		return broken, recovery.Halted, true
