--- a/admission/capacity.go
+++ b/admission/capacity.go
@@ -16,7 +16,7 @@
 
 // Measure adds up the usable endpoints of a data centre, and weighs how much of
 // the whole fleet one reclaim may take.
-func Measure(ss []*view.Slot, dc string) Capacity {
+func Measure(ss []*view.EndpointState, dc string) Capacity {
 	var c Capacity
 	all, worst := 0, 0
 	lost := map[string]int{}
--- a/admission/service.go
+++ b/admission/service.go
@@ -146,8 +146,8 @@
 // measure computes this box's room from the endpoints and the entry boxes.
 func (a *Admission) measure(account string) Room {
 	all := float64(max(len(a.members.Up("")), 1))
-	here := float64(max(len(a.members.Names()), 1))
-	c := Measure(a.view.Slots(), a.members.Self().DataCentre)
+	here := float64(max(len(a.members.LocalBoxes()), 1))
+	c := Measure(a.view.Endpoints(), a.members.Self().DataCentre)
 	return Room{Slots: c.Engines * c.Kept / here, Plain: c.Services / here, Share: a.share(account, here) * here / all}
 }
 
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -110,7 +110,7 @@
 	meter    *demand.Meter
 	tally    *tally.Tally
 	clock    *daytime.Clock
-	known    *known.Known
+	known    *known.Service
 	gossip   *gossip.Gossip
 	hints    *hint.Service
 	reporter *reporter.Reporter // nil without that duty
@@ -144,11 +144,11 @@
 	}
 	p.known = known.New(known.Source{
 		ConfigKey: platform.ConfigKey, OperatorPrefix: platform.OperatorPrefix, EndpointsPrefix: platform.ServersPrefix,
-		Document: platform.Document, Endpoint: platform.Endpoint, Order: platform.Order,
+		DecodeConfig: platform.Document, DecodeEndpoint: platform.Endpoint, DecodeOrder: platform.Order,
 	}, st, log)
 	p.known.OnOrders = p.gossip.Ordered
 	p.gossip.Rollouts.Random = rand.Float64
-	p.known.Told = true
+	p.known.DeferWatch = true
 	p.known.Roster.Box, p.known.Roster.DataCentre = s.Box, s.DataCentre
 	p.quota.Incarnation = p.incarnation
 	p.budget.Rand = rand.Float64
@@ -179,7 +179,7 @@
 		Stated: p.gossip.Stated, Permit: limits.Permit,
 	}
 	p.known.Roster.OnReplaced(f.Replaced)
-	p.known.OnForeign = func(r endpoint.Reason) {
+	p.known.OnInvalidRecord = func(r endpoint.Reason) {
 		metrics.GetOrRegisterCounter("endpoints.foreign."+string(r), m).Inc(1)
 	}
 	p.hints = hint.New(log)
@@ -206,7 +206,7 @@
 // at the moment.
 func (p *entryParts) figures(in *ingress.Ingress, f *forward.Forwarder, m metrics.Registry, log zerolog.Logger) *figures.Figures {
 	fs := figures.New(p.settings.Metrics, m, log)
-	fs.Gauge("configuration.version", func() int64 { v, _ := p.known.Raw(); return int64(v) })
+	fs.Gauge("configuration.version", func() int64 { v, _ := p.known.RawConfig(); return int64(v) })
 	fs.Gauge("endpoints.known", func() int64 { return int64(p.known.Roster.Len()) })
 	fs.Gauge("endpoints.leaving", func() int64 { return int64(p.known.Roster.Draining()) })
 	fs.Gauge("endpoints.resting", func() int64 { return int64(p.book.Availability.CountBackingOff(boottime.Now())) })
--- a/daemon/tell.go
+++ b/daemon/tell.go
@@ -23,7 +23,7 @@
 	g.First, g.LinkMbps, g.WorksWith = s.First, s.LinkMbps, p.known.Roster.WorksWith
 	g.Own = func() gossip.Status {
 		now := boottime.Now()
-		v, _ := p.known.Raw()
+		v, _ := p.known.RawConfig()
 		d := map[string]map[string]demand.Stats{}
 		for n, f := range p.meter.Snapshot(now) {
 			d[n] = map[string]demand.Stats{s.DataCentre: f}
@@ -151,4 +151,4 @@
 
 // writes reports whether this box writes its counts itself: as a relay, or while
 // no relay takes them.
-func (p *entryParts) writes() bool { return p.gossip.Relay() || p.known.Follows() }
+func (p *entryParts) writes() bool { return p.gossip.Relay() || p.known.IsWatching() }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -220,7 +220,7 @@
 
 // forward has the process of an incarnation run the call, or give what it has.
 func (d *Dispatcher) forward(c context.Context, incarnation string, q Call, sink Sink) error {
-	m, up := d.members.Answering(incarnation)
+	m, up := d.members.ResolveIncarnation(incarnation)
 	if !up || m.Incarnation == d.members.Self().Incarnation {
 		return errkind.New(errkind.OutcomeUnknown, "the process that may run it has ended; it ran there or not at all")
 	}
--- a/dispatch/inherit.go
+++ b/dispatch/inherit.go
@@ -66,7 +66,7 @@
 		}
 		all = all[n:]
 	}
-	d.members.Succeed(to.Incarnation)
+	d.members.SetSuccessor(to.Incarnation)
 	d.decisions.Note(decisions.Decision{Subject: "records", Event: "bequeath", Choice: to.Box, Reason: "this process ends"})
 }
 
--- a/gossip/fetch.go
+++ b/gossip/fetch.go
@@ -29,7 +29,7 @@
 // rounds: with the limit of a round no member got its records while all asked, and their relay sent
 // them again and again.
 func (g *Gossip) catchUp(from string, version, revision uint64) {
-	if v, _ := g.known.Raw(); version > v {
+	if v, _ := g.known.RawConfig(); version > v {
 		g.begin(&g.configFetch, from, g.takeConfiguration)
 	}
 	if revision > g.known.Revision() {
@@ -78,7 +78,7 @@
 
 // takeConfiguration fetches a configuration that is newer than this box's.
 func (g *Gossip) takeConfiguration(c context.Context, from string) {
-	v, _ := g.known.Raw()
+	v, _ := g.known.RawConfig()
 	var raw []byte
 	if err := g.node.Bulk.Call(c, from, "gossip.configuration", v, &raw); err != nil || len(raw) == 0 {
 		g.log.Debug().Str("event", "configuration").Str("from", from).Err(err).Msg("not fetched; asked for again in the next round")
@@ -99,13 +99,13 @@
 		g.log.Error().Str("event", "endpoints").Str("from", from).Err(err).Msg("records not taken; asked for again in the next round")
 		return
 	}
-	g.known.Tell(r)
+	g.known.Merge(r)
 }
 
 // fetchNewer takes what a relay knows that has a newer configuration or newer records: what it told of
 // a change may have been lost.
 func (g *Gossip) fetchNewer() {
-	v, _ := g.known.Raw()
+	v, _ := g.known.RawConfig()
 	at := g.known.Revision()
 	var from Status
 	g.mu.Lock()
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -111,7 +111,7 @@
 	Recall  func(map[string]estimate.Stats)
 
 	log     zerolog.Logger
-	known   *known.Known
+	known   *known.Service
 	session *session.Session
 	node    *peer.Node
 	life    context.Context
@@ -177,23 +177,23 @@
 	peer.Handle(g.node.Server, "gossip.relay", g.fromRelay)
 	peer.Handle(g.node.Server, "gossip.update", g.fromOwn)
 	peer.Handle(g.node.Server, "gossip.configuration", func(context.Context, uint64) ([]byte, error) {
-		_, raw := g.known.Raw()
+		_, raw := g.known.RawConfig()
 		return g.packed.pack(raw)
 	})
 	peer.Handle(g.node.Server, "gossip.records", func(_ context.Context, since uint64) ([]byte, error) {
 		return g.records.pack(g.known, since)
 	})
-	g.node.Server.InTurn("gossip.configuration", sendsAtOnce)
-	g.node.Server.InTurn("gossip.records", sendsAtOnce)
+	g.node.Server.LimitConcurrency("gossip.configuration", sendsAtOnce)
+	g.node.Server.LimitConcurrency("gossip.records", sendsAtOnce)
 	peer.Handle(g.node.Server, "gossip.news", g.fromNews)
 	c, cancel := context.WithCancel(context.Background())
 	g.life, g.cancel = c, cancel
 	g.Quarantine.SendsTrials = g.tries
 	g.Quarantine.OnChange = func(s []quarantine.Suspect) { g.tellNews(news{Suspects: s}) }
-	g.watch = &mirror.Mirror{Store: g.Store, Prefix: g.Prefix, Wait: watchWait, Apply: g.apply, Log: g.log, Away: g.session.Away}
+	g.watch = &mirror.Mirror{Store: g.Store, Prefix: g.Prefix, Wait: watchWait, Apply: g.apply, Log: g.log, StoreUnreachable: g.session.Away}
 	g.session.OnReturn(g.watch.Restart)
 	g.known.OnRecords(func(r known.Records) { g.pushRecords(c, r) })
-	g.known.OnRaw(func(raw []byte) {
+	g.known.OnRawConfig(func(raw []byte) {
 		g.limit() // accounts that are new are known from the first request on
 		g.pushConfiguration(c, raw)
 	})
@@ -299,7 +299,7 @@
 	g.keepPlace(c)
 	g.followPlaces(c, true)
 	g.exchange(c)
-	g.known.Follow(g.watches())
+	g.known.SetWatching(g.watches())
 	if g.session.Lease() != 0 && g.lostPlace() {
 		g.enlist(c)
 	}
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -36,7 +36,7 @@
 type box struct {
 	*gossip.Gossip
 	t       *testing.T
-	known   *known.Known
+	known   *known.Service
 	session *session.Session
 	node    *peer.Node
 	stopped bool
@@ -88,21 +88,21 @@
 	b := &box{t: t, session: session.New(s, zerolog.Nop()), node: peer.NewNode(a, a, "secret", metrics.NewRegistry())}
 	b.known = known.New(known.Source{
 		ConfigKey: "config", EndpointsPrefix: "e/",
-		Document: func(v []byte) (*catalog.Document, error) {
+		DecodeConfig: func(v []byte) (*catalog.Document, error) {
 			var d catalog.Document
 			return &d, json.Unmarshal(v, &d)
 		},
-		Endpoint: func(k string, _ []byte) (endpoint.Endpoint, error) {
+		DecodeEndpoint: func(k string, _ []byte) (endpoint.Endpoint, error) {
 			return endpoint.Endpoint{ID: strings.TrimPrefix(k, "e/"), Service: "s"}, nil
 		},
 	}, s, zerolog.Nop())
-	b.known.Told = true
+	b.known.DeferWatch = true
 	b.Gossip = gossip.New(zerolog.Nop())
 	b.Clock = daytime.New(time.Now)
 	b.Quota = &quota.Quota{Self: quota.Arbiter{Box: name, DataCentre: dc, Address: a}, Started: time.Now(), Incarnation: fmt.Sprint("life", lives.Add(1)), Chance: rand.Float64}
 	b.Box, b.DataCentre, b.Address, b.Prefix, b.Store = name, dc, a, "relays/", s
 	b.Own = func() gossip.Status {
-		v, _ := b.known.Raw()
+		v, _ := b.known.RawConfig()
 		return gossip.Status{
 			Box: name, DataCentre: dc, Address: a, Version: v,
 			Speeds: map[string]estimate.Stats{"s": {Moments: [5]float64{1}}}, Load: map[string]balance.Load{"x": {Running: 1, Tokens: 10}},
@@ -179,7 +179,7 @@
 }
 
 func (b *box) version() uint64 {
-	v, _ := b.known.Raw()
+	v, _ := b.known.RawConfig()
 	return v
 }
 
--- a/gossip/member.go
+++ b/gossip/member.go
@@ -26,7 +26,7 @@
 	}
 	switch {
 	case fresh:
-		g.known.Follow(false)
+		g.known.SetWatching(false)
 		if g.vacant {
 			g.enlist(c)
 		}
@@ -34,7 +34,7 @@
 	case g.young() && !g.session.Away():
 		g.enlist(c)
 	case g.reaches(c):
-		g.known.Follow(true)
+		g.known.SetWatching(true)
 		g.enlist(c)
 	}
 	if !answered && g.session.Silent() > quiet {
--- a/gossip/records.go
+++ b/gossip/records.go
@@ -48,13 +48,13 @@
 
 // pack returns the records that have changed since a revision, packed, doing the work once for
 // each pair of revisions.
-func (p *packedRecords) pack(k *known.Known, since uint64) ([]byte, error) {
+func (p *packedRecords) pack(k *known.Service, since uint64) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if zip, ok := p.zips[since]; ok && p.revision == k.Revision() {
 		return zip, nil
 	}
-	r := k.Since(since)
+	r := k.ChangesSince(since)
 	if p.zips == nil || p.revision != r.To {
 		p.revision, p.zips = r.To, map[uint64][]byte{}
 	}
--- a/gossip/relay.go
+++ b/gossip/relay.go
@@ -116,7 +116,7 @@
 	w.Leavers = g.known.Roster.Leavers(in.Leavers.Sum)
 	w.Rates = g.Rates.Report(in.Rates.Sum, now)
 	w.Orders = g.Rollouts.Orders()
-	w.Others.Version, _ = g.known.Raw()
+	w.Others.Version, _ = g.known.RawConfig()
 	w.Others.Usage = nil
 	if !told {
 		w.Others.Speeds = nil
@@ -162,7 +162,7 @@
 		in.Records = &r
 	}
 	if in.Records != nil {
-		return g.known.Tell(*in.Records), nil
+		return g.known.Merge(*in.Records), nil
 	}
 	return true, nil
 }
@@ -226,7 +226,7 @@
 		return
 	}
 	to := g.membersHeard()
-	if g.known.Follows() {
+	if g.known.IsWatching() {
 		to = append(to, g.relaysHeard()...)
 	}
 	g.tellAll(c, to, "gossip.update", u)
--- a/gossip/watchers_test.go
+++ b/gossip/watchers_test.go
@@ -18,7 +18,7 @@
 func watchers(bs []*box) []string {
 	var dcs []string
 	for _, b := range bs {
-		if !b.stopped && b.known.Follows() {
+		if !b.stopped && b.known.IsWatching() {
 			dcs = append(dcs, b.DataCentre)
 		}
 	}
@@ -76,15 +76,15 @@
 	await(t, func() bool { return count(bs, (*box).Relay) == 6 })
 	await(t, settled)
 	change()
-	first := slices.IndexFunc(bs, func(b *box) bool { return b.known.Follows() })
+	first := slices.IndexFunc(bs, func(b *box) bool { return b.known.IsWatching() })
 	bs[first].stop()
 	change()
 	await(t, settled)
-	next := slices.IndexFunc(bs, func(b *box) bool { return !b.stopped && b.known.Follows() })
+	next := slices.IndexFunc(bs, func(b *box) bool { return !b.stopped && b.known.IsWatching() })
 	gates[next].closed.Store(true)
 	change()
 	await(t, func() bool {
-		return len(watchers(bs)) >= 2 && !bs[next].known.Follows()
+		return len(watchers(bs)) >= 2 && !bs[next].known.IsWatching()
 	})
 	change()
 }
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -70,7 +70,7 @@
 	Limits Limits
 
 	forwarder *forward.Forwarder
-	known     *known.Known
+	known     *known.Service
 	session   *session.Session
 	metrics   metrics.Registry
 	log       zerolog.Logger
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -99,7 +99,7 @@
 	t       *testing.T
 	store   *memstore.Memory
 	session *session.Session
-	known   *known.Known
+	known   *known.Service
 	callers string
 	ready   string
 	hold    chan struct{} // the endpoint answers /a/hold when this is closed
@@ -120,11 +120,11 @@
 	b.session = session.New(b.store, zerolog.Nop())
 	b.known = known.New(known.Source{
 		ConfigKey: "config", EndpointsPrefix: "e/",
-		Document: func(v []byte) (*catalog.Document, error) {
+		DecodeConfig: func(v []byte) (*catalog.Document, error) {
 			var d catalog.Document
 			return &d, json.Unmarshal(v, &d)
 		},
-		Endpoint: func(k string, v []byte) (endpoint.Endpoint, error) {
+		DecodeEndpoint: func(k string, v []byte) (endpoint.Endpoint, error) {
 			return endpoint.Endpoint{ID: k, Service: "s", Slots: 4, Address: string(v)}, nil
 		},
 	}, b.store, zerolog.Nop())
--- a/known/known.go
+++ b/known/known.go
@@ -29,152 +29,152 @@
 // back: endpoints that live write theirs again within two seconds. What vanishes
 // later in that time is held for the rest of it only, since an endpoint that left
 // without a word must get no new work two seconds after it did.
-const lapse = 2 * time.Second
+const reappearWindow = 2 * time.Second
 
 // watchWait is how long a call waits for changes: well inside the 2 s within
 // which a configuration has to be in force and a leaving endpoint known.
-const watchWait = 1400 * time.Millisecond
+const watchTimeout = 1400 * time.Millisecond
 
 // Source says where the configuration and the endpoints stand, and decodes them.
 type Source struct {
 	ConfigKey       string
 	OperatorPrefix  string // begins ConfigKey and the keys of orders; empty where there are none
 	EndpointsPrefix string
-	Document        func([]byte) (*catalog.Document, error)
-	Endpoint        func(key string, value []byte) (endpoint.Endpoint, error)
+	DecodeConfig    func([]byte) (*catalog.Document, error)
+	DecodeEndpoint  func(key string, value []byte) (endpoint.Endpoint, error)
 
 	// Order decodes an order of a roll-out, and reports whether the key is that of one.
-	Order func(store.Item) (rollout.Order, bool, error)
+	DecodeOrder func(store.Item) (rollout.Order, bool, error)
 }
 
-// Known is the service of one box.
-type Known struct {
+// Service is the service of one box.
+type Service struct {
 	Source
 	Store  store.Store
 	Roster endpoint.Roster
 
 	// Told says that others may tell this box of the store: it begins to watch the store when
 	// Follow is called, and not at its start.
-	Told bool
+	DeferWatch bool
 
 	// OnOrders, if set, is called with all orders of roll-outs that stand, when the store has told
 	// of a change of one.
 	OnOrders func(rollout.Orders)
 
 	// OnForeign, if set, is called with why a record names no endpoint.
-	OnForeign func(endpoint.Reason)
+	OnInvalidRecord func(endpoint.Reason)
 
 	log     zerolog.Logger
 	session *session.Session
 	mirrors []*mirror.Mirror
-	life    context.Context
-	end     context.CancelFunc
+	ctx     context.Context
+	cancel  context.CancelFunc
 	group   sync.WaitGroup
 
-	table  atomic.Pointer[catalog.Table]
-	listed atomic.Bool // the endpoints have been read once
+	table         atomic.Pointer[catalog.Table]
+	endpointsRead atomic.Bool // the endpoints have been read once
 
-	mu     sync.Mutex
-	raw    []byte                 // the configuration as it was written
-	absent map[string]*time.Timer // records that may come back
-	born   map[string]bool        // IDs whose records say when the process started
-	subs   []func([]byte)
-	stop   context.CancelFunc // set while this box watches the store
+	mu              sync.Mutex
+	rawConfig       []byte                 // the configuration as it was written
+	pendingRemovals map[string]*time.Timer // records that may come back
+	withStartTime   map[string]bool        // IDs whose records say when the process started
+	configCallbacks []func([]byte)
+	stopWatch       context.CancelFunc // set while this box watches the store
 
 	orders map[string]rollout.Order // by service
 
-	applying sync.Mutex // held while a record is entered into the roster
-	records  recordSet
-	heard    []func(Records)
+	rosterMu        sync.Mutex // held while a record is entered into the roster
+	records         recordSet
+	recordCallbacks []func(Records)
 }
 
 // New returns the service.
-func New(src Source, s store.Store, log zerolog.Logger) *Known {
-	return &Known{Source: src, Store: s, log: log, absent: map[string]*time.Timer{}, born: map[string]bool{}}
+func New(src Source, s store.Store, log zerolog.Logger) *Service {
+	return &Service{Source: src, Store: s, log: log, pendingRemovals: map[string]*time.Timer{}, withStartTime: map[string]bool{}}
 }
 
 // Name returns the service's name.
-func (k *Known) Name() string { return Name }
+func (k *Service) Name() string { return Name }
 
 // Start begins to follow the store.
-func (k *Known) Start(_ context.Context, n *kernel.Kernel) error {
+func (k *Service) Start(_ context.Context, n *kernel.Kernel) error {
 	if err := kernel.Bind(n, session.Name, &k.session); err != nil {
 		return err
 	}
 	k.mirrors = []*mirror.Mirror{
-		{Store: k.Store, Prefix: k.operatorPrefix(), Wait: watchWait, Apply: k.applyConfig, Log: k.log, Away: k.session.Away},
-		{Store: k.Store, Prefix: k.EndpointsPrefix, Wait: watchWait, Apply: k.applyEndpoints, Since: k.Revision, Log: k.log, Away: k.session.Away},
+		{Store: k.Store, Prefix: k.operatorPrefix(), Wait: watchTimeout, Apply: k.applyConfig, Log: k.log, StoreUnreachable: k.session.Away},
+		{Store: k.Store, Prefix: k.EndpointsPrefix, Wait: watchTimeout, Apply: k.applyEndpoints, StartRevision: k.Revision, Log: k.log, StoreUnreachable: k.session.Away},
 	}
 	for _, m := range k.mirrors {
 		k.session.OnReturn(m.Restart)
 	}
-	k.life, k.end = context.WithCancel(context.Background())
-	k.Follow(!k.Told)
+	k.ctx, k.cancel = context.WithCancel(context.Background())
+	k.SetWatching(!k.DeferWatch)
 	return nil
 }
 
-// Follow begins or ends watching the store. A box that does not watch is told of
+// SetWatching begins or ends watching the store. A box that does not watch is told of
 // changes by one that does.
-func (k *Known) Follow(on bool) {
+func (k *Service) SetWatching(on bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if on == (k.stop != nil) || k.life.Err() != nil {
+	if on == (k.stopWatch != nil) || k.ctx.Err() != nil {
 		return
 	}
 	if !on {
-		k.stop()
-		k.stop = nil
+		k.stopWatch()
+		k.stopWatch = nil
 		return
 	}
-	c, stop := context.WithCancel(k.life)
-	k.stop = stop
+	c, stop := context.WithCancel(k.ctx)
+	k.stopWatch = stop
 	for _, m := range k.mirrors {
 		k.group.Go(func() { m.Run(c) })
 	}
 }
 
-// Follows reports whether this box watches the store itself.
-func (k *Known) Follows() bool {
+// IsWatching reports whether this box watches the store itself.
+func (k *Service) IsWatching() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.stop != nil
+	return k.stopWatch != nil
 }
 
 // Stop ends the following.
-func (k *Known) Stop(context.Context) error {
-	k.end()
+func (k *Service) Stop(context.Context) error {
+	k.cancel()
 	k.group.Wait()
 	return nil
 }
 
 // Table returns the configuration in force, or nil if none is known.
-func (k *Known) Table() *catalog.Table { return k.table.Load() }
+func (k *Service) Table() *catalog.Table { return k.table.Load() }
 
 // Ready reports whether the configuration and the endpoints are known.
-func (k *Known) Ready() bool { return k.table.Load() != nil && k.listed.Load() }
+func (k *Service) Ready() bool { return k.table.Load() != nil && k.endpointsRead.Load() }
 
-// OnRaw sets what is called, on a goroutine of its own, with the text of each
+// OnRawConfig sets what is called, on a goroutine of its own, with the text of each
 // configuration installed from now on.
-func (k *Known) OnRaw(f func([]byte)) {
+func (k *Service) OnRawConfig(f func([]byte)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.subs = append(k.subs, f)
+	k.configCallbacks = append(k.configCallbacks, f)
 }
 
-// Raw returns the version in force and its text, for a box that lacks it.
-func (k *Known) Raw() (uint64, []byte) {
+// RawConfig returns the version in force and its text, for a box that lacks it.
+func (k *Service) RawConfig() (uint64, []byte) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if t := k.table.Load(); t != nil {
-		return t.Document.Version, k.raw
+		return t.Document.Version, k.rawConfig
 	}
 	return 0, nil
 }
 
 // Install takes a configuration if it is newer than the one in force. From says
 // where it came from.
-func (k *Known) Install(raw []byte, from string) error {
-	d, err := k.Document(raw)
+func (k *Service) Install(raw []byte, from string) error {
+	d, err := k.DecodeConfig(raw)
 	if err != nil {
 		return fmt.Errorf("configuration from %s: %w", from, err)
 	}
@@ -186,8 +186,8 @@
 		return nil
 	}
 	k.table.Store(t)
-	k.raw = raw
-	for _, f := range k.subs {
+	k.rawConfig = raw
+	for _, f := range k.configCallbacks {
 		k.group.Go(func() { f(raw) })
 	}
 	k.log.Info().Str("event", "configuration").Uint64("version", d.Version).Str("from", from).
@@ -196,15 +196,15 @@
 }
 
 // operatorPrefix begins the keys that operators write.
-func (k *Known) operatorPrefix() string {
+func (k *Service) operatorPrefix() string {
 	if k.OperatorPrefix == "" {
 		return k.ConfigKey
 	}
 	return k.OperatorPrefix
 }
 
-func (k *Known) applyConfig(items []store.Item, whole bool, revision uint64) {
-	if k.Order != nil && k.OnOrders != nil {
+func (k *Service) applyConfig(items []store.Item, whole bool, revision uint64) {
+	if k.DecodeOrder != nil && k.OnOrders != nil {
 		k.applyOrders(items, whole, revision)
 	}
 	for _, i := range items {
@@ -217,34 +217,34 @@
 	}
 }
 
-func (k *Known) applyEndpoints(items []store.Item, whole bool, revision uint64) {
+func (k *Service) applyEndpoints(items []store.Item, whole bool, revision uint64) {
 	k.applyRecords(Records{Items: items, Whole: whole, To: revision})
 }
 
 // applyRecords enters a change into the records, and from there into the roster. Changes come
 // from the store and from other boxes at once: the roster takes of each key what the records
 // hold when it does, whichever change is done first.
-func (k *Known) applyRecords(c Records) {
-	t := k.records.take(c)
+func (k *Service) applyRecords(c Records) {
+	t := k.records.apply(c)
 	es := k.decode(t.items)
-	many := len(t.items) > fewRecords
+	many := len(t.items) > maxLoggedRecords
 	for _, i := range t.items {
-		k.applying.Lock()
-		if k.records.holds(i) {
+		k.rosterMu.Lock()
+		if k.records.isCurrent(i) {
 			k.applyRecord(i, es[i.Key], many)
 		}
-		k.applying.Unlock()
+		k.rosterMu.Unlock()
 	}
 	if many {
 		k.log.Info().Str("event", "endpoints").Int("records", len(t.items)).Bool("whole", c.Whole).Uint64("revision", c.To).
 			Int("known", k.Roster.Len()).Msg("many records at once")
 	}
 	if c.Whole {
-		k.listed.Store(true)
+		k.endpointsRead.Store(true)
 	}
-	if t.fresh {
+	if t.advanced {
 		c.From = t.from
-		k.announce(c)
+		k.notifyRecords(c)
 	}
 }
 
@@ -255,11 +255,11 @@
 }
 
 // decode reads the records of a change, by key.
-func (k *Known) decode(items []store.Item) map[string]decoded {
+func (k *Service) decode(items []store.Item) map[string]decoded {
 	out := make(map[string]decoded, len(items))
 	for _, i := range items {
 		if !i.Deleted {
-			e, err := k.Endpoint(i.Key, i.Value)
+			e, err := k.DecodeEndpoint(i.Key, i.Value)
 			out[i.Key] = decoded{e, err}
 		}
 	}
@@ -268,42 +268,42 @@
 
 // fewRecords is how many endpoints that become known by one change are each logged: a box that
 // starts would write a line for each of the fleet.
-const fewRecords = 50
+const maxLoggedRecords = 50
 
 // applyRecord enters one record. Where it is one of many, endpoints that serve get no line.
-func (k *Known) applyRecord(i store.Item, d decoded, many bool) {
+func (k *Service) applyRecord(i store.Item, d decoded, many bool) {
 	switch {
 	case i.Deleted:
-		k.vanish(strings.TrimPrefix(i.Key, k.EndpointsPrefix), i.Revision)
+		k.removeOrDelay(strings.TrimPrefix(i.Key, k.EndpointsPrefix), i.Revision)
 	case d.err != nil:
-		k.foreign(i, d.err)
-	case k.lacksBirth(d.endpoint):
-		k.foreign(i, endpoint.NewForeign(endpoint.Missing, "born"))
+		k.removeInvalid(i, d.err)
+	case k.lacksStartTime(d.endpoint):
+		k.removeInvalid(i, endpoint.NewForeign(endpoint.Missing, "born"))
 	default:
-		k.enter(d.endpoint, i.Revision, many)
+		k.putEndpoint(d.endpoint, i.Revision, many)
 	}
 }
 
-// lacksBirth reports whether a record does not say when the process started though one before it
+// lacksStartTime reports whether a record does not say when the process started though one before it
 // did: no endpoint leaves that out, and taken for another process it would drop what is known of
 // the one there. Where no record says so, endpoints have no births.
-func (k *Known) lacksBirth(e endpoint.Endpoint) bool {
+func (k *Service) lacksStartTime(e endpoint.Endpoint) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if e.Born != 0 {
-		k.born[e.ID] = true
+		k.withStartTime[e.ID] = true
 	}
-	return e.Born == 0 && k.born[e.ID]
+	return e.Born == 0 && k.withStartTime[e.ID]
 }
 
-// foreign takes out the endpoint of a key that another has written: it gets no new work. An
+// removeInvalid takes out the endpoint of a key that another has written: it gets no new work. An
 // endpoint that lives writes its record again, and is back then; calls under way there go on.
-func (k *Known) foreign(i store.Item, err error) {
+func (k *Service) removeInvalid(i store.Item, err error) {
 	id := strings.TrimPrefix(i.Key, k.EndpointsPrefix)
 	k.mu.Lock()
-	if t := k.absent[id]; t != nil {
+	if t := k.pendingRemovals[id]; t != nil {
 		t.Stop()
-		delete(k.absent, id)
+		delete(k.pendingRemovals, id)
 	}
 	k.mu.Unlock()
 	k.Roster.Remove(id)
@@ -313,16 +313,16 @@
 		reason = f.Reason
 	}
 	k.log.Warn().Str("event", "endpoint").Str("endpoint", id).Uint64("revision", i.Revision).Err(err).Msg("the record names none to use")
-	if k.OnForeign != nil {
-		k.OnForeign(reason)
+	if k.OnInvalidRecord != nil {
+		k.OnInvalidRecord(reason)
 	}
 }
 
-func (k *Known) enter(e endpoint.Endpoint, revision uint64, many bool) {
+func (k *Service) putEndpoint(e endpoint.Endpoint, revision uint64, many bool) {
 	k.mu.Lock()
-	if t := k.absent[e.ID]; t != nil {
+	if t := k.pendingRemovals[e.ID]; t != nil {
 		t.Stop()
-		delete(k.absent, e.ID)
+		delete(k.pendingRemovals, e.ID)
 	}
 	k.mu.Unlock()
 	old, had := k.Roster.Get(e.ID)
@@ -335,31 +335,31 @@
 		Dur("leaves", e.Leaves).Uint64("revision", revision).Msg("known")
 }
 
-// vanish removes an endpoint whose record is gone: at once, or when the
+// removeOrDelay removes an endpoint whose record is gone: at once, or when the
 // time is over in which a record that ended during an outage may come back.
-func (k *Known) vanish(id string, revision uint64) {
+func (k *Service) removeOrDelay(id string, revision uint64) {
 	e, had := k.Roster.Get(id)
 	if !had {
 		k.mu.Lock()
-		delete(k.born, id)
+		delete(k.withStartTime, id)
 		k.mu.Unlock()
 		return
 	}
-	if hold := k.session.Unsettled(lapse); hold > 0 && !e.Draining {
+	if hold := k.session.Unsettled(reappearWindow); hold > 0 && !e.Draining {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		if k.absent[id] == nil {
-			k.absent[id] = time.AfterFunc(hold, func() { k.gone(id, revision) })
+		if k.pendingRemovals[id] == nil {
+			k.pendingRemovals[id] = time.AfterFunc(hold, func() { k.remove(id, revision) })
 		}
 		return
 	}
-	k.gone(id, revision)
+	k.remove(id, revision)
 }
 
-func (k *Known) gone(id string, revision uint64) {
+func (k *Service) remove(id string, revision uint64) {
 	k.mu.Lock()
-	delete(k.absent, id)
-	delete(k.born, id)
+	delete(k.pendingRemovals, id)
+	delete(k.withStartTime, id)
 	k.mu.Unlock()
 	k.Roster.Remove(id)
 	k.log.Info().Str("event", "endpoint").Str("endpoint", id).Uint64("revision", revision).Msg("gone")
--- a/known/known_test.go
+++ b/known/known_test.go
@@ -26,17 +26,17 @@
 // The bound within which a change has to be known, and that of a record that
 // lapsed during an outage.
 const (
-	applied = 2 * time.Second
-	lapsed  = 2500 * time.Millisecond
+	applyBound   = 2 * time.Second
+	removalBound = 2500 * time.Millisecond
 )
 
 var source = known.Source{
 	ConfigKey: "config", EndpointsPrefix: "e/",
-	Document: func(b []byte) (*catalog.Document, error) {
+	DecodeConfig: func(b []byte) (*catalog.Document, error) {
 		var d catalog.Document
 		return &d, json.Unmarshal(b, &d)
 	},
-	Endpoint: func(key string, b []byte) (endpoint.Endpoint, error) {
+	DecodeEndpoint: func(key string, b []byte) (endpoint.Endpoint, error) {
 		if string(b) == "foreign" {
 			return endpoint.Endpoint{}, endpoint.NewForeign(endpoint.UnknownState, "foreign")
 		}
@@ -48,12 +48,12 @@
 
 // box is one box's view of a store.
 type box struct {
-	*known.Known
+	*known.Service
 	session *session.Session
 	t       *testing.T
 }
 
-func start(t *testing.T, m *memstore.Memory) *box {
+func startBox(t *testing.T, m *memstore.Memory) *box {
 	t.Helper()
 	s := session.New(m, zerolog.Nop())
 	k := known.New(source, m, zerolog.Nop())
@@ -76,13 +76,13 @@
 	return b.Table().Document.Version
 }
 
-func run(t *testing.T, f func(t *testing.T, m *memstore.Memory, b *box)) {
+func runWithBox(t *testing.T, f func(t *testing.T, m *memstore.Memory, b *box)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
 		m.Set("config", `{"Version":3}`)
 		m.Set("e/one", "ready")
-		b := start(t, m)
+		b := startBox(t, m)
 		defer b.stop()
 		wait.For(t.Context(), time.Second)
 		require.True(t, b.Ready())
@@ -92,25 +92,25 @@
 
 // A change is in force within the bound, also when the store drops its history
 // and tells the calls that wait nothing.
-func TestChangeThatWatchesNeverHear(t *testing.T) {
-	run(t, func(t *testing.T, m *memstore.Memory, b *box) {
+func TestChangeMissedByWatch(t *testing.T) {
+	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
 		m.SetDeaf(true)
 		m.Set("config", `{"Version":5}`)
 		m.Unset("e/one")
 		m.Forget()
 		m.SetDeaf(false)
-		wait.For(t.Context(), applied)
+		wait.For(t.Context(), applyBound)
 		require.EqualValues(t, 5, b.version())
 		require.Empty(t, b.Roster.Serving("s"))
 	})
 }
 
 // A version never falls, whatever the store or a neighbour says.
-func TestVersionNeverFalls(t *testing.T) {
-	run(t, func(t *testing.T, m *memstore.Memory, b *box) {
+func TestVersionNeverDecreases(t *testing.T) {
+	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
 		require.NoError(t, b.Install([]byte(`{"Version":9}`), "a neighbour"))
 		m.Set("config", `{"Version":4}`)
-		wait.For(t.Context(), applied)
+		wait.For(t.Context(), applyBound)
 		require.EqualValues(t, 9, b.version())
 		require.NoError(t, b.Install([]byte(`{"Version":8}`), "a neighbour"))
 		require.EqualValues(t, 9, b.version())
@@ -118,10 +118,10 @@
 }
 
 // A configuration that cannot be read leaves the one in force.
-func TestUnreadable(t *testing.T) {
-	run(t, func(t *testing.T, m *memstore.Memory, b *box) {
+func TestUnreadableConfig(t *testing.T) {
+	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
 		m.Set("config", `{"Version":`)
-		wait.For(t.Context(), applied)
+		wait.For(t.Context(), applyBound)
 		require.EqualValues(t, 3, b.version())
 		require.Error(t, b.Install([]byte("{"), "a neighbour"))
 	})
@@ -129,21 +129,21 @@
 
 // An endpoint that drains never serves again, even if an older record comes.
 func TestDrainingIsFinal(t *testing.T) {
-	run(t, func(t *testing.T, m *memstore.Memory, b *box) {
+	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
 		m.Set("e/one", "draining")
-		wait.For(t.Context(), applied)
+		wait.For(t.Context(), applyBound)
 		m.Set("e/one", "ready")
-		wait.For(t.Context(), applied)
+		wait.For(t.Context(), applyBound)
 		require.Empty(t, b.Roster.Serving("s"))
 	})
 }
 
 // Records that end while the store is away come back for a moment afterwards:
 // the endpoint serves on meanwhile, and is gone if it has not come back.
-func TestLapsedDuringOutage(t *testing.T) {
-	run(t, func(t *testing.T, m *memstore.Memory, b *box) {
+func TestRecordsDeletedDuringOutage(t *testing.T) {
+	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
 		m.Set("e/two", "ready")
-		wait.For(t.Context(), applied)
+		wait.For(t.Context(), applyBound)
 		m.SetDown(true)
 		wait.For(t.Context(), 4*time.Second)
 		m.Unset("e/one")
@@ -152,7 +152,7 @@
 		wait.For(t.Context(), time.Second)
 		require.Len(t, b.Roster.Serving("s"), 2)
 		m.Set("e/two", "ready")
-		wait.For(t.Context(), lapsed)
+		wait.For(t.Context(), removalBound)
 		es := b.Roster.Serving("s")
 		require.Len(t, es, 1)
 		require.Equal(t, "two", es[0].ID)
@@ -161,8 +161,8 @@
 
 // An endpoint that leaves without a word soon after an outage is known to be gone
 // within the bound: only what is left of the time for records to come back counts.
-func TestGoneSoonAfterOutage(t *testing.T) {
-	run(t, func(t *testing.T, m *memstore.Memory, b *box) {
+func TestRemovalSoonAfterOutage(t *testing.T) {
+	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
 		m.SetDown(true)
 		wait.For(t.Context(), 4*time.Second)
 		m.SetDown(false)
@@ -174,9 +174,9 @@
 }
 
 // Without an outage a record that is gone means an endpoint that is gone.
-func TestGoneAtOnce(t *testing.T) {
-	run(t, func(t *testing.T, m *memstore.Memory, b *box) {
-		wait.For(t.Context(), 2*lapsed)
+func TestRemovalWithoutOutage(t *testing.T) {
+	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
+		wait.For(t.Context(), 2*removalBound)
 		m.Unset("e/one")
 		synctest.Wait()
 		wait.For(t.Context(), 200*time.Millisecond)
@@ -191,59 +191,59 @@
 //
 // The list that was older was taken first, and what was missing in it was removed last, after
 // the newer change had been entered.
-func TestTwoChangesAtOnce(t *testing.T) {
-	run(t, func(t *testing.T, _ *memstore.Memory, b *box) {
-		b.Follow(false)
-		wait.For(t.Context(), lapsed)
+func TestConcurrentChanges(t *testing.T) {
+	runWithBox(t, func(t *testing.T, _ *memstore.Memory, b *box) {
+		b.SetWatching(false)
+		wait.For(t.Context(), removalBound)
 		at := b.Revision()
 		newer := known.Records{Items: []store.Item{{Key: "e/three", Value: []byte("ready"), Revision: at + 6}}, From: at + 5, To: at + 6}
-		b.Endpoint = func(key string, v []byte) (endpoint.Endpoint, error) {
+		b.DecodeEndpoint = func(key string, v []byte) (endpoint.Endpoint, error) {
 			if key == "e/two" {
-				b.Tell(newer)
+				b.Merge(newer)
 			}
-			return source.Endpoint(key, v)
+			return source.DecodeEndpoint(key, v)
 		}
-		b.Tell(known.Records{Items: []store.Item{
+		b.Merge(known.Records{Items: []store.Item{
 			{Key: "e/one", Value: []byte("ready"), Revision: at + 4}, {Key: "e/two", Value: []byte("ready"), Revision: at + 5},
 		}, Whole: true, To: at + 5})
-		b.Tell(newer)
+		b.Merge(newer)
 		require.Equal(t, []string{"one", "three", "two"}, b.Roster.IDs())
 	})
 }
 
 // A record that comes late is older than what is known of its key, and changes nothing, whoever
 // tells it.
-func TestLateRecord(t *testing.T) {
-	run(t, func(t *testing.T, m *memstore.Memory, b *box) {
+func TestStaleRecord(t *testing.T) {
+	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
 		at := b.Revision()
 		item := func(value string, revision uint64) []store.Item {
 			return []store.Item{{Key: "e/one", Value: []byte(value), Revision: revision}}
 		}
-		require.True(t, b.Tell(known.Records{Items: item("ready", at+5), From: at, To: at + 5}))
-		require.True(t, b.Tell(known.Records{Items: item("draining", at+4), From: at, To: at + 6}))
+		require.True(t, b.Merge(known.Records{Items: item("ready", at+5), From: at, To: at + 5}))
+		require.True(t, b.Merge(known.Records{Items: item("draining", at+4), From: at, To: at + 6}))
 		require.Len(t, b.Roster.Serving("s"), 1)
-		require.True(t, b.Tell(known.Records{Items: []store.Item{{Key: "e/one", Revision: at + 7, Deleted: true}}, From: at + 6, To: at + 7}))
-		require.True(t, b.Tell(known.Records{Items: item("ready", at+6), From: at + 7, To: at + 8}))
+		require.True(t, b.Merge(known.Records{Items: []store.Item{{Key: "e/one", Revision: at + 7, Deleted: true}}, From: at + 6, To: at + 7}))
+		require.True(t, b.Merge(known.Records{Items: item("ready", at+6), From: at + 7, To: at + 8}))
 		require.Empty(t, b.Roster.Serving("s"))
 	})
 }
 
 // A record that another wrote takes its endpoint out at once, though the record before was
 // sound, and leaves the others. The endpoint is back once it has written its own again.
-func TestForeign(t *testing.T) {
-	run(t, func(t *testing.T, m *memstore.Memory, b *box) {
+func TestInvalidRecord(t *testing.T) {
+	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
 		var reasons []endpoint.Reason
-		b.OnForeign = func(r endpoint.Reason) { reasons = append(reasons, r) }
+		b.OnInvalidRecord = func(r endpoint.Reason) { reasons = append(reasons, r) }
 		m.Set("e/two", "ready")
-		wait.For(t.Context(), applied)
+		wait.For(t.Context(), applyBound)
 		m.Set("e/one", "foreign")
-		wait.For(t.Context(), applied)
+		wait.For(t.Context(), applyBound)
 		es := b.Roster.Serving("s")
 		require.Len(t, es, 1)
 		require.Equal(t, "two", es[0].ID)
 		require.Equal(t, []endpoint.Reason{endpoint.UnknownState}, reasons)
 		m.Set("e/one", "ready")
-		wait.For(t.Context(), applied)
+		wait.For(t.Context(), applyBound)
 		require.Len(t, b.Roster.Serving("s"), 2)
 	})
 }
@@ -252,37 +252,37 @@
 // taken for another process under the ID: what was known of the one there, that it leaves among
 // it, no longer held. Another has written such a record, and it names none to use, nor does a
 // second one. A key that is gone begins anew.
-func TestRecordWithoutItsBirth(t *testing.T) {
+func TestRecordWithoutStartTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var reasons []endpoint.Reason
 		var replaced int
 		m := &memstore.Memory{}
-		b := start(t, m)
+		b := startBox(t, m)
 		defer b.stop()
-		b.OnForeign = func(r endpoint.Reason) { reasons = append(reasons, r) }
+		b.OnInvalidRecord = func(r endpoint.Reason) { reasons = append(reasons, r) }
 		b.Roster.OnReplaced(func(endpoint.Endpoint) { replaced++ })
 		m.Set("e/one", "born 7")
 		m.Set("e/other", "ready")
-		wait.For(t.Context(), applied)
+		wait.For(t.Context(), applyBound)
 		require.Len(t, b.Roster.Serving("s"), 2)
 		require.True(t, b.Roster.Leave("one/7"))
 		for range 2 {
 			m.Set("e/one", "ready")
-			wait.For(t.Context(), applied)
+			wait.For(t.Context(), applyBound)
 			require.Len(t, b.Roster.Serving("s"), 1)
 		}
 		require.Equal(t, []endpoint.Reason{endpoint.Missing, endpoint.Missing}, reasons)
 		m.Set("e/one", "born 7")
-		wait.For(t.Context(), applied)
+		wait.For(t.Context(), applyBound)
 		require.Len(t, b.Roster.Serving("s"), 1)
 		require.Zero(t, replaced)
 		m.Set("e/one", "born 8")
-		wait.For(t.Context(), applied)
+		wait.For(t.Context(), applyBound)
 		require.Len(t, b.Roster.Serving("s"), 2)
 		m.Unset("e/one")
-		wait.For(t.Context(), applied)
+		wait.For(t.Context(), applyBound)
 		m.Set("e/one", "ready")
-		wait.For(t.Context(), applied)
+		wait.For(t.Context(), applyBound)
 		require.Len(t, b.Roster.Serving("s"), 2)
 	})
 }
@@ -295,24 +295,24 @@
 	}
 	for b.Loop() {
 		k := known.New(source, nil, zerolog.New(io.Discard).With().Timestamp().Str("box", "front-1").Logger())
-		k.Tell(known.Records{Items: items, Whole: true, To: 10_000})
+		k.Merge(known.Records{Items: items, Whole: true, To: 10_000})
 	}
 }
 
 // More endpoints go at once than it is kept of when they went; all of them are gone.
-func TestManyGone(t *testing.T) {
-	run(t, func(t *testing.T, _ *memstore.Memory, b *box) {
-		b.Follow(false)
-		wait.For(t.Context(), lapsed)
+func TestMoreDeletionsThanTombstones(t *testing.T) {
+	runWithBox(t, func(t *testing.T, _ *memstore.Memory, b *box) {
+		b.SetWatching(false)
+		wait.For(t.Context(), removalBound)
 		at := b.Revision()
 		items := make([]store.Item, 5000)
 		for i := range items {
 			items[i] = store.Item{Key: fmt.Sprint("e/", i), Value: []byte("ready"), Revision: at + 1}
 		}
-		require.True(t, b.Tell(known.Records{Items: items, Whole: true, To: at + 1}))
+		require.True(t, b.Merge(known.Records{Items: items, Whole: true, To: at + 1}))
 		require.Len(t, b.Roster.IDs(), 5000)
-		require.True(t, b.Tell(known.Records{Whole: true, To: at + 2}))
-		wait.For(t.Context(), lapsed)
+		require.True(t, b.Merge(known.Records{Whole: true, To: at + 2}))
+		wait.For(t.Context(), removalBound)
 		require.Empty(t, b.Roster.IDs())
 	})
 }
--- a/known/orders.go
+++ b/known/orders.go
@@ -11,13 +11,13 @@
 // applyOrders takes the orders of roll-outs out of what operators have written. It is called by one
 // goroutine. An order that cannot be read leaves the one before it standing, as a configuration
 // does.
-func (k *Known) applyOrders(items []store.Item, whole bool, revision uint64) {
+func (k *Service) applyOrders(items []store.Item, whole bool, revision uint64) {
 	before := maps.Clone(k.orders)
 	if k.orders == nil || whole {
 		k.orders = map[string]rollout.Order{}
 	}
 	for _, i := range items {
-		o, ok, err := k.Order(i)
+		o, ok, err := k.DecodeOrder(i)
 		switch {
 		case err != nil:
 			k.log.Error().Str("event", "rollout").Str("key", i.Key).Uint64("revision", i.Revision).Err(err).Msg("not taken")
--- a/known/orders_test.go
+++ b/known/orders_test.go
@@ -28,7 +28,7 @@
 		s := session.New(m, zerolog.Nop())
 		src := source
 		src.ConfigKey, src.OperatorPrefix = "op/config", "op/"
-		src.Order = func(i store.Item) (rollout.Order, bool, error) {
+		src.DecodeOrder = func(i store.Item) (rollout.Order, bool, error) {
 			service, ok := strings.CutPrefix(i.Key, "op/rollout/")
 			o := rollout.Order{Service: service}
 			if !ok || i.Deleted {
@@ -52,15 +52,15 @@
 		wait.For(t.Context(), time.Second)
 		require.EqualValues(t, 3, b.version())
 		at := m.Set("op/rollout/s", "v2")
-		wait.For(t.Context(), applied)
+		wait.For(t.Context(), applyBound)
 		m.Set("op/rollout/s", "unreadable")
 		m.Set("op/config", `{"Version":4}`)
-		wait.For(t.Context(), applied)
+		wait.For(t.Context(), applyBound)
 		require.EqualValues(t, 4, b.version())
 		require.Len(t, told, 1)
 		require.Equal(t, []rollout.Order{{Service: "s", Version: "v2", Revision: at}}, told[0].List)
 		m.Unset("op/rollout/s")
-		wait.For(t.Context(), applied)
+		wait.For(t.Context(), applyBound)
 		require.Len(t, told, 2)
 		require.Empty(t, told[1].List)
 		require.Greater(t, told[1].Revision, told[0].Revision)
--- a/known/records.go
+++ b/known/records.go
@@ -19,45 +19,45 @@
 
 // keptGone bounds for how many keys that went it is known when they did: so many may
 // come back by a record that is older and late.
-const keptGone = 4096
+const maxTombstones = 4096
 
 // recordSet keeps the endpoints' records as the store has them, so that a box
 // that does not watch the store can be given them.
 type recordSet struct {
-	mu       sync.Mutex
-	items    map[string]store.Item
-	gone     map[string]uint64 // the revisions at which keys went
-	floor    uint64            // the first revision since which all that went is known
-	revision uint64
+	mu            sync.Mutex
+	items         map[string]store.Item
+	tombstones    map[string]uint64 // the revisions at which keys went
+	completeSince uint64            // the first revision since which all that went is known
+	revision      uint64
 }
 
 // taken is what a change brought: the items that are news, those that went among them, and
 // the revision from which it led. Fresh says that the records are of a later revision now.
-type taken struct {
-	items []store.Item
-	from  uint64
-	fresh bool
+type applied struct {
+	items    []store.Item
+	from     uint64
+	advanced bool
 }
 
-// take applies a change. What is older than what is known of its key is left out, so that
+// apply applies a change. What is older than what is known of its key is left out, so that
 // changes may come in any order, and twice.
-func (r *recordSet) take(c Records) taken {
+func (r *recordSet) apply(c Records) applied {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := taken{from: r.revision, fresh: c.To > r.revision || c.Whole}
+	t := applied{from: r.revision, advanced: c.To > r.revision || c.Whole}
 	listed := map[string]bool{}
 	for _, i := range c.Items {
 		listed[i.Key] = true
-		if r.enter(i) {
+		if r.put(i) {
 			t.items = append(t.items, i)
 		}
 	}
 	if c.Whole {
 		// What went before without this box having known it is not in the list.
-		r.floor = max(r.floor, c.To)
+		r.completeSince = max(r.completeSince, c.To)
 		for _, k := range slices.Sorted(maps.Keys(r.items)) {
 			went := store.Item{Key: k, Revision: c.To, Deleted: true}
-			if !listed[k] && r.enter(went) {
+			if !listed[k] && r.put(went) {
 				t.items = append(t.items, went)
 			}
 		}
@@ -66,33 +66,33 @@
 	return t
 }
 
-// enter takes one item, and reports whether it is news.
-func (r *recordSet) enter(i store.Item) bool {
+// put takes one item, and reports whether it is news.
+func (r *recordSet) put(i store.Item) bool {
 	if r.items == nil {
-		r.items, r.gone = map[string]store.Item{}, map[string]uint64{}
+		r.items, r.tombstones = map[string]store.Item{}, map[string]uint64{}
 	}
 	old, had := r.items[i.Key]
-	if had && i.Revision <= old.Revision || i.Revision <= r.gone[i.Key] {
+	if had && i.Revision <= old.Revision || i.Revision <= r.tombstones[i.Key] {
 		return false
 	}
-	delete(r.gone, i.Key)
+	delete(r.tombstones, i.Key)
 	if !i.Deleted {
 		r.items[i.Key] = i
 		return true
 	}
 	delete(r.items, i.Key)
-	if len(r.gone) >= keptGone {
-		for _, at := range r.gone {
-			r.floor = max(r.floor, at)
+	if len(r.tombstones) >= maxTombstones {
+		for _, at := range r.tombstones {
+			r.completeSince = max(r.completeSince, at)
 		}
-		clear(r.gone)
+		clear(r.tombstones)
 	}
-	r.gone[i.Key] = i.Revision
+	r.tombstones[i.Key] = i.Revision
 	return had
 }
 
-// holds reports whether an item is still the last that is known of its key.
-func (r *recordSet) holds(i store.Item) bool {
+// isCurrent reports whether an item is still the last that is known of its key.
+func (r *recordSet) isCurrent(i store.Item) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	last, had := r.items[i.Key]
@@ -102,13 +102,13 @@
 	return had && last.Revision == i.Revision
 }
 
-// since returns what has changed after a revision; all records where not all that went since
+// changesSince returns what has changed after a revision; all records where not all that went since
 // is known.
-func (r *recordSet) since(revision uint64) Records {
+func (r *recordSet) changesSince(revision uint64) Records {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := Records{From: revision, To: r.revision}
-	if c.Whole = revision < r.floor; c.Whole {
+	if c.Whole = revision < r.completeSince; c.Whole {
 		c.Items = slices.Collect(maps.Values(r.items))
 		return c
 	}
@@ -117,7 +117,7 @@
 			c.Items = append(c.Items, i)
 		}
 	}
-	for k, at := range r.gone {
+	for k, at := range r.tombstones {
 		if at > revision {
 			c.Items = append(c.Items, store.Item{Key: k, Revision: at, Deleted: true})
 		}
@@ -126,19 +126,19 @@
 }
 
 // Revision returns the store's revision up to which the records are known.
-func (k *Known) Revision() uint64 {
+func (k *Service) Revision() uint64 {
 	k.records.mu.Lock()
 	defer k.records.mu.Unlock()
 	return k.records.revision
 }
 
-// Since returns the records that have changed after a revision, as a box lacks them that has
+// ChangesSince returns the records that have changed after a revision, as a box lacks them that has
 // missed a change; to one that knows none, or has been away for long, all of them.
-func (k *Known) Since(revision uint64) Records { return k.records.since(revision) }
+func (k *Service) ChangesSince(revision uint64) Records { return k.records.changesSince(revision) }
 
-// Tell applies records that another box has read from the store. It returns
+// Merge applies records that another box has read from the store. It returns
 // false if this box lacks what came before.
-func (k *Known) Tell(r Records) bool {
+func (k *Service) Merge(r Records) bool {
 	at := k.Revision()
 	switch {
 	case r.To <= at:
@@ -151,15 +151,15 @@
 }
 
 // OnRecords sets what is called with each change of the records.
-func (k *Known) OnRecords(f func(Records)) {
+func (k *Service) OnRecords(f func(Records)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.heard = append(k.heard, f)
+	k.recordCallbacks = append(k.recordCallbacks, f)
 }
 
-func (k *Known) announce(r Records) {
+func (k *Service) notifyRecords(r Records) {
 	k.mu.Lock()
-	fs := k.heard
+	fs := k.recordCallbacks
 	k.mu.Unlock()
 	for _, f := range fs {
 		f(r)
--- a/member/member.go
+++ b/member/member.go
@@ -32,25 +32,25 @@
 	Address     string
 	Incarnation string
 	Started     int64
-	Number      uint32
+	Refutations uint32
 	State       State
 	Successor   string
 }
 
 // newer reports whether m replaces o in the table.
-func (m Member) newer(o Member) bool {
-	return cmp.Or(cmp.Compare(m.Started, o.Started), cmp.Compare(m.Number, o.Number), cmp.Compare(m.State, o.State)) > 0
+func (m Member) supersedes(o Member) bool {
+	return cmp.Or(cmp.Compare(m.Started, o.Started), cmp.Compare(m.Refutations, o.Refutations), cmp.Compare(m.State, o.State)) > 0
 }
 
 // up reports whether work may be sent to m.
-func (m Member) up() bool { return m.State == Alive || m.State == Suspect }
+func (m Member) isUp() bool { return m.State == Alive || m.State == Suspect }
 
 // Table holds one row a box. It is plain data and not safe for many at once. The
 // members that are up are asked for with every request, so they are listed once
 // for each change.
 type Table struct {
-	rows map[string]Member
-	up   map[string][]Member
+	rows           map[string]Member
+	upByDataCentre map[string][]Member
 }
 
 // Merge takes rows from elsewhere and returns those that changed the table.
@@ -61,11 +61,11 @@
 	var changed []Member
 	for _, m := range ms {
 		o, known := t.rows[m.Box]
-		if known && !m.newer(o) || !known && !m.up() && m.Successor == "" {
+		if known && !m.supersedes(o) || !known && !m.isUp() && m.Successor == "" {
 			continue
 		}
 		t.rows[m.Box] = m
-		t.up = nil
+		t.upByDataCentre = nil
 		changed = append(changed, m)
 	}
 	return changed
@@ -78,7 +78,7 @@
 }
 
 // find returns the row of an incarnation.
-func (t *Table) find(incarnation string) (Member, bool) {
+func (t *Table) findIncarnation(incarnation string) (Member, bool) {
 	for _, m := range t.rows {
 		if m.Incarnation == incarnation {
 			return m, true
@@ -100,20 +100,20 @@
 // Up returns the members that are up in a data centre, or in all for "". The
 // slice is not to be changed.
 func (t *Table) Up(dc string) []Member {
-	if ms, listed := t.up[dc]; listed {
+	if ms, listed := t.upByDataCentre[dc]; listed {
 		return ms
 	}
-	if t.up == nil {
-		t.up = make(map[string][]Member)
+	if t.upByDataCentre == nil {
+		t.upByDataCentre = make(map[string][]Member)
 	}
-	ms := slices.DeleteFunc(t.Rows(), func(m Member) bool { return !m.up() || dc != "" && m.DataCentre != dc })
-	t.up[dc] = slices.Clip(ms)
-	return t.up[dc]
+	ms := slices.DeleteFunc(t.Rows(), func(m Member) bool { return !m.isUp() || dc != "" && m.DataCentre != dc })
+	t.upByDataCentre[dc] = slices.Clip(ms)
+	return t.upByDataCentre[dc]
 }
 
 // Forget drops the row of a box that is down.
 func (t *Table) Forget(box string) {
-	if m, ok := t.rows[box]; ok && !m.up() {
+	if m, ok := t.rows[box]; ok && !m.isUp() {
 		delete(t.rows, box)
 	}
 }
@@ -123,13 +123,13 @@
 	var d uint64
 	var b [16]byte
 	for _, m := range t.rows {
-		if !m.up() {
+		if !m.isUp() {
 			continue
 		}
 		h := xxhash.Sum64String(m.Box)
 		for i := range 8 {
 			b[i] = byte(m.Started >> (8 * i))
-			b[8+i] = byte((uint64(m.Number)<<8 | uint64(m.State)) >> (8 * i))
+			b[8+i] = byte((uint64(m.Refutations)<<8 | uint64(m.State)) >> (8 * i))
 		}
 		d += xxhash.Sum64(b[:]) ^ h*0x9e3779b97f4a7c15
 	}
--- a/member/probe.go
+++ b/member/probe.go
@@ -13,7 +13,7 @@
 	"birchlink.dev/birchlink/kv"
 )
 
-func (s *Service) every(c context.Context, d time.Duration, f func(context.Context)) {
+func (s *Service) runEvery(c context.Context, d time.Duration, f func(context.Context)) {
 	t := time.NewTicker(d)
 	defer t.Stop()
 	for {
@@ -28,10 +28,10 @@
 
 // join asks the seeds, and the platform's service for boxes that came later.
 func (s *Service) join(c context.Context) {
-	c, cancel := context.WithTimeout(c, joinLimit)
+	c, cancel := context.WithTimeout(c, joinTimeout)
 	defer cancel()
 	addresses := slices.Clone(s.Seeds)
-	if es, err := s.store.List(c, registerPrefix); err == nil {
+	if es, err := s.store.List(c, registrationPrefix); err == nil {
 		for _, e := range es {
 			var m Member
 			if msgpack.Unmarshal(e.Value, &m) == nil && !slices.Contains(addresses, m.Address) {
@@ -42,7 +42,7 @@
 	var g sync.WaitGroup
 	for _, a := range addresses {
 		if a != s.self.Address {
-			g.Go(func() { s.sync(c, a) })
+			g.Go(func() { s.syncWith(c, a) })
 		}
 	}
 	g.Wait()
@@ -50,7 +50,7 @@
 }
 
 func (s *Service) register(c context.Context) {
-	k := registerPrefix + s.self.Box
+	k := registrationPrefix + s.self.Box
 	e, err := s.store.Get(c, k)
 	if err != nil {
 		s.Log.Warn().Err(err).Msg("not registered")
@@ -65,107 +65,107 @@
 	}
 }
 
-// round probes the next member and settles old suspicions.
-func (s *Service) round(c context.Context) {
-	s.expire()
+// probeRound probes the next member and settles old suspicions.
+func (s *Service) probeRound(c context.Context) {
+	s.expireSuspects()
 	m, ok := s.nextTarget()
 	if !ok {
-		s.rejoin(c)
+		s.syncWithSeed(c)
 		return
 	}
-	if s.probe(c, m) || s.probeThrough(c, m) {
+	if s.probe(c, m) || s.probeIndirectly(c, m) {
 		return
 	}
 	m.State = Suspect
 	s.Merge([]Member{m})
 }
 
-// rejoin looks for the seeds when nobody of the own data centre is known.
-func (s *Service) rejoin(c context.Context) {
+// syncWithSeed looks for the seeds when nobody of the own data centre is known.
+func (s *Service) syncWithSeed(c context.Context) {
 	if len(s.Seeds) == 0 {
 		return
 	}
-	c, cancel := context.WithTimeout(c, probeLimit)
+	c, cancel := context.WithTimeout(c, probeTimeout)
 	defer cancel()
-	s.sync(c, s.Seeds[rand.IntN(len(s.Seeds))])
+	s.syncWith(c, s.Seeds[rand.IntN(len(s.Seeds))])
 }
 
 func (s *Service) probe(c context.Context, m Member) bool {
-	c, cancel := context.WithTimeout(c, probeLimit)
+	c, cancel := context.WithTimeout(c, probeTimeout)
 	defer cancel()
 	var a probe
-	if err := s.calls.Call(c, m.Address, "member.probe", probe{From: s.self.Box, Digest: s.digest()}, &a); err != nil {
+	if err := s.client.Call(c, m.Address, "member.probe", probe{From: s.self.Box, Digest: s.digest()}, &a); err != nil {
 		return false
 	}
 	if a.From != m.Box {
 		return false
 	}
 	if a.Digest != s.digest() {
-		s.sync(c, m.Address)
+		s.syncWith(c, m.Address)
 	}
 	return true
 }
 
-// probeThrough asks others to probe m.
-func (s *Service) probeThrough(c context.Context, m Member) bool {
-	c, cancel := context.WithTimeout(c, 2*probeLimit)
+// probeIndirectly asks others to probe m.
+func (s *Service) probeIndirectly(c context.Context, m Member) bool {
+	c, cancel := context.WithTimeout(c, 2*probeTimeout)
 	defer cancel()
 	ms := slices.Clone(s.Up(s.self.DataCentre))
 	rand.Shuffle(len(ms), func(i, j int) { ms[i], ms[j] = ms[j], ms[i] })
 	n := 0
 	for _, h := range ms {
-		if h.Box == s.self.Box || h.Box == m.Box || n == helpers {
+		if h.Box == s.self.Box || h.Box == m.Box || n == maxIndirectProbes {
 			continue
 		}
 		n++
 		var a probe
-		if err := s.calls.Call(c, h.Address, "member.probe", probe{From: s.self.Box, Digest: s.digest(), Target: m.Address}, &a); err == nil && a.Target == m.Address {
+		if err := s.client.Call(c, h.Address, "member.probe", probe{From: s.self.Box, Digest: s.digest(), Target: m.Address}, &a); err == nil && a.Target == m.Address {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *Service) answerProbe(c context.Context, p probe) (probe, error) {
+func (s *Service) handleProbe(c context.Context, p probe) (probe, error) {
 	a := probe{From: s.self.Box, Digest: s.digest()}
 	if p.Target == "" {
 		return a, nil
 	}
-	c, cancel := context.WithTimeout(c, probeLimit)
+	c, cancel := context.WithTimeout(c, probeTimeout)
 	defer cancel()
-	if err := s.calls.Call(c, p.Target, "member.probe", probe{From: s.self.Box}, &probe{}); err == nil {
+	if err := s.client.Call(c, p.Target, "member.probe", probe{From: s.self.Box}, &probe{}); err == nil {
 		a.Target = p.Target
 	}
 	return a, nil
 }
 
-func (s *Service) sync(c context.Context, address string) {
-	var t exchange
-	if err := s.calls.Call(c, address, "member.sync", s.exchange(), &t); err == nil {
-		s.take(t)
+func (s *Service) syncWith(c context.Context, address string) {
+	var t syncMessage
+	if err := s.client.Call(c, address, "member.sync", s.syncState(), &t); err == nil {
+		s.mergeSync(t)
 	}
 }
 
-func (s *Service) answerSync(_ context.Context, t exchange) (exchange, error) {
-	s.take(t)
-	return s.exchange(), nil
+func (s *Service) handleSync(_ context.Context, t syncMessage) (syncMessage, error) {
+	s.mergeSync(t)
+	return s.syncState(), nil
 }
 
-func (s *Service) exchange() exchange {
+func (s *Service) syncState() syncMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := exchange{Rows: s.table.Rows(), Left: make(map[string]string, len(s.left))}
-	for from, n := range s.left {
-		t.Left[from] = n.to
+	t := syncMessage{Rows: s.table.Rows(), Successors: make(map[string]string, len(s.successors))}
+	for from, n := range s.successors {
+		t.Successors[from] = n.incarnation
 	}
 	return t
 }
 
-func (s *Service) take(t exchange) {
+func (s *Service) mergeSync(t syncMessage) {
 	s.mu.Lock()
-	for from, to := range t.Left {
-		if _, known := s.left[from]; !known {
-			s.left[from] = succession{to: to, at: time.Now()}
+	for from, to := range t.Successors {
+		if _, known := s.successors[from]; !known {
+			s.successors[from] = succession{incarnation: to, learned: time.Now()}
 		}
 	}
 	s.mu.Unlock()
@@ -177,45 +177,45 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for range 2 {
-		for len(s.order) > 0 {
-			b := s.order[0]
-			s.order = s.order[1:]
-			if m, ok := s.table.Get(b); ok && m.up() && b != s.self.Box {
+		for len(s.probeOrder) > 0 {
+			b := s.probeOrder[0]
+			s.probeOrder = s.probeOrder[1:]
+			if m, ok := s.table.Get(b); ok && m.isUp() && b != s.self.Box {
 				return m, true
 			}
 		}
 		for _, m := range s.table.Up(s.self.DataCentre) {
-			s.order = append(s.order, m.Box)
+			s.probeOrder = append(s.probeOrder, m.Box)
 		}
-		rand.Shuffle(len(s.order), func(i, j int) { s.order[i], s.order[j] = s.order[j], s.order[i] })
+		rand.Shuffle(len(s.probeOrder), func(i, j int) { s.probeOrder[i], s.probeOrder[j] = s.probeOrder[j], s.probeOrder[i] })
 	}
 	return Member{}, false
 }
 
-// expire turns suspects into dead and forgets those that are long gone.
-func (s *Service) expire() {
+// expireSuspects turns suspects into dead and forgets those that are long gone.
+func (s *Service) expireSuspects() {
 	s.mu.Lock()
 	var dead []Member
 	for _, m := range s.table.Rows() {
-		age := time.Since(s.since[m.Box])
+		age := time.Since(s.changedAt[m.Box])
 		switch {
-		case m.State == Suspect && age > suspectFor:
+		case m.State == Suspect && age > suspicionTimeout:
 			m.State = Dead
 			dead = append(dead, m)
-		case !m.up() && age > forgetAfter:
+		case !m.isUp() && age > forgetAfter:
 			s.table.Forget(m.Box)
-			delete(s.since, m.Box)
+			delete(s.changedAt, m.Box)
 		}
 	}
-	maps.DeleteFunc(s.left, func(_ string, n succession) bool { return time.Since(n.at) > forgetAfter })
+	maps.DeleteFunc(s.successors, func(_ string, n succession) bool { return time.Since(n.learned) > forgetAfter })
 	s.mu.Unlock()
 	s.Merge(dead)
 }
 
-// relay exchanges tables with one member of each other data centre, if this box
+// relayRound exchanges tables with one member of each other data centre, if this box
 // is one of its data centre's relays.
-func (s *Service) relay(c context.Context) {
-	if mine, _ := s.Owner("relay", relays); !mine {
+func (s *Service) relayRound(c context.Context) {
+	if mine, _ := s.Owner("relay", relaysPerDataCentre); !mine {
 		return
 	}
 	by := map[string][]Member{}
@@ -223,13 +223,13 @@
 		by[m.DataCentre] = append(by[m.DataCentre], m)
 	}
 	delete(by, s.self.DataCentre)
-	c, cancel := context.WithTimeout(c, relayEvery)
+	c, cancel := context.WithTimeout(c, relayInterval)
 	defer cancel()
 	var g sync.WaitGroup
 	for _, ms := range by {
 		m := ms[rand.IntN(len(ms))]
 		g.Go(func() { s.probe(c, m) })
 	}
-	g.Go(func() { s.rejoin(c) })
+	g.Go(func() { s.syncWithSeed(c) })
 	g.Wait()
 }
--- a/member/service.go
+++ b/member/service.go
@@ -20,20 +20,20 @@
 
 // The times of the protocol.
 const (
-	probeEvery  = time.Second
-	probeLimit  = 400 * time.Millisecond
-	suspectFor  = 3 * time.Second
-	relayEvery  = 2 * time.Second
-	forgetAfter = time.Hour
-	joinLimit   = 3 * time.Second
-	helpers     = 2
-	relays      = 2
-
-	maxSuccessions = 8
+	probeInterval       = time.Second
+	probeTimeout        = 400 * time.Millisecond
+	suspicionTimeout    = 3 * time.Second
+	relayInterval       = 2 * time.Second
+	forgetAfter         = time.Hour
+	joinTimeout         = 3 * time.Second
+	maxIndirectProbes   = 2
+	relaysPerDataCentre = 2
+
+	maxSuccessorHops = 8
 )
 
 // registerPrefix is where a box leaves its address for those that join later.
-const registerPrefix = "members/"
+const registrationPrefix = "members/"
 
 // caller is what the service needs of the peers' client.
 type caller interface {
@@ -58,17 +58,17 @@
 
 // exchange is what two boxes tell each other when their tables differ: the rows,
 // and the successors of processes that have left.
-type exchange struct {
+type syncMessage struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Rows []Member
-	Left map[string]string
+	Rows       []Member
+	Successors map[string]string
 }
 
 // succession says which incarnation answers for one that has left.
 type succession struct {
-	to string
-	at time.Time
+	incarnation string
+	learned     time.Time
 }
 
 // Service is the membership of one box.
@@ -76,22 +76,22 @@
 	Seeds []string
 	Log   zerolog.Logger
 
-	mu     sync.Mutex
-	self   Member
-	table  Table
-	since  map[string]time.Time
-	left   map[string]succession
-	order  []string
-	calls  caller
-	store  store
-	cancel context.CancelFunc
-	group  sync.WaitGroup
+	mu         sync.Mutex
+	self       Member
+	table      Table
+	changedAt  map[string]time.Time
+	successors map[string]succession
+	probeOrder []string
+	client     caller
+	store      store
+	cancel     context.CancelFunc
+	group      sync.WaitGroup
 }
 
 // New returns the membership of a box. Its address is known once it starts.
 func New(box, dc string, seeds []string, log zerolog.Logger) *Service {
 	m := Member{Box: box, DataCentre: dc, Incarnation: uuid.NewString(), Started: time.Now().UnixNano()}
-	return &Service{Seeds: seeds, Log: log, self: m, since: map[string]time.Time{}, left: map[string]succession{}}
+	return &Service{Seeds: seeds, Log: log, self: m, changedAt: map[string]time.Time{}, successors: map[string]succession{}}
 }
 
 // Name returns the service's name.
@@ -107,9 +107,9 @@
 	if err != nil {
 		return err
 	}
-	s.calls, s.store = p.Client, n.Client
-	peer.Handle(p.Server, "member.probe", s.answerProbe)
-	peer.Handle(p.Server, "member.sync", s.answerSync)
+	s.client, s.store = p.Client, n.Client
+	peer.Handle(p.Server, "member.probe", s.handleProbe)
+	peer.Handle(p.Server, "member.sync", s.handleSync)
 	s.mu.Lock()
 	s.self.Address = p.Advertise
 	s.table.Merge([]Member{s.self})
@@ -117,8 +117,8 @@
 	s.join(c)
 	x, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	s.group.Go(func() { s.every(x, probeEvery, s.round) })
-	s.group.Go(func() { s.every(x, relayEvery, s.relay) })
+	s.group.Go(func() { s.runEvery(x, probeInterval, s.probeRound) })
+	s.group.Go(func() { s.runEvery(x, relayInterval, s.relayRound) })
 	return nil
 }
 
@@ -130,11 +130,11 @@
 	s.self.State = Left
 	s.table.Merge([]Member{s.self})
 	s.mu.Unlock()
-	c, cancel := context.WithTimeout(c, probeLimit)
+	c, cancel := context.WithTimeout(c, probeTimeout)
 	defer cancel()
 	var g sync.WaitGroup
 	for _, m := range s.Up(s.self.DataCentre) {
-		g.Go(func() { s.sync(c, m.Address) })
+		g.Go(func() { s.syncWith(c, m.Address) })
 	}
 	g.Wait()
 	return nil
@@ -155,8 +155,8 @@
 	return s.table.Up(dc)
 }
 
-// Names returns the boxes that are up in the own data centre.
-func (s *Service) Names() []string {
+// LocalBoxes returns the boxes that are up in the own data centre.
+func (s *Service) LocalBoxes() []string {
 	ms := s.Up(s.self.DataCentre)
 	ns := make([]string, len(ms))
 	for i, m := range ms {
@@ -168,7 +168,7 @@
 // Owner reports whether this box is among the first n of its data centre for
 // a key, and returns the first.
 func (s *Service) Owner(key string, n int) (bool, Member) {
-	ns := rendezvous.Top(rendezvous.Hash(key), s.Names(), n)
+	ns := rendezvous.Top(rendezvous.Hash(key), s.LocalBoxes(), n)
 	if len(ns) == 0 {
 		return true, s.Self()
 	}
@@ -178,29 +178,29 @@
 	return slices.Contains(ns, s.self.Box), m
 }
 
-// Succeed names the incarnation that will answer for this process when it has
+// SetSuccessor names the incarnation that will answer for this process when it has
 // left.
-func (s *Service) Succeed(incarnation string) {
+func (s *Service) SetSuccessor(incarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.self.Successor = incarnation
 }
 
-// Answering returns the member that answers for an incarnation: itself while it
+// ResolveIncarnation returns the member that answers for an incarnation: itself while it
 // is up, or else its successor, or the successor's.
-func (s *Service) Answering(incarnation string) (Member, bool) {
+func (s *Service) ResolveIncarnation(incarnation string) (Member, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for range maxSuccessions {
-		m, known := s.table.find(incarnation)
-		if known && m.up() {
+	for range maxSuccessorHops {
+		m, known := s.table.findIncarnation(incarnation)
+		if known && m.isUp() {
 			return m, true
 		}
-		next, left := s.left[incarnation]
+		next, left := s.successors[incarnation]
 		if !left {
 			break
 		}
-		incarnation = next.to
+		incarnation = next.incarnation
 	}
 	return Member{}, false
 }
@@ -212,11 +212,11 @@
 	changed := s.table.Merge(ms)
 	for _, m := range ms {
 		if m.Successor != "" {
-			s.left[m.Incarnation] = succession{to: m.Successor, at: time.Now()}
+			s.successors[m.Incarnation] = succession{incarnation: m.Successor, learned: time.Now()}
 		}
 	}
 	for _, m := range changed {
-		s.since[m.Box] = time.Now()
+		s.changedAt[m.Box] = time.Now()
 		s.Log.Info().Str("member", m.Box).Uint8("state", uint8(m.State)).Str("incarnation", m.Incarnation).Msg("member changed")
 	}
 	s.refute()
@@ -228,7 +228,7 @@
 	if !ok || m.Incarnation != s.self.Incarnation || m.State == s.self.State || s.self.State == Left {
 		return
 	}
-	s.self.Number = m.Number + 1
+	s.self.Refutations = m.Refutations + 1
 	s.table.Merge([]Member{s.self})
 }
 
--- a/member/service_test.go
+++ b/member/service_test.go
@@ -23,12 +23,12 @@
 }
 
 // end is one box's side of the network.
-type end struct {
+type transport struct {
 	*network
 	from string
 }
 
-func (e end) reach(to string) *Service {
+func (e transport) lookup(to string) *Service {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.down[e.from] || e.down[to] {
@@ -37,8 +37,8 @@
 	return e.boxes[to]
 }
 
-func (e end) Call(c context.Context, address, method string, in, out any) error {
-	s := e.reach(address)
+func (e transport) Call(c context.Context, address, method string, in, out any) error {
+	s := e.lookup(address)
 	if s == nil {
 		return context.DeadlineExceeded
 	}
@@ -52,13 +52,13 @@
 		if err := msgpack.Unmarshal(b, &p); err != nil {
 			return err
 		}
-		a, err = s.answerProbe(c, p)
+		a, err = s.handleProbe(c, p)
 	} else {
-		var x exchange
+		var x syncMessage
 		if err := msgpack.Unmarshal(b, &x); err != nil {
 			return err
 		}
-		a, err = s.answerSync(c, x)
+		a, err = s.handleSync(c, x)
 	}
 	if err != nil {
 		return err
@@ -74,13 +74,13 @@
 }
 
 // group makes n boxes of one data centre that know each other.
-func group(n int) (*network, []*Service) {
+func newGroup(n int) (*network, []*Service) {
 	w := &network{boxes: map[string]*Service{}, down: map[string]bool{}}
 	ss := make([]*Service, n)
 	for i := range ss {
 		b := fmt.Sprintf("box-%03d", i)
 		ss[i] = New(b, "a", nil, zerolog.Nop())
-		ss[i].self.Address, ss[i].calls = b, end{w, b}
+		ss[i].self.Address, ss[i].client = b, transport{w, b}
 		w.boxes[b] = ss[i]
 	}
 	for _, s := range ss {
@@ -92,34 +92,34 @@
 }
 
 // rounds lets every box probe so many times.
-func rounds(t *testing.T, w *network, ss []*Service, n int) {
+func runRounds(t *testing.T, w *network, ss []*Service, n int) {
 	for range n {
 		for _, s := range ss {
 			if !w.down[s.self.Box] {
-				s.round(t.Context())
+				s.probeRound(t.Context())
 			}
 		}
-		time.Sleep(probeEvery)
+		time.Sleep(probeInterval)
 	}
 }
 
 // A box that is cut off is dead to the others within seconds, and alive again,
 // under the same identity, soon after it is back.
-func TestCutOffAndBack(t *testing.T) {
+func TestPartitionedBoxRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, ss := group(9)
+		w, ss := newGroup(9)
 		w.down["box-003"] = true
-		rounds(t, w, ss, 20)
+		runRounds(t, w, ss, 20)
 		for _, s := range ss {
 			if s.self.Box != "box-003" {
-				require.Len(t, s.Names(), 8)
+				require.Len(t, s.LocalBoxes(), 8)
 			}
 		}
 		w.down["box-003"] = false
-		rounds(t, w, ss, 20)
+		runRounds(t, w, ss, 20)
 		for _, s := range ss {
-			require.Len(t, s.Names(), 9)
-			_, known := s.Answering(ss[3].self.Incarnation)
+			require.Len(t, s.LocalBoxes(), 9)
+			_, known := s.ResolveIncarnation(ss[3].self.Incarnation)
 			require.True(t, known)
 		}
 	})
@@ -127,41 +127,41 @@
 
 // Half of the boxes are cut off at once: each half goes on with itself, and
 // they find each other again by their seeds.
-func TestSplitAndJoin(t *testing.T) {
+func TestPartitionHeals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, ss := group(8)
+		w, ss := newGroup(8)
 		half := &network{boxes: map[string]*Service{}, down: map[string]bool{}}
 		for _, s := range ss[4:] {
-			s.calls = end{half, s.self.Box}
+			s.client = transport{half, s.self.Box}
 			half.boxes[s.self.Box] = s
 			delete(w.boxes, s.self.Box)
 		}
-		rounds(t, w, ss, 30)
+		runRounds(t, w, ss, 30)
 		for _, s := range ss {
-			require.Len(t, s.Names(), 4)
+			require.Len(t, s.LocalBoxes(), 4)
 		}
 		for _, s := range ss[4:] {
-			s.calls = end{w, s.self.Box}
+			s.client = transport{w, s.self.Box}
 			w.boxes[s.self.Box] = s
 			s.Seeds = []string{"box-000"}
 		}
 		for _, s := range ss[4:] {
-			s.rejoin(t.Context())
+			s.syncWithSeed(t.Context())
 		}
-		rounds(t, w, ss, 20)
+		runRounds(t, w, ss, 20)
 		for _, s := range ss {
-			require.Len(t, s.Names(), 8)
+			require.Len(t, s.LocalBoxes(), 8)
 		}
 	})
 }
 
 // Tables that have heard the same rows, in whatever order, agree.
-func TestOrderDoesNotMatter(t *testing.T) {
+func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Member {
 			return Member{
 				Box: rapid.StringMatching("[a-d]").Draw(t, "box"), Started: rapid.Int64Range(1, 3).Draw(t, "started"),
-				Number: rapid.Uint32Range(0, 3).Draw(t, "number"), State: State(rapid.IntRange(int(Alive), int(Left)).Draw(t, "state")), Successor: "x",
+				Refutations: rapid.Uint32Range(0, 3).Draw(t, "number"), State: State(rapid.IntRange(int(Alive), int(Left)).Draw(t, "state")), Successor: "x",
 			}
 		}), 1, 20).Draw(t, "rows")
 		var a, b Table
@@ -186,13 +186,13 @@
 func BenchmarkRound(b *testing.B) {
 	for _, n := range []int{6, 39, 350} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
-			w, ss := group(n)
+			w, ss := newGroup(n)
 			k := 0
 			for b.Loop() {
-				ss[0].round(b.Context())
+				ss[0].probeRound(b.Context())
 				k++
 			}
-			x, err := msgpack.Marshal(ss[0].exchange())
+			x, err := msgpack.Marshal(ss[0].syncState())
 			require.NoError(b, err)
 			b.ReportMetric(float64(w.bytes)/float64(k), "bytes/probe")
 			b.ReportMetric(float64(len(x)), "bytes/exchange")
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -16,16 +16,16 @@
 
 // gather is how long a mirror waits after changes before it asks for more, so
 // that changes that come together cost one call.
-const gather = 100 * time.Millisecond
+const coalesceDelay = 100 * time.Millisecond
 
 // The pause after a call that got no answer, at random between minPause and maxPause.
 // While the store is known to be away it is awayPause, unless the mirror is restarted:
 // each call is paid for, also one that is refused. Where a store was away for 4.5 s,
 // 70 boxes made 1,550 calls that read everything in that time and the next second.
 const (
-	minPause  = 50 * time.Millisecond
-	maxPause  = 400 * time.Millisecond
-	awayPause = 2 * time.Second
+	minRetryDelay         = 50 * time.Millisecond
+	maxRetryDelay         = 400 * time.Millisecond
+	unreachableRetryDelay = 2 * time.Second
 )
 
 // Mirror follows one prefix. Apply gets changes in the order of their revisions;
@@ -44,37 +44,37 @@
 
 	// Since returns a revision up to which all is known when Run begins; zero, or nil,
 	// is nothing.
-	Since func() uint64
+	StartRevision func() uint64
 
 	// Away reports whether the store is known to answer nothing; nil is never. Whoever
 	// knows that it answers again restarts the mirror.
-	Away func() bool
+	StoreUnreachable func() bool
 
-	mu      sync.Mutex
-	restart context.CancelFunc
+	mu        sync.Mutex
+	interrupt context.CancelFunc
 }
 
 // Restart ends the call or the pause under way, and begins again from the last revision.
 func (m *Mirror) Restart() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.restart != nil {
-		m.restart()
+	if m.interrupt != nil {
+		m.interrupt()
 	}
 }
 
 // Run follows the prefix until c ends.
 func (m *Mirror) Run(c context.Context) {
 	var revision uint64
-	if m.Since != nil {
-		revision = m.Since()
+	if m.StartRevision != nil {
+		revision = m.StartRevision()
 	}
 	for c.Err() == nil {
 		x, cancel := context.WithCancel(c)
 		m.mu.Lock()
-		m.restart = cancel
+		m.interrupt = cancel
 		m.mu.Unlock()
-		next, err := m.step(x, revision)
+		next, err := m.poll(x, revision)
 		switch {
 		case err == nil:
 			revision = next
@@ -83,21 +83,21 @@
 			revision = 0
 		default:
 			m.Log.Debug().Str("event", "watch").Str("prefix", m.Prefix).Err(err).Msg("no answer")
-			wait.For(x, m.pause())
+			wait.For(x, m.retryDelay())
 		}
 		cancel()
 	}
 }
 
 // pause returns how long to wait after a call that got no answer.
-func (m *Mirror) pause() time.Duration {
-	if m.Away != nil && m.Away() {
-		return awayPause
+func (m *Mirror) retryDelay() time.Duration {
+	if m.StoreUnreachable != nil && m.StoreUnreachable() {
+		return unreachableRetryDelay
 	}
-	return minPause + rand.N(maxPause-minPause)
+	return minRetryDelay + rand.N(maxRetryDelay-minRetryDelay)
 }
 
-func (m *Mirror) step(c context.Context, revision uint64) (uint64, error) {
+func (m *Mirror) poll(c context.Context, revision uint64) (uint64, error) {
 	if revision == 0 {
 		items, at, err := m.Store.Range(c, m.Prefix)
 		if err != nil {
@@ -112,7 +112,7 @@
 	}
 	if len(items) > 0 {
 		m.Apply(items, false, at)
-		wait.For(c, gather)
+		wait.For(c, coalesceDelay)
 	}
 	return max(at, revision), nil
 }
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -17,13 +17,13 @@
 
 // While the store is known to be away hardly a call is made, and when it is back the
 // change that came meanwhile is read at once.
-func TestAway(t *testing.T) {
+func TestStoreUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &memstore.Memory{}
 		s.Set("k", "1")
 		seen := ""
 		m := &mirror.Mirror{
-			Store: s, Prefix: "k", Wait: time.Second, Log: zerolog.Nop(), Away: func() bool { return true },
+			Store: s, Prefix: "k", Wait: time.Second, Log: zerolog.Nop(), StoreUnreachable: func() bool { return true },
 			Apply: func(items []store.Item, _ bool, _ uint64) { seen = string(items[len(items)-1].Value) },
 		}
 		c, cancel := context.WithCancel(t.Context())
--- a/observer/observer.go
+++ b/observer/observer.go
@@ -224,12 +224,12 @@
 	defer cancel()
 	dc := o.members.Self().DataCentre
 	var g sync.WaitGroup
-	for _, s := range o.view.Slots() {
+	for _, s := range o.view.Endpoints() {
 		if s.DataCentre != dc {
 			continue
 		}
 		mine, _ := o.members.Owner(s.Name, watchers)
-		if mine || time.Since(s.Seen) > o.loadStale() {
+		if mine || time.Since(s.ReportedAt) > o.loadStale() {
 			g.Go(func() { o.readLoad(c, s) })
 		}
 	}
@@ -244,7 +244,7 @@
 	return staleAfter + 2*fullPushes*max(o.period, readEvery)
 }
 
-func (o *Observer) readLoad(c context.Context, s *view.Slot) {
+func (o *Observer) readLoad(c context.Context, s *view.EndpointState) {
 	h := jsonhttp.Client{Base: "http://" + s.Address, HTTP: o.http.HTTP, Caller: o.http.Caller}
 	var l fleet.Load
 	if err := h.Do(c, http.MethodGet, "/load", nil, &l); err != nil {
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -211,7 +211,7 @@
 	if err := o.front.Ready(); err != nil {
 		s.Ready = err.Error()
 	}
-	for _, e := range o.view.Slots() {
+	for _, e := range o.view.Endpoints() {
 		s.Endpoints = append(s.Endpoints, e.Endpoint)
 	}
 	s.DutyHolder, s.DutyFence = o.placer.Leader()
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -92,7 +92,7 @@
 	Capacity func(service string, slots int, pause time.Duration) scaling.Capacity
 
 	log    zerolog.Logger
-	known  *known.Known
+	known  *known.Service
 	cancel context.CancelFunc
 	group  sync.WaitGroup
 
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -160,11 +160,11 @@
 	s := session.New(m, zerolog.Nop())
 	k := known.New(known.Source{
 		ConfigKey: "config", EndpointsPrefix: "e/",
-		Document: func(v []byte) (*catalog.Document, error) {
+		DecodeConfig: func(v []byte) (*catalog.Document, error) {
 			var d catalog.Document
 			return &d, json.Unmarshal(v, &d)
 		},
-		Endpoint: func(k string, v []byte) (endpoint.Endpoint, error) {
+		DecodeEndpoint: func(k string, v []byte) (endpoint.Endpoint, error) {
 			var e endpoint.Endpoint
 			return e, json.Unmarshal(v, &e)
 		},
--- a/peer/auth.go
+++ b/peer/auth.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	nonceBytes   = 16
-	helloLimit   = 2 * time.Second
-	serverProves = "server"
-	clientProves = "client"
+	nonceBytes       = 16
+	handshakeTimeout = 2 * time.Second
+	serverRole       = "server"
+	clientRole       = "client"
 )
 
 // errStranger is returned when the far side does not know the shared secret.
-var errStranger = errors.New("the far side does not know the peers' secret")
+var errWrongSecret = errors.New("the far side does not know the peers' secret")
 
 // proof shows knowledge of the secret for the two nonces of one connection.
 type proof struct {
@@ -38,7 +38,7 @@
 	return h.Sum(nil)
 }
 
-func nonce() []byte {
+func newNonce() []byte {
 	n := make([]byte, nonceBytes)
 	_, _ = rand.Read(n) // crypto/rand.Read never returns an error
 	return n
@@ -49,7 +49,7 @@
 	if err != nil {
 		return fmt.Errorf("encode hello: %w", err)
 	}
-	return c.Write(frame.Message{Type: frame.Hello, Body: b}, helloLimit)
+	return c.Write(frame.Message{Type: frame.Hello, Body: b}, handshakeTimeout)
 }
 
 func readProof(c *frame.Conn) (proof, error) {
@@ -59,7 +59,7 @@
 		return p, err
 	}
 	if m.Type != frame.Hello {
-		return p, errStranger
+		return p, errWrongSecret
 	}
 	if err := msgpack.Unmarshal(m.Body, &p); err != nil {
 		return p, fmt.Errorf("decode hello: %w", err)
@@ -67,9 +67,9 @@
 	return p, nil
 }
 
-// greet is the client's side: nonce, the server's proof, the own proof.
-func greet(c *frame.Conn, secret string) error {
-	n := nonce()
+// clientHandshake is the client's side: nonce, the server's proof, the own proof.
+func clientHandshake(c *frame.Conn, secret string) error {
+	n := newNonce()
 	if err := writeProof(c, proof{Nonce: n}); err != nil {
 		return err
 	}
@@ -77,28 +77,28 @@
 	if err != nil {
 		return err
 	}
-	if !hmac.Equal(p.MAC, mac(secret, serverProves, n, p.Nonce)) {
-		return errStranger
+	if !hmac.Equal(p.MAC, mac(secret, serverRole, n, p.Nonce)) {
+		return errWrongSecret
 	}
-	return writeProof(c, proof{MAC: mac(secret, clientProves, n, p.Nonce)})
+	return writeProof(c, proof{MAC: mac(secret, clientRole, n, p.Nonce)})
 }
 
-// welcome is the server's side of greet.
-func welcome(c *frame.Conn, secret string) error {
+// serverHandshake is the server's side of clientHandshake.
+func serverHandshake(c *frame.Conn, secret string) error {
 	p, err := readProof(c)
 	if err != nil {
 		return err
 	}
-	n := nonce()
-	if err := writeProof(c, proof{Nonce: n, MAC: mac(secret, serverProves, p.Nonce, n)}); err != nil {
+	n := newNonce()
+	if err := writeProof(c, proof{Nonce: n, MAC: mac(secret, serverRole, p.Nonce, n)}); err != nil {
 		return err
 	}
 	q, err := readProof(c)
 	if err != nil {
 		return err
 	}
-	if !hmac.Equal(q.MAC, mac(secret, clientProves, p.Nonce, n)) {
-		return errStranger
+	if !hmac.Equal(q.MAC, mac(secret, clientRole, p.Nonce, n)) {
+		return errWrongSecret
 	}
 	return nil
 }
--- a/peer/client.go
+++ b/peer/client.go
@@ -14,13 +14,13 @@
 )
 
 // dialLimit bounds how long a connection may take to stand.
-const dialLimit = time.Second
+const dialTimeout = time.Second
 
 // silentFor is how long a connection on which calls wait may carry nothing before it is
 // closed: it may have gone silent for good without a reset, and TCP takes minutes to
 // notice. It is longer than a busy box takes to answer, and lets two rounds of half a
 // second fail.
-const silentFor = 900 * time.Millisecond
+const maxSilence = 900 * time.Millisecond
 
 // Client calls peers by address and keeps one connection to each.
 type Client struct {
@@ -33,14 +33,14 @@
 
 // link is one connection with the calls that wait on it.
 type link struct {
-	conn  *frame.Conn
-	mu    sync.Mutex
-	next  uint64
-	calls map[uint64]*inbox
-	done  chan struct{}
+	conn   *frame.Conn
+	mu     sync.Mutex
+	lastID uint64
+	calls  map[uint64]*inbox
+	done   chan struct{}
 
 	// waits is since when calls wait without a frame for any; zero while none does.
-	waits time.Time
+	waitingSince time.Time
 }
 
 // NewClient returns a client without connections.
@@ -55,23 +55,23 @@
 // failure of the connection is of kind Unavailable: whether the call took
 // effect is not known.
 func (c *Client) Stream(x context.Context, address, method string, in, out any, each func([]byte) error) error {
-	l, err := c.link(x, address)
+	l, err := c.connect(x, address)
 	if err != nil {
 		return &errkind.Error{Kind: errkind.Unavailable, Message: "peer " + address, Err: err}
 	}
-	id, ch := l.open()
-	defer l.forget(id)
+	id, ch := l.openCall()
+	defer l.closeCall(id)
 	b, err := msgpack.Marshal(in)
 	if err != nil {
 		return fmt.Errorf("encode call: %w", err)
 	}
-	if err := l.conn.Write(frame.Message{ID: id, Type: frame.Call, Method: method, Body: b}, writeLimit); err != nil {
+	if err := l.conn.Write(frame.Message{ID: id, Type: frame.Call, Method: method, Body: b}, writeTimeout); err != nil {
 		l.conn.Close()
 		return &errkind.Error{Kind: errkind.Unavailable, Message: "peer " + address, Err: err}
 	}
 	for {
-		for _, m := range ch.take() {
-			if last, err := take(m, out, each); last || err != nil {
+		for _, m := range ch.drain() {
+			if last, err := handleFrame(m, out, each); last || err != nil {
 				return err
 			}
 		}
@@ -79,18 +79,18 @@
 		case <-ch.ready:
 		case <-x.Done():
 			l.closeIfSilent()
-			_ = l.conn.Write(frame.Message{ID: id, Type: frame.Cancel}, writeLimit)
+			_ = l.conn.Write(frame.Message{ID: id, Type: frame.Cancel}, writeTimeout)
 			return x.Err()
 		case <-l.done:
 			// Frames that came before the end still count.
-			if ch.empty() {
+			if ch.isEmpty() {
 				return errkind.New(errkind.Unavailable, "peer %s left", address)
 			}
 		}
 	}
 }
 
-func take(m frame.Message, out any, each func([]byte) error) (bool, error) {
+func handleFrame(m frame.Message, out any, each func([]byte) error) (bool, error) {
 	switch m.Type {
 	case frame.Item:
 		if each == nil {
@@ -135,7 +135,7 @@
 	c.group.Wait()
 }
 
-func (c *Client) link(x context.Context, address string) (*link, error) {
+func (c *Client) connect(x context.Context, address string) (*link, error) {
 	c.mu.Lock()
 	l := c.links[address]
 	c.mu.Unlock()
@@ -153,12 +153,12 @@
 		return o, nil
 	}
 	c.links[address] = l
-	c.group.Go(func() { c.read(address, l) })
+	c.group.Go(func() { c.readLoop(address, l) })
 	return l, nil
 }
 
 func (c *Client) dial(x context.Context, address string) (*link, error) {
-	d := net.Dialer{Timeout: dialLimit}
+	d := net.Dialer{Timeout: dialTimeout}
 	if c.local != nil {
 		d.LocalAddr = c.local
 	}
@@ -167,8 +167,8 @@
 		return nil, fmt.Errorf("dial: %w", err)
 	}
 	f := frame.New(n)
-	_ = n.SetReadDeadline(time.Now().Add(helloLimit))
-	if err := greet(f, c.secret); err != nil {
+	_ = n.SetReadDeadline(time.Now().Add(handshakeTimeout))
+	if err := clientHandshake(f, c.secret); err != nil {
 		f.Close()
 		return nil, err
 	}
@@ -177,7 +177,7 @@
 }
 
 // read hands each frame to its call until the connection ends.
-func (c *Client) read(address string, l *link) {
+func (c *Client) readLoop(address string, l *link) {
 	defer func() {
 		c.mu.Lock()
 		delete(c.links, address)
@@ -190,7 +190,7 @@
 		if err != nil {
 			return
 		}
-		l.hand(m)
+		l.deliver(m)
 	}
 }
 
@@ -213,7 +213,7 @@
 	}
 }
 
-func (b *inbox) take() []frame.Message {
+func (b *inbox) drain() []frame.Message {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	ms := b.frames
@@ -221,25 +221,25 @@
 	return ms
 }
 
-func (b *inbox) empty() bool {
+func (b *inbox) isEmpty() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.frames) == 0
 }
 
-func (l *link) open() (uint64, *inbox) {
+func (l *link) openCall() (uint64, *inbox) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.next++
-	if l.waits.IsZero() {
-		l.waits = time.Now()
+	l.lastID++
+	if l.waitingSince.IsZero() {
+		l.waitingSince = time.Now()
 	}
 	b := &inbox{ready: make(chan struct{}, 1)}
-	l.calls[l.next] = b
-	return l.next, b
+	l.calls[l.lastID] = b
+	return l.lastID, b
 }
 
-func (l *link) forget(id uint64) {
+func (l *link) closeCall(id uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.calls, id)
@@ -249,18 +249,18 @@
 // sign of the far side.
 func (l *link) closeIfSilent() {
 	l.mu.Lock()
-	silent := !l.waits.IsZero() && time.Since(l.waits) >= silentFor
+	silent := !l.waitingSince.IsZero() && time.Since(l.waitingSince) >= maxSilence
 	l.mu.Unlock()
 	if silent {
 		l.conn.Close()
 	}
 }
 
-// hand gives a frame to its call, unless that has ended.
-func (l *link) hand(m frame.Message) {
+// deliver gives a frame to its call, unless that has ended.
+func (l *link) deliver(m frame.Message) {
 	l.mu.Lock()
 	b, ok := l.calls[m.ID]
-	l.waits = time.Time{}
+	l.waitingSince = time.Time{}
 	l.mu.Unlock()
 	if ok {
 		b.put(m)
--- a/peer/client_test.go
+++ b/peer/client_test.go
@@ -70,7 +70,7 @@
 func (k *link) silence() { k.silenced.Store(k.opened.Load()) }
 
 // call asks for an echo, within a fifth of a second.
-func call(t *testing.T, c *peer.Client, address string) bool {
+func callEcho(t *testing.T, c *peer.Client, address string) bool {
 	t.Helper()
 	x, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
@@ -79,7 +79,7 @@
 }
 
 // connected returns a client that has called a server over a link.
-func connected(t *testing.T) (*link, *peer.Client) {
+func connect(t *testing.T) (*link, *peer.Client) {
 	t.Helper()
 	s := peer.NewServer("secret")
 	peer.Handle(s, "echo", func(_ context.Context, in string) (string, error) { return in, nil })
@@ -92,29 +92,29 @@
 	k := newLink(t, s.Address())
 	c := peer.NewClient("secret")
 	t.Cleanup(c.Close)
-	require.Eventually(t, func() bool { return call(t, c, k.Addr().String()) }, 30*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return callEcho(t, c, k.Addr().String()) }, 30*time.Second, time.Millisecond)
 	return k, c
 }
 
 // TestSilentConnection calls over a connection that has gone silent without a reset: a
 // bounded number of calls is lost, and the next one goes over a new connection.
 func TestSilentConnection(t *testing.T) {
-	k, c := connected(t)
+	k, c := connect(t)
 	address := k.Addr().String()
 	k.silence()
-	require.Eventually(t, func() bool { return call(t, c, address) }, 30*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return callEcho(t, c, address) }, 30*time.Second, time.Millisecond)
 }
 
 // A connection over which answers come is kept, though some calls are not answered.
-func TestSlowCallKeepsTheConnection(t *testing.T) {
-	k, c := connected(t)
+func TestSlowCallKeepsConnection(t *testing.T) {
+	k, c := connect(t)
 	address := k.Addr().String()
 	opened := k.opened.Load()
 	for range 8 {
 		x, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 		require.Error(t, c.Call(x, address, "hang", "", nil))
 		cancel()
-		require.Eventually(t, func() bool { return call(t, c, address) }, 30*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return callEcho(t, c, address) }, 30*time.Second, time.Millisecond)
 	}
 	require.Equal(t, opened, k.opened.Load())
 }
--- a/peer/server.go
+++ b/peer/server.go
@@ -15,7 +15,7 @@
 )
 
 // writeLimit ends a connection whose far side stops reading.
-const writeLimit = 5 * time.Second
+const writeTimeout = 5 * time.Second
 
 // Handler answers one call. It may send items before it returns; the value that
 // it returns is the last.
@@ -30,19 +30,19 @@
 
 // Server answers the calls of peers that know the secret.
 type Server struct {
-	secret   string
-	mu       sync.RWMutex
-	handlers map[string]Handler
-	turns    map[string]chan struct{} // of the methods whose calls are answered in turn
-	conns    map[*frame.Conn]bool
-	group    sync.WaitGroup
-	listener net.Listener
-	cancel   context.CancelFunc
+	secret     string
+	mu         sync.RWMutex
+	handlers   map[string]Handler
+	semaphores map[string]chan struct{} // of the methods whose calls are answered in turn
+	conns      map[*frame.Conn]bool
+	group      sync.WaitGroup
+	listener   net.Listener
+	cancel     context.CancelFunc
 }
 
 // NewServer returns a server without handlers.
 func NewServer(secret string) *Server {
-	return &Server{secret: secret, handlers: map[string]Handler{}, turns: map[string]chan struct{}{}, conns: map[*frame.Conn]bool{}}
+	return &Server{secret: secret, handlers: map[string]Handler{}, semaphores: map[string]chan struct{}{}, conns: map[*frame.Conn]bool{}}
 }
 
 // Handle enters the handler of a method.
@@ -52,13 +52,13 @@
 	s.handlers[method] = h
 }
 
-// InTurn lets no more than so many calls of a method be answered at once, from the handler's begin
+// LimitConcurrency lets no more than so many calls of a method be answered at once, from the handler's begin
 // until the answer has been written. The others wait their turn: sent to all that ask at once, a
 // large answer would reach each of them after the last byte of all.
-func (s *Server) InTurn(method string, atOnce int) {
+func (s *Server) LimitConcurrency(method string, atOnce int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turns[method] = make(chan struct{}, atOnce)
+	s.semaphores[method] = make(chan struct{}, atOnce)
 }
 
 // Handle enters a handler of typed messages without items.
@@ -120,7 +120,7 @@
 	}
 }
 
-func (s *Server) enter(f *frame.Conn, in bool) {
+func (s *Server) setOpen(f *frame.Conn, in bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if in {
@@ -132,24 +132,24 @@
 
 func (s *Server) serve(c context.Context, n net.Conn) {
 	f := frame.New(n)
-	s.enter(f, true)
-	defer s.enter(f, false)
+	s.setOpen(f, true)
+	defer s.setOpen(f, false)
 	defer f.Close()
 	if c.Err() != nil {
 		return
 	}
-	_ = n.SetReadDeadline(time.Now().Add(helloLimit))
-	if err := welcome(f, s.secret); err != nil {
+	_ = n.SetReadDeadline(time.Now().Add(handshakeTimeout))
+	if err := serverHandshake(f, s.secret); err != nil {
 		return
 	}
 	_ = n.SetReadDeadline(time.Time{})
 	c, cancel := context.WithCancel(c)
 	defer cancel()
-	s.read(c, f)
+	s.readLoop(c, f)
 }
 
 // read answers the calls of one connection until it ends.
-func (s *Server) read(c context.Context, f *frame.Conn) {
+func (s *Server) readLoop(c context.Context, f *frame.Conn) {
 	var g sync.WaitGroup
 	defer g.Wait()
 	c, all := context.WithCancel(c)
@@ -171,7 +171,7 @@
 			x, stop := context.WithCancel(c)
 			cancels[m.ID] = stop
 			g.Go(func() {
-				s.answer(x, f, m)
+				s.handleCall(x, f, m)
 				stop()
 				mu.Lock()
 				delete(cancels, m.ID)
@@ -182,9 +182,9 @@
 	}
 }
 
-func (s *Server) answer(c context.Context, f *frame.Conn, m frame.Message) {
+func (s *Server) handleCall(c context.Context, f *frame.Conn, m frame.Message) {
 	s.mu.RLock()
-	h, turn := s.handlers[m.Method], s.turns[m.Method]
+	h, turn := s.handlers[m.Method], s.semaphores[m.Method]
 	s.mu.RUnlock()
 	if turn != nil {
 		select {
@@ -194,27 +194,27 @@
 			return
 		}
 	}
-	send := func(v any) error { return write(f, m.ID, frame.Item, v) }
+	send := func(v any) error { return writeBody(f, m.ID, frame.Item, v) }
 	if h == nil {
-		_ = write(f, m.ID, frame.Fail, failure{Kind: errkind.Unavailable, Message: "no method " + m.Method})
+		_ = writeBody(f, m.ID, frame.Fail, failure{Kind: errkind.Unavailable, Message: "no method " + m.Method})
 		return
 	}
 	v, err := h(c, m.Body, send)
 	if err != nil {
 		e := errkind.Of(err)
-		_ = write(f, m.ID, frame.Fail, failure{e.Kind, e.Message, e.RetryAfter})
+		_ = writeBody(f, m.ID, frame.Fail, failure{e.Kind, e.Message, e.RetryAfter})
 		return
 	}
 	// The connection closes on a write error, so the caller learns of it.
-	if err := write(f, m.ID, frame.End, v); err != nil {
+	if err := writeBody(f, m.ID, frame.End, v); err != nil {
 		f.Close()
 	}
 }
 
-func write(f *frame.Conn, id uint64, t frame.Type, v any) error {
+func writeBody(f *frame.Conn, id uint64, t frame.Type, v any) error {
 	b, err := msgpack.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("encode body: %w", err)
 	}
-	return f.Write(frame.Message{ID: id, Type: t, Body: b}, writeLimit)
+	return f.Write(frame.Message{ID: id, Type: t, Body: b}, writeTimeout)
 }
--- a/peer/turn_test.go
+++ b/peer/turn_test.go
@@ -11,7 +11,7 @@
 )
 
 // Calls that are answered in turn wait for each other; one that is given up does not take a turn.
-func TestInTurn(t *testing.T) {
+func TestLimitConcurrency(t *testing.T) {
 	s := peer.NewServer("secret")
 	require.NoError(t, s.Listen("127.0.0.1:0"))
 	t.Cleanup(s.Close)
@@ -30,7 +30,7 @@
 		mu.Unlock()
 		return 1, nil
 	})
-	s.InTurn("large", 2)
+	s.LimitConcurrency("large", 2)
 	c := peer.NewClient("secret")
 	t.Cleanup(c.Close)
 	var g sync.WaitGroup
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -152,7 +152,7 @@
 		Demand: p.admission.DataCentreDemand(), MaxLoads: maxConcurrentLoads,
 	}
 	in.Classes = map[string]placement.Class{}
-	for _, s := range p.view.Slots() {
+	for _, s := range p.view.Endpoints() {
 		in.Endpoints = append(in.Endpoints, s.Endpoint)
 		if s.Role == fleet.EngineRole && s.Slots > 0 {
 			in.Classes[s.Class] = placement.Class{Slots: s.Slots, TokensPerSecond: s.TokensPerSecond}
@@ -191,7 +191,7 @@
 // apply sends orders to the engines that differ from the plan, and starts and stops boxes.
 func (p *Placer) apply(c context.Context, n placement.Plan, fence uint64) {
 	for _, a := range n.Assignments {
-		s := p.view.Slot(a.Box)
+		s := p.view.Endpoint(a.Box)
 		if s == nil || sameSet(s.Loaded, a.Workloads) || !p.canOrder(s) {
 			continue
 		}
@@ -212,7 +212,7 @@
 // canOrder reports whether this box may send orders to an engine now. An engine that checks
 // fences refuses stale orders itself, so the last holder of the lease can continue while
 // the platform is unreachable.
-func (p *Placer) canOrder(s *view.Slot) bool {
+func (p *Placer) canOrder(s *view.EndpointState) bool {
 	return s.ChecksFence || p.lease.Safe(time.Now(), orderTimeout)
 }
 
--- a/plain/proxy.go
+++ b/plain/proxy.go
@@ -148,7 +148,7 @@
 			return a, nil
 		}
 		if b == recovery.Cut && c.Err() == nil {
-			p.suspects.RecordFailure(c, h, s.Process(), s.Address)
+			p.suspects.RecordFailure(c, h, s.ProcessID(), s.Address)
 		}
 		if errkind.Is(err, errkind.AnswerTooLarge) {
 			return nil, err
@@ -202,7 +202,7 @@
 
 // wait chooses an endpoint, and waits for one until the deadline if the call
 // was accepted while there was none.
-func (p *Proxy) wait(c context.Context, q Request, avoid map[string]bool, st recovery.State) (*view.Slot, error) {
+func (p *Proxy) wait(c context.Context, q Request, avoid map[string]bool, st recovery.State) (*view.EndpointState, error) {
 	for {
 		p.fresh.Ensure(c)
 		if s := p.choose(q, avoid, st.Attempts); s != nil {
@@ -238,27 +238,27 @@
 	if d == nil {
 		return 0
 	}
-	ss := p.allowed(d, q.Service, nil, func(s *view.Slot) bool { return s.State == fleet.Live })
-	return rest.MinRemaining(&p.view.Rests, ss, (*view.Slot).Process, boottime.Now())
+	ss := p.allowed(d, q.Service, nil, func(s *view.EndpointState) bool { return s.State == fleet.Live })
+	return rest.MinRemaining(&p.view.BackOffs, ss, (*view.EndpointState).ProcessID, boottime.Now())
 }
 
 // choose picks an endpoint: of this data centre first, of others if there is
 // none here.
-func (p *Proxy) choose(q Request, avoid map[string]bool, attempt int) *view.Slot {
+func (p *Proxy) choose(q Request, avoid map[string]bool, attempt int) *view.EndpointState {
 	d := p.follower.Current()
 	if d == nil {
 		return nil
 	}
 	dc := p.members.Self().DataCentre
 	now := boottime.Now()
-	takes := func(s *view.Slot) bool { return p.view.Rests.Remaining(s.Process(), now) == 0 }
-	ss := p.allowed(d, q.Service, avoid, func(s *view.Slot) bool { return s.DataCentre == dc && s.Usable() && takes(s) })
+	takes := func(s *view.EndpointState) bool { return p.view.BackOffs.Remaining(s.ProcessID(), now) == 0 }
+	ss := p.allowed(d, q.Service, avoid, func(s *view.EndpointState) bool { return s.DataCentre == dc && s.Usable() && takes(s) })
 	if len(ss) == 0 {
-		ss = p.allowed(d, q.Service, avoid, func(s *view.Slot) bool { return s.State == fleet.Live && takes(s) })
+		ss = p.allowed(d, q.Service, avoid, func(s *view.EndpointState) bool { return s.State == fleet.Live && takes(s) })
 	}
 	ts := make([]router.Target, len(ss))
 	for i, s := range ss {
-		ts[i] = router.Target{Box: s.Name, Hash: s.Hash, Busy: s.Busy(), Slots: max(s.Slots, 1), TokensPerSecond: 1}
+		ts[i] = router.Target{Box: s.Name, Hash: s.Hash, Busy: s.EstimateStreams(), Slots: max(s.Slots, 1), TokensPerSecond: 1}
 	}
 	ch := router.LeastLoaded{}.Pick(ts, router.Query{})
 	n := decisions.Decision{Subject: q.ID, Event: "route", Attempt: attempt, Reason: ch.Reason, Workload: q.Service}
@@ -274,9 +274,9 @@
 	return ss[ch.Index]
 }
 
-func (p *Proxy) allowed(d *config.Document, service string, avoid map[string]bool, ok func(*view.Slot) bool) []*view.Slot {
-	var out []*view.Slot
-	for _, s := range p.view.Slots() {
+func (p *Proxy) allowed(d *config.Document, service string, avoid map[string]bool, ok func(*view.EndpointState) bool) []*view.EndpointState {
+	var out []*view.EndpointState
+	for _, s := range p.view.Endpoints() {
 		if may, _ := d.Allowed(service, s.Box); s.Role != fleet.ServiceRole || s.Service != service || avoid[s.Name] || !ok(s) || !may {
 			continue
 		}
@@ -286,9 +286,9 @@
 }
 
 // attempt makes the call once and reads its whole answer.
-func (p *Proxy) attempt(c context.Context, q Request, s *view.Slot, n int) (*Response, recovery.Break, error) {
-	s.Sent.Add(1)
-	defer s.Sent.Add(-1)
+func (p *Proxy) attempt(c context.Context, q Request, s *view.EndpointState, n int) (*Response, recovery.Break, error) {
+	s.InFlight.Add(1)
+	defer s.InFlight.Add(-1)
 	var wrote atomic.Bool
 	x := httptrace.WithClientTrace(c, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { wrote.Store(true) },
@@ -312,7 +312,7 @@
 	defer a.Body.Close()
 	if a.StatusCode == http.StatusServiceUnavailable {
 		// A service that refuses is the least loaded: it would get every call.
-		p.view.Rests.Extend(s.Process(), rest.ParseRetryAfter(a.Header), boottime.Now())
+		p.view.BackOffs.Extend(s.ProcessID(), rest.ParseRetryAfter(a.Header), boottime.Now())
 	}
 	return whole(a, s.Name)
 }
--- a/stream/choose.go
+++ b/stream/choose.go
@@ -32,7 +32,7 @@
 // candidate is an endpoint that may run a workload, and how well it meets the
 // selectors' preferences.
 type candidate struct {
-	*view.Slot
+	*view.EndpointState
 	preference float64
 }
 
@@ -56,7 +56,7 @@
 	if known {
 		return cs
 	}
-	for _, s := range x.snapshot.Slots {
+	for _, s := range x.snapshot.Endpoints {
 		if s.DataCentre != x.dc || !s.Usable() || !s.Has(workload) {
 			continue
 		}
@@ -86,7 +86,7 @@
 // between decisions so that a decision does not allocate with the fleet's size.
 type candidates struct {
 	targets []router.Target
-	slots   []*view.Slot
+	slots   []*view.EndpointState
 }
 
 // gather fills the candidates, but for those to be avoided and those that rest.
@@ -95,12 +95,12 @@
 	now := boottime.Now()
 	none := rests.IsEmpty(now)
 	for _, s := range cs {
-		if avoid[s.Name] || !none && rests.Remaining(s.Process(), now) > 0 {
+		if avoid[s.Name] || !none && rests.Remaining(s.ProcessID(), now) > 0 {
 			continue
 		}
-		c.slots = append(c.slots, s.Slot)
+		c.slots = append(c.slots, s.EndpointState)
 		c.targets = append(c.targets, router.Target{
-			Box: s.Name, Hash: s.Hash, Busy: s.Busy(), Slots: s.Slots, TokensPerSecond: s.TokensPerSecond,
+			Box: s.Name, Hash: s.Hash, Busy: s.EstimateStreams(), Slots: s.Slots, TokensPerSecond: s.TokensPerSecond,
 			Preference: s.preference, PrefixCached: s.Name == held,
 		})
 	}
@@ -125,7 +125,7 @@
 	prefix := engine.Prefix(r.s.Workload, r.s.Prompt)
 	held, _ := r.k.prefixes.Get(prefix)
 	cs := r.k.indexOf(d).of(r.s.Workload)
-	b.gather(cs, held, r.avoid, &r.k.view.Rests)
+	b.gather(cs, held, r.avoid, &r.k.view.BackOffs)
 	q := router.Query{
 		Prefix: prefix, PromptTokens: engine.PromptTokens(r.s.Prompt), AnswerTokens: r.s.MaxTokens - r.splice.Next,
 		Urgent: r.s.Kind.Urgent(), Deadline: time.Until(r.s.Deadline),
@@ -147,7 +147,7 @@
 	if !errors.As(err, &e) || e.Kind != errkind.NoEndpoint {
 		return err
 	}
-	left := rest.MinRemaining(&r.k.view.Rests, cs, candidate.Process, boottime.Now())
+	left := rest.MinRemaining(&r.k.view.BackOffs, cs, candidate.ProcessID, boottime.Now())
 	return e.After(left)
 }
 
@@ -202,7 +202,7 @@
 // with this box's part of their free slots.
 func (k *Keeper) destinations() map[string]fleet.Endpoint {
 	m := map[string]fleet.Endpoint{}
-	for _, s := range k.view.Slots() {
+	for _, s := range k.view.Endpoints() {
 		if s.DataCentre == k.dc && s.Usable() && s.Role == fleet.EngineRole {
 			m[s.Name] = s.Endpoint
 		}
--- a/stream/choose_test.go
+++ b/stream/choose_test.go
@@ -29,14 +29,14 @@
 	return d
 }
 
-func slots(n int) []*view.Slot {
-	ss := make([]*view.Slot, n)
+func slots(n int) []*view.EndpointState {
+	ss := make([]*view.EndpointState, n)
 	for i := range ss {
 		e := fleet.Endpoint{
 			Box:  fleet.Box{Name: fmt.Sprintf("box-%d", i), DataCentre: "a", Role: fleet.EngineRole, Class: "new", State: fleet.Live},
 			Load: fleet.Load{Incarnation: "i", Loaded: []string{"m1@1", "m1@2", "m2@1", "m2@2"}, Slots: 8, TokensPerSecond: 50},
 		}
-		ss[i] = &view.Slot{Endpoint: e, Hash: rendezvous.Hash(e.Name), Sent: new(atomic.Int64)}
+		ss[i] = &view.EndpointState{Endpoint: e, Hash: rendezvous.Hash(e.Name), InFlight: new(atomic.Int64)}
 	}
 	return ss
 }
@@ -56,12 +56,12 @@
 	ss[4].DataCentre = "b"
 	ss[6].Incarnation = ""
 	var c candidates
-	x := &index{snapshot: &view.Snapshot{Slots: ss}, document: d, dc: "a"}
+	x := &index{snapshot: &view.Snapshot{Endpoints: ss}, document: d, dc: "a"}
 	var rests rest.BackOffs
 	c.gather(x.of("m@1"), "", map[string]bool{"box-5": true}, &rests)
 	require.Len(t, c.targets, 1)
 	require.Equal(t, "box-0", c.targets[0].Box)
-	rests.Extend(ss[0].Process(), time.Minute, boottime.Now())
+	rests.Extend(ss[0].ProcessID(), time.Minute, boottime.Now())
 	c.gather(x.of("m@1"), "", nil, &rests)
 	require.Len(t, c.targets, 1)
 	require.Equal(t, "box-5", c.targets[0].Box)
@@ -73,7 +73,7 @@
 	d := document(b)
 	for _, n := range []int{9, 37, 111, 333} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
-			x := &index{snapshot: &view.Snapshot{Slots: slots(n)}, document: d, dc: "a"}
+			x := &index{snapshot: &view.Snapshot{Endpoints: slots(n)}, document: d, dc: "a"}
 			var c candidates
 			p := router.Affinity{LoadBound: 1.25, RecomputeWeight: 0.2}
 			b.ReportAllocs()
--- a/stream/keeper.go
+++ b/stream/keeper.go
@@ -194,13 +194,13 @@
 	if t.slot == nil {
 		return func() {}
 	}
-	t.slot.Sent.Add(1)
-	return func() { t.slot.Sent.Add(-1) }
+	t.slot.InFlight.Add(1)
+	return func() { t.slot.InFlight.Add(-1) }
 }
 
 // gone reports whether a box was taken.
 func (k *Keeper) gone(box string) bool {
-	s := k.view.Slot(box)
+	s := k.view.Endpoint(box)
 	return s == nil || s.State == fleet.Gone || s.State == fleet.Leaving && time.Now().After(s.Deadline)
 }
 
@@ -272,7 +272,7 @@
 	var ss []reclaim.Stream
 	by := map[string]*Stream{}
 	rate := 1.0
-	if s := k.view.Slot(box); s != nil {
+	if s := k.view.Endpoint(box); s != nil {
 		rate = s.TokensPerSecond
 	}
 	for _, s := range k.live() {
@@ -299,7 +299,7 @@
 
 // rooms is this box's part of the free slots of the other endpoints.
 func (k *Keeper) rooms() []reclaim.Destination {
-	n := max(len(k.members.Names()), 1)
+	n := max(len(k.members.LocalBoxes()), 1)
 	var ds []reclaim.Destination
 	for _, e := range k.destinations() {
 		if free := (e.Slots - e.Running - e.Waiting + n - 1) / n; free > 0 {
--- a/stream/leave.go
+++ b/stream/leave.go
@@ -94,24 +94,24 @@
 }
 
 // landings are the planned destination and others that may do as well.
-func (r *run) landings(to string) []*view.Slot {
+func (r *run) landings(to string) []*view.EndpointState {
 	d := r.k.follower.Current()
-	var ss []*view.Slot
-	for _, s := range r.k.view.Slots() {
+	var ss []*view.EndpointState
+	for _, s := range r.k.view.Endpoints() {
 		ok, _ := d.Allowed(r.s.Workload, s.Box)
 		if !ok || s.DataCentre != r.k.dc || !s.Usable() || !s.Has(r.s.Workload) || s.Name == r.target.box {
 			continue
 		}
 		ss = append(ss, s)
 	}
-	slices.SortStableFunc(ss, func(a, b *view.Slot) int {
-		return cmp.Or(first(a, to)-first(b, to), cmp.Compare(a.Busy(), b.Busy()))
+	slices.SortStableFunc(ss, func(a, b *view.EndpointState) int {
+		return cmp.Or(first(a, to)-first(b, to), cmp.Compare(a.EstimateStreams(), b.EstimateStreams()))
 	})
 	return ss[:min(len(ss), maxLandings)]
 }
 
 // first orders the endpoint on a box before the others.
-func first(s *view.Slot, box string) int {
+func first(s *view.EndpointState, box string) int {
 	if s.Name == box {
 		return 0
 	}
--- a/stream/relay.go
+++ b/stream/relay.go
@@ -212,7 +212,7 @@
 	if k.base.Err() != nil || k.draining.Load() {
 		return struct{}{}, errkind.New(errkind.Stopping, "this box stops too")
 	}
-	slot := k.view.Slot(h.Box)
+	slot := k.view.Endpoint(h.Box)
 	if slot == nil {
 		return struct{}{}, errkind.New(errkind.NoEndpoint, "box %s is not known here", h.Box)
 	}
--- a/stream/run.go
+++ b/stream/run.go
@@ -70,7 +70,7 @@
 	box         string
 	incarnation string
 	address     string
-	slot        *view.Slot
+	slot        *view.EndpointState
 }
 
 func newRun(k *Keeper, s *Stream) *run {
@@ -125,7 +125,7 @@
 // decide asks recovery, and notes what it says.
 func (r *run) decide(c context.Context, b recovery.Break) recovery.Decision {
 	if b == recovery.Cut && r.target.slot != nil && c.Err() == nil {
-		r.k.suspects.RecordFailure(c, r.content, r.target.slot.Process(), r.target.address)
+		r.k.suspects.RecordFailure(c, r.content, r.target.slot.ProcessID(), r.target.address)
 	}
 	if b != recovery.Refused && b != recovery.Unreachable && b != recovery.NeverSeen {
 		r.ran = true
@@ -221,7 +221,7 @@
 func (r *run) noteRest(err error) {
 	var e *engine.RestError
 	if r.target.slot != nil && errors.As(err, &e) {
-		r.k.view.Rests.Extend(r.target.slot.Process(), e.For, boottime.Now())
+		r.k.view.BackOffs.Extend(r.target.slot.ProcessID(), e.For, boottime.Now())
 	}
 }
 
@@ -292,7 +292,7 @@
 	if r.target.slot != nil {
 		return r.k.gone(r.target.box)
 	}
-	m, up := r.k.members.Answering(r.target.incarnation)
+	m, up := r.k.members.ResolveIncarnation(r.target.incarnation)
 	return !up || m.Box != r.target.box
 }
 
--- a/view/digest.go
+++ b/view/digest.go
@@ -9,7 +9,7 @@
 	"birchlink.dev/birchlink/fleet"
 )
 
-func compare(a, b string) int { return cmp.Compare(a, b) }
+func compareNames(a, b string) int { return cmp.Compare(a, b) }
 
 // digest hashes what the boxes of a list must agree on.
 func digest(bs []fleet.Box) uint64 {
--- a/view/view.go
+++ b/view/view.go
@@ -22,7 +22,7 @@
 
 // noticeKept is how long after its deadline a notice still counts, since the
 // box list lags behind it.
-const noticeKept = 30 * time.Second
+const noticeRetention = 30 * time.Second
 
 // Row is the part of a load report that changes all the time.
 type Row struct {
@@ -45,25 +45,25 @@
 	ChecksFence     bool
 }
 
-// Slot is one endpoint as the router sees it. Sent counts this box's own work
+// EndpointState is one endpoint as the router sees it. Sent counts this box's own work
 // in flight there, base what of it the last report already covered.
-type Slot struct {
+type EndpointState struct {
 	fleet.Endpoint
-	Hash uint64
-	Seen time.Time
+	Hash       uint64
+	ReportedAt time.Time
 
-	Sent *atomic.Int64
-	base int64
+	InFlight         *atomic.Int64
+	reportedInFlight int64
 }
 
-// Busy estimates the streams at the endpoint now: the lagging report, and what
+// EstimateStreams estimates the streams at the endpoint now: the lagging report, and what
 // this box has sent or ended since.
-func (s *Slot) Busy() int {
-	return max(s.Running+s.Waiting+int(s.Sent.Load()-s.base), int(s.Sent.Load()), 0)
+func (s *EndpointState) EstimateStreams() int {
+	return max(s.Running+s.Waiting+int(s.InFlight.Load()-s.reportedInFlight), int(s.InFlight.Load()), 0)
 }
 
-// Process names the process at the endpoint: what it said holds for no other.
-func (s *Slot) Process() string { return s.Name + "/" + s.Incarnation }
+// ProcessID names the process at the endpoint: what it said holds for no other.
+func (s *EndpointState) ProcessID() string { return s.Name + "/" + s.Incarnation }
 
 // ID returns the short name of a box in rows.
 func ID(box string) uint32 { return uint32(rendezvous.Hash(box)) }
@@ -72,20 +72,20 @@
 // moment; writers replace them.
 type View struct {
 	// Rests are those that endpoints' processes asked this box for.
-	Rests rest.BackOffs
-
-	mu      sync.Mutex
-	boxes   []fleet.Box
-	digest  uint64
-	notices map[string]time.Time
-	facts   map[uint32]Facts
-	rows    map[uint32]Row
-	seen    map[uint32]time.Time
-	sent    map[string]*atomic.Int64
-	base    map[uint32]int64
-	horizon time.Time
-	leaving []func(box string, deadline time.Time)
-	label   func(fleet.Box) fleet.Box
+	BackOffs rest.BackOffs
+
+	mu               sync.Mutex
+	boxes            []fleet.Box
+	digest           uint64
+	notices          map[string]time.Time
+	facts            map[uint32]Facts
+	rows             map[uint32]Row
+	reportedAt       map[uint32]time.Time
+	inFlight         map[string]*atomic.Int64
+	reportedInFlight map[uint32]int64
+	horizon          time.Time
+	leavingCallbacks []func(box string, deadline time.Time)
+	label            func(fleet.Box) fleet.Box
 
 	snapshot atomic.Pointer[Snapshot]
 }
@@ -93,14 +93,14 @@
 // Snapshot is the endpoints at one moment. It is never changed, so two that
 // are the same pointer are the same.
 type Snapshot struct {
-	Slots []*Slot
+	Endpoints []*EndpointState
 }
 
 // New returns an empty view.
 func New() *View {
 	v := &View{
-		notices: map[string]time.Time{}, facts: map[uint32]Facts{}, rows: map[uint32]Row{}, seen: map[uint32]time.Time{},
-		sent: map[string]*atomic.Int64{}, base: map[uint32]int64{}, label: func(b fleet.Box) fleet.Box { return b },
+		notices: map[string]time.Time{}, facts: map[uint32]Facts{}, rows: map[uint32]Row{}, reportedAt: map[uint32]time.Time{},
+		inFlight: map[string]*atomic.Int64{}, reportedInFlight: map[uint32]int64{}, label: func(b fleet.Box) fleet.Box { return b },
 	}
 	v.snapshot.Store(&Snapshot{})
 	return v
@@ -115,7 +115,7 @@
 	if err != nil {
 		return err
 	}
-	f.OnChange(func(d *config.Document) { v.setLabels(d.Label) })
+	f.OnChange(func(d *config.Document) { v.setLabeler(d.Label) })
 	return nil
 }
 
@@ -125,12 +125,12 @@
 // Snapshot returns the endpoints as they are now.
 func (v *View) Snapshot() *Snapshot { return v.snapshot.Load() }
 
-// Slots returns the endpoints as they are now. The slice is not to be changed.
-func (v *View) Slots() []*Slot { return v.Snapshot().Slots }
+// Endpoints returns the endpoints as they are now. The slice is not to be changed.
+func (v *View) Endpoints() []*EndpointState { return v.Snapshot().Endpoints }
 
-// Slot returns the endpoint on a box, or nil.
-func (v *View) Slot(box string) *Slot {
-	for _, s := range v.Slots() {
+// Endpoint returns the endpoint on a box, or nil.
+func (v *View) Endpoint(box string) *EndpointState {
+	for _, s := range v.Endpoints() {
 		if s.Name == box {
 			return s
 		}
@@ -144,7 +144,7 @@
 	defer v.mu.Unlock()
 	bs := slices.Clone(v.boxes)
 	for i := range bs {
-		bs[i] = v.apply(bs[i])
+		bs[i] = v.annotate(bs[i])
 	}
 	return bs, v.digest
 }
@@ -178,11 +178,11 @@
 func (v *View) OnLeaving(f func(box string, deadline time.Time)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.leaving = append(v.leaving, f)
+	v.leavingCallbacks = append(v.leavingCallbacks, f)
 }
 
 // setLabels changes how operators' labels are put on boxes.
-func (v *View) setLabels(f func(fleet.Box) fleet.Box) {
+func (v *View) setLabeler(f func(fleet.Box) fleet.Box) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.label = f
@@ -193,7 +193,7 @@
 func (v *View) SetBoxes(bs []fleet.Box) {
 	v.mu.Lock()
 	v.boxes = slices.Clone(bs)
-	slices.SortFunc(v.boxes, func(a, b fleet.Box) int { return compare(a.Name, b.Name) })
+	slices.SortFunc(v.boxes, func(a, b fleet.Box) int { return compareNames(a.Name, b.Name) })
 	v.digest = digest(v.boxes)
 	var fresh []fleet.Box
 	for _, b := range v.boxes {
@@ -204,7 +204,7 @@
 	}
 	v.rebuild()
 	v.mu.Unlock()
-	v.tell(fresh)
+	v.notifyLeaving(fresh)
 }
 
 // SetNotices adds notices that are known as of a time. It returns how many were
@@ -213,13 +213,13 @@
 	v.mu.Lock()
 	var fresh []fleet.Box
 	for b, d := range bs {
-		if _, known := v.notices[b]; !known && time.Since(d) < noticeKept {
+		if _, known := v.notices[b]; !known && time.Since(d) < noticeRetention {
 			v.notices[b] = d
 			fresh = append(fresh, fleet.Box{Name: b, Deadline: d})
 		}
 	}
 	for b, d := range v.notices {
-		if time.Since(d) > noticeKept {
+		if time.Since(d) > noticeRetention {
 			delete(v.notices, b)
 		}
 	}
@@ -230,13 +230,13 @@
 		v.rebuild()
 	}
 	v.mu.Unlock()
-	v.tell(fresh)
+	v.notifyLeaving(fresh)
 	return len(fresh)
 }
 
-func (v *View) tell(bs []fleet.Box) {
+func (v *View) notifyLeaving(bs []fleet.Box) {
 	v.mu.Lock()
-	fs := v.leaving
+	fs := v.leavingCallbacks
 	v.mu.Unlock()
 	for _, b := range bs {
 		for _, f := range fs {
@@ -285,25 +285,25 @@
 		if !ok {
 			missing = append(missing, r.ID)
 		}
-		v.rows[r.ID], v.seen[r.ID] = r, now
-		v.base[r.ID] = v.counter(f.Box).Load()
+		v.rows[r.ID], v.reportedAt[r.ID] = r, now
+		v.reportedInFlight[r.ID] = v.inFlightCounter(f.Box).Load()
 	}
 	v.rebuild()
 	return missing
 }
 
-// counter returns the count of own work at a box. The caller holds the lock.
-func (v *View) counter(box string) *atomic.Int64 {
-	c, ok := v.sent[box]
+// inFlightCounter returns the count of own work at a box. The caller holds the lock.
+func (v *View) inFlightCounter(box string) *atomic.Int64 {
+	c, ok := v.inFlight[box]
 	if !ok {
 		c = new(atomic.Int64)
-		v.sent[box] = c
+		v.inFlight[box] = c
 	}
 	return c
 }
 
-// apply puts labels and notices on a box. The caller holds the lock.
-func (v *View) apply(b fleet.Box) fleet.Box {
+// annotate puts labels and notices on a box. The caller holds the lock.
+func (v *View) annotate(b fleet.Box) fleet.Box {
 	b = v.label(b)
 	if d, ok := v.notices[b.Name]; ok && b.State == fleet.Live {
 		b.State, b.Deadline = fleet.Leaving, d
@@ -313,7 +313,7 @@
 
 // rebuild makes the slots anew. The caller holds the lock.
 func (v *View) rebuild() {
-	ss := make([]*Slot, 0, len(v.boxes))
+	ss := make([]*EndpointState, 0, len(v.boxes))
 	for _, b := range v.boxes {
 		if b.Role == fleet.EntryRole || b.State == fleet.Stopped || b.State == fleet.Gone {
 			continue
@@ -322,12 +322,12 @@
 		f, r := v.facts[id], v.rows[id]
 		l := fleet.Load{
 			Incarnation: f.Incarnation, ChecksFence: f.ChecksFence, Loaded: f.Loaded, Slots: f.Slots,
-			Running: int(r.Running), Waiting: int(r.Waiting), TokensPerSecond: f.TokensPerSecond, Reported: v.seen[id],
+			Running: int(r.Running), Waiting: int(r.Waiting), TokensPerSecond: f.TokensPerSecond, Reported: v.reportedAt[id],
 		}
-		ss = append(ss, &Slot{
-			Endpoint: fleet.Endpoint{Box: v.apply(b), Load: l}, Hash: rendezvous.Hash(b.Name),
-			Seen: v.seen[id], Sent: v.counter(b.Name), base: v.base[id],
+		ss = append(ss, &EndpointState{
+			Endpoint: fleet.Endpoint{Box: v.annotate(b), Load: l}, Hash: rendezvous.Hash(b.Name),
+			ReportedAt: v.reportedAt[id], InFlight: v.inFlightCounter(b.Name), reportedInFlight: v.reportedInFlight[id],
 		})
 	}
-	v.snapshot.Store(&Snapshot{Slots: ss})
+	v.snapshot.Store(&Snapshot{Endpoints: ss})
 }
--- a/view/view_test.go
+++ b/view/view_test.go
@@ -26,7 +26,7 @@
 
 // A notice holds against a box list that lags behind it, is told once, and is
 // forgotten only after its deadline.
-func TestNoticeBeatsTheList(t *testing.T) {
+func TestNoticeOverridesStaleList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := view.New()
 		var told []string
@@ -37,8 +37,8 @@
 		require.Equal(t, 1, v.SetNotices(n, time.Now()))
 		require.Zero(t, v.SetNotices(n, time.Now()))
 		v.SetBoxes(boxes(2))
-		require.Equal(t, fleet.Leaving, v.Slot("e000").State)
-		require.False(t, v.Slot("e000").Usable())
+		require.Equal(t, fleet.Leaving, v.Endpoint("e000").State)
+		require.False(t, v.Endpoint("e000").Usable())
 		require.Equal(t, []string{"e000"}, told)
 		time.Sleep(2 * time.Minute)
 		v.SetNotices(nil, time.Now())
@@ -48,18 +48,18 @@
 
 // The load of an endpoint is its lagging report and what this box has sent and
 // ended since.
-func TestBusyCorrectsTheReport(t *testing.T) {
+func TestEstimateStreamsCorrectsReport(t *testing.T) {
 	v := view.New()
 	v.SetBoxes(boxes(1))
 	v.SetFacts(facts("e000"))
-	v.Slot("e000").Sent.Add(2)
+	v.Endpoint("e000").InFlight.Add(2)
 	v.SetRows([]view.Row{{ID: view.ID("e000"), Running: 5}})
-	s := v.Slot("e000")
-	require.Equal(t, 5, s.Busy(), "the report has what was sent before")
-	s.Sent.Add(3)
-	require.Equal(t, 8, s.Busy())
-	s.Sent.Add(-4)
-	require.Equal(t, 4, s.Busy())
+	s := v.Endpoint("e000")
+	require.Equal(t, 5, s.EstimateStreams(), "the report has what was sent before")
+	s.InFlight.Add(3)
+	require.Equal(t, 8, s.EstimateStreams())
+	s.InFlight.Add(-4)
+	require.Equal(t, 4, s.EstimateStreams())
 }
 
 // Rows of endpoints without facts are asked for.
@@ -67,9 +67,9 @@
 	v := view.New()
 	v.SetBoxes(boxes(1))
 	require.Equal(t, []uint32{view.ID("e000")}, v.SetRows([]view.Row{{ID: view.ID("e000")}}))
-	require.False(t, v.Slot("e000").Usable())
+	require.False(t, v.Endpoint("e000").Usable())
 	v.SetFacts(facts("e000"))
-	require.True(t, v.Slot("e000").Usable())
+	require.True(t, v.Endpoint("e000").Usable())
 }
 
 // BenchmarkRows is what one push of load rows costs a box.
