--- a/known/known.go
+++ b/known/known.go
@@ -1,5 +1,7 @@
-// Package known holds what a box has learnt of its fleet: the configuration in
-// force and the endpoints, and how fresh each is.
+// Package known holds a box's copy of the fleet's state: the configuration in
+// force, the endpoint records and the rollout orders. The state comes from watches
+// of the store or, on a box that doesn't watch it, from other boxes. Changes are
+// applied by revision, so an older one never replaces a newer one.
 package known
 
 import (
@@ -25,43 +27,44 @@
 // Name is the name of the service.
 const Name = "known"
 
-// lapse is how long after an outage of the store a record that vanished may come
-// back: endpoints that live write theirs again within two seconds. What vanishes
-// later in that time is held for the rest of it only, since an endpoint that left
-// without a word must get no new work two seconds after it did.
+// reappearWindow is how long after an outage of the store the removal of an
+// endpoint is delayed: a live endpoint rewrites its expired record within 2 s. A
+// record deleted within the window is kept until the end of the window only,
+// because an endpoint that crashed must get no new work 2 s later.
 const reappearWindow = 2 * time.Second
 
-// watchWait is how long a call waits for changes: well inside the 2 s within
-// which a configuration has to be in force and a leaving endpoint known.
+// watchTimeout is how long one watch call waits for changes. It is well below the
+// 2 s within which a new configuration must be in force and a leaving endpoint known.
 const watchTimeout = 1400 * time.Millisecond
 
-// Source says where the configuration and the endpoints stand, and decodes them.
+// Source names the store keys of the configuration, the rollout orders and the
+// endpoint records, and decodes their values.
 type Source struct {
 	ConfigKey       string
-	OperatorPrefix  string // begins ConfigKey and the keys of orders; empty where there are none
+	OperatorPrefix  string // common prefix of ConfigKey and the rollout orders; empty without orders
 	EndpointsPrefix string
 	DecodeConfig    func([]byte) (*catalog.Document, error)
 	DecodeEndpoint  func(key string, value []byte) (endpoint.Endpoint, error)
 
-	// Order decodes an order of a roll-out, and reports whether the key is that of one.
+	// DecodeOrder decodes a rollout order and reports whether the key is that of an order.
 	DecodeOrder func(store.Item) (rollout.Order, bool, error)
 }
 
-// Service is the service of one box.
+// Service keeps the fleet state of one box up to date.
 type Service struct {
 	Source
 	Store  store.Store
 	Roster endpoint.Roster
 
-	// Told says that others may tell this box of the store: it begins to watch the store when
-	// Follow is called, and not at its start.
+	// DeferWatch makes Start leave the store unwatched until SetWatching is called. It is set
+	// on a box that gets changes from other boxes.
 	DeferWatch bool
 
-	// OnOrders, if set, is called with all orders of roll-outs that stand, when the store has told
-	// of a change of one.
+	// OnOrders, if set, is called with all current rollout orders when one of them changes in
+	// the store.
 	OnOrders func(rollout.Orders)
 
-	// OnForeign, if set, is called with why a record names no endpoint.
+	// OnInvalidRecord, if set, is called with the reason why an endpoint record was rejected.
 	OnInvalidRecord func(endpoint.Reason)
 
 	log     zerolog.Logger
@@ -72,23 +75,23 @@
 	group   sync.WaitGroup
 
 	table         atomic.Pointer[catalog.Table]
-	endpointsRead atomic.Bool // the endpoints have been read once
+	endpointsRead atomic.Bool // whether all endpoint records have been read once
 
 	mu              sync.Mutex
-	rawConfig       []byte                 // the configuration as it was written
-	pendingRemovals map[string]*time.Timer // records that may come back
-	withStartTime   map[string]bool        // IDs whose records say when the process started
+	rawConfig       []byte                 // the encoded configuration in force
+	pendingRemovals map[string]*time.Timer // by endpoint ID
+	withStartTime   map[string]bool        // endpoint IDs whose records have contained a start time
 	configCallbacks []func([]byte)
-	stopWatch       context.CancelFunc // set while this box watches the store
+	stopWatch       context.CancelFunc // nil unless this box watches the store
 
 	orders map[string]rollout.Order // by service
 
-	rosterMu        sync.Mutex // held while a record is entered into the roster
+	rosterMu        sync.Mutex // held while a record is applied to the roster
 	records         recordSet
 	recordCallbacks []func(Records)
 }
 
-// New returns the service.
+// New returns a service that reads src from s.
 func New(src Source, s store.Store, log zerolog.Logger) *Service {
 	return &Service{Source: src, Store: s, log: log, pendingRemovals: map[string]*time.Timer{}, withStartTime: map[string]bool{}}
 }
@@ -96,14 +99,17 @@
 // Name returns the service's name.
 func (k *Service) Name() string { return Name }
 
-// Start begins to follow the store.
+// Start begins to watch the store, unless DeferWatch is set.
 func (k *Service) Start(_ context.Context, n *kernel.Kernel) error {
 	if err := kernel.Bind(n, session.Name, &k.session); err != nil {
 		return err
 	}
 	k.mirrors = []*mirror.Mirror{
 		{Store: k.Store, Prefix: k.operatorPrefix(), Wait: watchTimeout, Apply: k.applyConfig, Log: k.log, StoreUnreachable: k.session.Away},
-		{Store: k.Store, Prefix: k.EndpointsPrefix, Wait: watchTimeout, Apply: k.applyEndpoints, StartRevision: k.Revision, Log: k.log, StoreUnreachable: k.session.Away},
+		{
+			Store: k.Store, Prefix: k.EndpointsPrefix, Wait: watchTimeout, Apply: k.applyEndpoints, StartRevision: k.Revision,
+			Log: k.log, StoreUnreachable: k.session.Away,
+		},
 	}
 	for _, m := range k.mirrors {
 		k.session.OnReturn(m.Restart)
@@ -113,8 +119,8 @@
 	return nil
 }
 
-// SetWatching begins or ends watching the store. A box that does not watch is told of
-// changes by one that does.
+// SetWatching starts or stops watching the store. A box that doesn't watch gets the
+// changes from a box that does.
 func (k *Service) SetWatching(on bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -140,7 +146,7 @@
 	return k.stopWatch != nil
 }
 
-// Stop ends the following.
+// Stop stops watching the store and waits for running callbacks.
 func (k *Service) Stop(context.Context) error {
 	k.cancel()
 	k.group.Wait()
@@ -153,15 +159,16 @@
 // Ready reports whether the configuration and the endpoints are known.
 func (k *Service) Ready() bool { return k.table.Load() != nil && k.endpointsRead.Load() }
 
-// OnRawConfig sets what is called, on a goroutine of its own, with the text of each
-// configuration installed from now on.
+// OnRawConfig registers a function that is called, on a goroutine of its own, with the
+// encoded form of each configuration installed from now on.
 func (k *Service) OnRawConfig(f func([]byte)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.configCallbacks = append(k.configCallbacks, f)
 }
 
-// RawConfig returns the version in force and its text, for a box that lacks it.
+// RawConfig returns the version of the configuration in force and its encoded form,
+// or zero values if none is known.
 func (k *Service) RawConfig() (uint64, []byte) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -171,8 +178,8 @@
 	return 0, nil
 }
 
-// Install takes a configuration if it is newer than the one in force. From says
-// where it came from.
+// Install decodes a configuration and puts it in force if its version is newer than
+// the current one. From names the source in errors and logs.
 func (k *Service) Install(raw []byte, from string) error {
 	d, err := k.DecodeConfig(raw)
 	if err != nil {
@@ -195,7 +202,7 @@
 	return nil
 }
 
-// operatorPrefix begins the keys that operators write.
+// operatorPrefix returns the common prefix of the keys that operators write.
 func (k *Service) operatorPrefix() string {
 	if k.OperatorPrefix == "" {
 		return k.ConfigKey
@@ -212,7 +219,7 @@
 			continue
 		}
 		if err := k.Install(i.Value, "store"); err != nil {
-			k.log.Error().Str("event", "configuration").Uint64("revision", i.Revision).Err(err).Msg("not taken; the one in force stays")
+			k.log.Error().Str("event", "configuration").Uint64("revision", i.Revision).Err(err).Msg("not taken; the configuration in force is kept")
 		}
 	}
 }
@@ -221,23 +228,23 @@
 	k.applyRecords(Records{Items: items, Whole: whole, To: revision})
 }
 
-// applyRecords enters a change into the records, and from there into the roster. Changes come
-// from the store and from other boxes at once: the roster takes of each key what the records
-// hold when it does, whichever change is done first.
+// applyRecords applies a change to the records and then to the roster. Changes from the store and
+// from other boxes may arrive concurrently, so an item is applied to the roster only if it is
+// still the latest one for its key.
 func (k *Service) applyRecords(c Records) {
 	t := k.records.apply(c)
 	es := k.decode(t.items)
-	many := len(t.items) > maxLoggedRecords
+	bulk := len(t.items) > maxLoggedRecords
 	for _, i := range t.items {
 		k.rosterMu.Lock()
 		if k.records.isCurrent(i) {
-			k.applyRecord(i, es[i.Key], many)
+			k.applyRecord(i, es[i.Key], bulk)
 		}
 		k.rosterMu.Unlock()
 	}
-	if many {
+	if bulk {
 		k.log.Info().Str("event", "endpoints").Int("records", len(t.items)).Bool("whole", c.Whole).Uint64("revision", c.To).
-			Int("known", k.Roster.Len()).Msg("many records at once")
+			Int("known", k.Roster.Len()).Msg("applied many records")
 	}
 	if c.Whole {
 		k.endpointsRead.Store(true)
@@ -248,13 +255,13 @@
 	}
 }
 
-// decoded is what a record says.
+// decoded is the result of decoding a record.
 type decoded struct {
 	endpoint endpoint.Endpoint
 	err      error
 }
 
-// decode reads the records of a change, by key.
+// decode decodes the records of a change, by key. Deleted items are left out.
 func (k *Service) decode(items []store.Item) map[string]decoded {
 	out := make(map[string]decoded, len(items))
 	for _, i := range items {
@@ -266,12 +273,13 @@
 	return out
 }
 
-// fewRecords is how many endpoints that become known by one change are each logged: a box that
-// starts would write a line for each of the fleet.
+// maxLoggedRecords is the largest change whose new endpoints are logged one by one. Without the
+// limit a starting box would log a line for each endpoint of the fleet.
 const maxLoggedRecords = 50
 
-// applyRecord enters one record. Where it is one of many, endpoints that serve get no line.
-func (k *Service) applyRecord(i store.Item, d decoded, many bool) {
+// applyRecord applies one record to the roster. In a bulk change, new endpoints that aren't
+// draining are not logged.
+func (k *Service) applyRecord(i store.Item, d decoded, bulk bool) {
 	switch {
 	case i.Deleted:
 		k.removeOrDelay(strings.TrimPrefix(i.Key, k.EndpointsPrefix), i.Revision)
@@ -280,13 +288,14 @@
 	case k.lacksStartTime(d.endpoint):
 		k.removeInvalid(i, endpoint.NewForeign(endpoint.Missing, "born"))
 	default:
-		k.putEndpoint(d.endpoint, i.Revision, many)
+		k.putEndpoint(d.endpoint, i.Revision, bulk)
 	}
 }
 
-// lacksStartTime reports whether a record does not say when the process started though one before it
-// did: no endpoint leaves that out, and taken for another process it would drop what is known of
-// the one there. Where no record says so, endpoints have no births.
+// lacksStartTime reports whether a record has no start time though an earlier record of the same
+// endpoint had one. Endpoints that report a start time always do, so another program wrote the
+// record. Accepting it would look like a new process and discard the state kept for the running
+// one.
 func (k *Service) lacksStartTime(e endpoint.Endpoint) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -296,8 +305,8 @@
 	return e.Born == 0 && k.withStartTime[e.ID]
 }
 
-// removeInvalid takes out the endpoint of a key that another has written: it gets no new work. An
-// endpoint that lives writes its record again, and is back then; calls under way there go on.
+// removeInvalid removes the endpoint whose record was overwritten by another program, so that it
+// gets no new work. Running calls continue. A live endpoint rewrites its record and is added again.
 func (k *Service) removeInvalid(i store.Item, err error) {
 	id := strings.TrimPrefix(i.Key, k.EndpointsPrefix)
 	k.mu.Lock()
@@ -312,13 +321,14 @@
 	if errors.As(err, &f) {
 		reason = f.Reason
 	}
-	k.log.Warn().Str("event", "endpoint").Str("endpoint", id).Uint64("revision", i.Revision).Err(err).Msg("the record names none to use")
+	k.log.Warn().Str("event", "endpoint").Str("endpoint", id).Uint64("revision", i.Revision).Err(err).Msg("invalid record; endpoint removed")
 	if k.OnInvalidRecord != nil {
 		k.OnInvalidRecord(reason)
 	}
 }
 
-func (k *Service) putEndpoint(e endpoint.Endpoint, revision uint64, many bool) {
+// putEndpoint adds or updates an endpoint and cancels its pending removal.
+func (k *Service) putEndpoint(e endpoint.Endpoint, revision uint64, bulk bool) {
 	k.mu.Lock()
 	if t := k.pendingRemovals[e.ID]; t != nil {
 		t.Stop()
@@ -327,7 +337,7 @@
 	k.mu.Unlock()
 	old, had := k.Roster.Get(e.ID)
 	k.Roster.Put(e)
-	if had && (old.Draining || !e.Draining) && old.Born == e.Born || many && !had && !e.Draining {
+	if had && (old.Draining || !e.Draining) && old.Born == e.Born || bulk && !had && !e.Draining {
 		return
 	}
 	k.log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.Born).Str("service", e.Service).Str("address", e.Address).
@@ -335,8 +345,9 @@
 		Dur("leaves", e.Leaves).Uint64("revision", revision).Msg("known")
 }
 
-// removeOrDelay removes an endpoint whose record is gone: at once, or when the
-// time is over in which a record that ended during an outage may come back.
+// removeOrDelay removes an endpoint whose record was deleted. During an outage of the
+// store and for reappearWindow after it, only draining endpoints are removed at once;
+// the others may be written again.
 func (k *Service) removeOrDelay(id string, revision uint64) {
 	e, had := k.Roster.Get(id)
 	if !had {
@@ -345,11 +356,11 @@
 		k.mu.Unlock()
 		return
 	}
-	if hold := k.session.Unsettled(reappearWindow); hold > 0 && !e.Draining {
+	if delay := k.session.Unsettled(reappearWindow); delay > 0 && !e.Draining {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		if k.pendingRemovals[id] == nil {
-			k.pendingRemovals[id] = time.AfterFunc(hold, func() { k.remove(id, revision) })
+			k.pendingRemovals[id] = time.AfterFunc(delay, func() { k.remove(id, revision) })
 		}
 		return
 	}
--- a/known/known_test.go
+++ b/known/known_test.go
@@ -23,8 +23,8 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// The bound within which a change has to be known, and that of a record that
-// lapsed during an outage.
+// The time within which a change must be applied, and the time within which a
+// record that expired during an outage must be removed.
 const (
 	applyBound   = 2 * time.Second
 	removalBound = 2500 * time.Millisecond
@@ -41,12 +41,12 @@
 			return endpoint.Endpoint{}, endpoint.NewForeign(endpoint.UnknownState, "foreign")
 		}
 		e := endpoint.Endpoint{ID: strings.TrimPrefix(key, "e/"), Service: "s", Draining: string(b) == "draining"}
-		_, _ = fmt.Sscanf(string(b), "born %d", &e.Born) // a record of another form says nothing of it
+		_, _ = fmt.Sscanf(string(b), "born %d", &e.Born) // other values have no start time
 		return e, nil
 	},
 }
 
-// box is one box's view of a store.
+// box is one box with its session and its copy of the store.
 type box struct {
 	*known.Service
 	session *session.Session
@@ -90,8 +90,8 @@
 	})
 }
 
-// A change is in force within the bound, also when the store drops its history
-// and tells the calls that wait nothing.
+// A change is applied in time even if the store compacts its history and the
+// pending watch calls miss the change.
 func TestChangeMissedByWatch(t *testing.T) {
 	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
 		m.SetDeaf(true)
@@ -105,29 +105,29 @@
 	})
 }
 
-// A version never falls, whatever the store or a neighbour says.
+// A configuration with a lower version is ignored, from the store and from other boxes.
 func TestVersionNeverDecreases(t *testing.T) {
 	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
-		require.NoError(t, b.Install([]byte(`{"Version":9}`), "a neighbour"))
+		require.NoError(t, b.Install([]byte(`{"Version":9}`), "another box"))
 		m.Set("config", `{"Version":4}`)
 		wait.For(t.Context(), applyBound)
 		require.EqualValues(t, 9, b.version())
-		require.NoError(t, b.Install([]byte(`{"Version":8}`), "a neighbour"))
+		require.NoError(t, b.Install([]byte(`{"Version":8}`), "another box"))
 		require.EqualValues(t, 9, b.version())
 	})
 }
 
-// A configuration that cannot be read leaves the one in force.
+// A configuration that can't be decoded leaves the current one in force.
 func TestUnreadableConfig(t *testing.T) {
 	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
 		m.Set("config", `{"Version":`)
 		wait.For(t.Context(), applyBound)
 		require.EqualValues(t, 3, b.version())
-		require.Error(t, b.Install([]byte("{"), "a neighbour"))
+		require.Error(t, b.Install([]byte("{"), "another box"))
 	})
 }
 
-// An endpoint that drains never serves again, even if an older record comes.
+// A draining endpoint never serves again, even if a later record lacks the mark.
 func TestDrainingIsFinal(t *testing.T) {
 	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
 		m.Set("e/one", "draining")
@@ -138,8 +138,9 @@
 	})
 }
 
-// Records that end while the store is away come back for a moment afterwards:
-// the endpoint serves on meanwhile, and is gone if it has not come back.
+// Records that expire during an outage of the store may be written again shortly
+// after it. Until then their endpoints keep serving; those whose records stay
+// deleted are removed.
 func TestRecordsDeletedDuringOutage(t *testing.T) {
 	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
 		m.Set("e/two", "ready")
@@ -159,8 +160,8 @@
 	})
 }
 
-// An endpoint that leaves without a word soon after an outage is known to be gone
-// within the bound: only what is left of the time for records to come back counts.
+// An endpoint that crashes soon after an outage is removed in time: the removal
+// waits only for the rest of the window in which records may reappear.
 func TestRemovalSoonAfterOutage(t *testing.T) {
 	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
 		m.SetDown(true)
@@ -173,7 +174,7 @@
 	})
 }
 
-// Without an outage a record that is gone means an endpoint that is gone.
+// Without an outage, an endpoint is removed as soon as its record is deleted.
 func TestRemovalWithoutOutage(t *testing.T) {
 	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
 		wait.For(t.Context(), 2*removalBound)
@@ -184,13 +185,10 @@
 	})
 }
 
-// Two changes came to a box at once, one of them all that there is up to an older revision: of
-// 200 endpoints 182 were in the roster then, for good, though the records were whole:
-//
-//	relay false follows false revision 212 ids 182 records 200
-//
-// The list that was older was taken first, and what was missing in it was removed last, after
-// the newer change had been entered.
+// Guards against a roster that misses endpoints after concurrent changes. A whole list of an older
+// revision and a newer change arrive at the same time. If the removals of the list are applied to
+// the roster after the additions of the newer change, the added endpoints are missing from the
+// roster for good, though the records are complete.
 func TestConcurrentChanges(t *testing.T) {
 	runWithBox(t, func(t *testing.T, _ *memstore.Memory, b *box) {
 		b.SetWatching(false)
@@ -211,8 +209,7 @@
 	})
 }
 
-// A record that comes late is older than what is known of its key, and changes nothing, whoever
-// tells it.
+// A record older than the known state of its key changes nothing, whichever box sends it.
 func TestStaleRecord(t *testing.T) {
 	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
 		at := b.Revision()
@@ -228,8 +225,8 @@
 	})
 }
 
-// A record that another wrote takes its endpoint out at once, though the record before was
-// sound, and leaves the others. The endpoint is back once it has written its own again.
+// A record overwritten by another program removes its endpoint at once and leaves the others. The
+// endpoint is added again when it rewrites its record.
 func TestInvalidRecord(t *testing.T) {
 	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
 		var reasons []endpoint.Reason
@@ -248,10 +245,10 @@
 	})
 }
 
-// A record lacked when its endpoint's process started, though those before it had said so. It was
-// taken for another process under the ID: what was known of the one there, that it leaves among
-// it, no longer held. Another has written such a record, and it names none to use, nor does a
-// second one. A key that is gone begins anew.
+// Guards against a record without a start time that replaces one with a start time. Accepted, it
+// looks like another process under the same ID, and the state of the running process is lost, for
+// example that it is leaving. Such records, also repeated ones, are invalid until the key has been
+// deleted.
 func TestRecordWithoutStartTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var reasons []endpoint.Reason
@@ -287,7 +284,7 @@
 	})
 }
 
-// BenchmarkReadAll enters the records of 10,000 endpoints into an empty box, with its log.
+// BenchmarkReadAll applies the records of 10,000 endpoints to an empty box, including logging.
 func BenchmarkReadAll(b *testing.B) {
 	items := make([]store.Item, 10_000)
 	for i := range items {
@@ -299,7 +296,7 @@
 	}
 }
 
-// More endpoints go at once than it is kept of when they went; all of them are gone.
+// All endpoints are removed when one change deletes more of them than tombstones are kept.
 func TestMoreDeletionsThanTombstones(t *testing.T) {
 	runWithBox(t, func(t *testing.T, _ *memstore.Memory, b *box) {
 		b.SetWatching(false)
--- a/known/orders.go
+++ b/known/orders.go
@@ -8,11 +8,10 @@
 	"birchlink.dev/birchlink/store"
 )
 
-// applyOrders takes the orders of roll-outs out of what operators have written. It is called by one
-// goroutine. An order that cannot be read leaves the one before it standing, as a configuration
-// does.
+// applyOrders updates the rollout orders from the operators' keys. It is called by one goroutine.
+// An order that can't be decoded leaves the previous order in place, as with a configuration.
 func (k *Service) applyOrders(items []store.Item, whole bool, revision uint64) {
-	before := maps.Clone(k.orders)
+	previous := maps.Clone(k.orders)
 	if k.orders == nil || whole {
 		k.orders = map[string]rollout.Order{}
 	}
@@ -21,7 +20,7 @@
 		switch {
 		case err != nil:
 			k.log.Error().Str("event", "rollout").Str("key", i.Key).Uint64("revision", i.Revision).Err(err).Msg("not taken")
-			if old, had := before[o.Service]; had {
+			if old, had := previous[o.Service]; had {
 				k.orders[o.Service] = old
 			}
 		case !ok:
@@ -31,11 +30,11 @@
 			k.orders[o.Service] = o
 		}
 	}
-	if maps.Equal(before, k.orders) {
+	if maps.Equal(previous, k.orders) {
 		return
 	}
 	for s, o := range k.orders {
-		if before[s] != o {
+		if previous[s] != o {
 			k.log.Info().Str("event", "rollout").Str("service", s).Str("version", o.Version).Dur("duration", o.Duration).
 				Uint64("order", o.Revision).Msg("ordered")
 		}
--- a/known/orders_test.go
+++ b/known/orders_test.go
@@ -19,8 +19,8 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// Orders of roll-outs come with the watch of the configuration, without a call of their own. One
-// that cannot be read leaves the one before it, and one that is taken back is gone.
+// Rollout orders arrive with the watch of the configuration, without a call of their own. An order
+// that can't be decoded leaves the previous one in place, and a deleted order is removed.
 func TestOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
@@ -41,8 +41,8 @@
 			return o, true, nil
 		}
 		k := known.New(src, m, zerolog.Nop())
-		var told []rollout.Orders
-		k.OnOrders = func(o rollout.Orders) { told = append(told, o) }
+		var received []rollout.Orders
+		k.OnOrders = func(o rollout.Orders) { received = append(received, o) }
 		b := &box{k, s, t}
 		n := &kernel.Kernel{}
 		require.NoError(t, n.Add(s))
@@ -57,12 +57,12 @@
 		m.Set("op/config", `{"Version":4}`)
 		wait.For(t.Context(), applyBound)
 		require.EqualValues(t, 4, b.version())
-		require.Len(t, told, 1)
-		require.Equal(t, []rollout.Order{{Service: "s", Version: "v2", Revision: at}}, told[0].List)
+		require.Len(t, received, 1)
+		require.Equal(t, []rollout.Order{{Service: "s", Version: "v2", Revision: at}}, received[0].List)
 		m.Unset("op/rollout/s")
 		wait.For(t.Context(), applyBound)
-		require.Len(t, told, 2)
-		require.Empty(t, told[1].List)
-		require.Greater(t, told[1].Revision, told[0].Revision)
+		require.Len(t, received, 2)
+		require.Empty(t, received[1].List)
+		require.Greater(t, received[1].Revision, received[0].Revision)
 	})
 }
--- a/known/records.go
+++ b/known/records.go
@@ -8,8 +8,8 @@
 	"birchlink.dev/birchlink/store"
 )
 
-// Records is a change of the endpoints' records, from one revision of the store
-// to another; with Whole set, Items are all that there are.
+// Records is a change of the endpoint records between the store revisions From and
+// To. If Whole is set, Items holds all records as of To and From has no meaning.
 type Records struct {
 	Items []store.Item
 	Whole bool
@@ -17,30 +17,31 @@
 	To    uint64
 }
 
-// keptGone bounds for how many keys that went it is known when they did: so many may
-// come back by a record that is older and late.
+// maxTombstones is the maximum number of deleted keys whose revision of deletion is
+// kept. Up to that number, a late record older than the deletion is recognized.
 const maxTombstones = 4096
 
-// recordSet keeps the endpoints' records as the store has them, so that a box
-// that does not watch the store can be given them.
+// recordSet is a copy of the endpoint records in the store, from which boxes that
+// don't watch the store are updated.
 type recordSet struct {
 	mu            sync.Mutex
 	items         map[string]store.Item
-	tombstones    map[string]uint64 // the revisions at which keys went
-	completeSince uint64            // the first revision since which all that went is known
+	tombstones    map[string]uint64 // revision of deletion, by key
+	completeSince uint64            // all deletions after this revision are in tombstones
 	revision      uint64
 }
 
-// taken is what a change brought: the items that are news, those that went among them, and
-// the revision from which it led. Fresh says that the records are of a later revision now.
+// applied is the result of applying a change: the items that were new, deletions included, and
+// the revision before the change. If advanced is set, the change raised the revision or was a
+// whole list.
 type applied struct {
 	items    []store.Item
 	from     uint64
 	advanced bool
 }
 
-// apply applies a change. What is older than what is known of its key is left out, so that
-// changes may come in any order, and twice.
+// apply applies a change. Items that aren't newer than the known state of their key are skipped,
+// so changes may arrive in any order and more than once.
 func (r *recordSet) apply(c Records) applied {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,12 +54,12 @@
 		}
 	}
 	if c.Whole {
-		// What went before without this box having known it is not in the list.
+		// Deletions up to c.To that this box missed can't be derived from the list.
 		r.completeSince = max(r.completeSince, c.To)
 		for _, k := range slices.Sorted(maps.Keys(r.items)) {
-			went := store.Item{Key: k, Revision: c.To, Deleted: true}
-			if !listed[k] && r.put(went) {
-				t.items = append(t.items, went)
+			deletion := store.Item{Key: k, Revision: c.To, Deleted: true}
+			if !listed[k] && r.put(deletion) {
+				t.items = append(t.items, deletion)
 			}
 		}
 	}
@@ -66,7 +67,8 @@
 	return t
 }
 
-// put takes one item, and reports whether it is news.
+// put stores one item and reports whether it was newer than the known state of its key. The
+// deletion of an unknown key is stored but not reported.
 func (r *recordSet) put(i store.Item) bool {
 	if r.items == nil {
 		r.items, r.tombstones = map[string]store.Item{}, map[string]uint64{}
@@ -91,7 +93,7 @@
 	return had
 }
 
-// isCurrent reports whether an item is still the last that is known of its key.
+// isCurrent reports whether an item is still the latest known one for its key.
 func (r *recordSet) isCurrent(i store.Item) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,8 +104,8 @@
 	return had && last.Revision == i.Revision
 }
 
-// changesSince returns what has changed after a revision; all records where not all that went since
-// is known.
+// changesSince returns the changes after a revision, or all records if some of the deletions since
+// then are not known.
 func (r *recordSet) changesSince(revision uint64) Records {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,19 +127,19 @@
 	return c
 }
 
-// Revision returns the store's revision up to which the records are known.
+// Revision returns the store revision up to which the records are known.
 func (k *Service) Revision() uint64 {
 	k.records.mu.Lock()
 	defer k.records.mu.Unlock()
 	return k.records.revision
 }
 
-// ChangesSince returns the records that have changed after a revision, as a box lacks them that has
-// missed a change; to one that knows none, or has been away for long, all of them.
+// ChangesSince returns the changes after a revision for a box that missed them. It returns all
+// records if revision is zero or too old.
 func (k *Service) ChangesSince(revision uint64) Records { return k.records.changesSince(revision) }
 
-// Merge applies records that another box has read from the store. It returns
-// false if this box lacks what came before.
+// Merge applies records that another box has read from the store. It returns false
+// if this box lacks the changes before r.From; the caller must fetch them first.
 func (k *Service) Merge(r Records) bool {
 	at := k.Revision()
 	switch {
@@ -150,7 +152,7 @@
 	return true
 }
 
-// OnRecords sets what is called with each change of the records.
+// OnRecords registers a function that is called with each change of the records.
 func (k *Service) OnRecords(f func(Records)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/known/records_test.go
+++ b/known/records_test.go
@@ -12,8 +12,8 @@
 	"birchlink.dev/birchlink/store"
 )
 
-// course is a store whose keys come and go, and boxes that learn of it from the store or from
-// each other, late and with gaps.
+// simulation is a store whose keys are written and deleted, and boxes that are updated from the
+// store or from each other, late and with gaps.
 type simulation struct {
 	rng      *rand.Rand
 	revision uint64
@@ -24,7 +24,7 @@
 
 func (c *simulation) key() string { return fmt.Sprint("e/", c.rng.IntN(30)) }
 
-// change writes or removes a key.
+// mutate writes or deletes a random key.
 func (c *simulation) mutate() {
 	c.revision++
 	i := store.Item{Key: c.key(), Revision: c.revision, Deleted: c.rng.IntN(3) == 0}
@@ -36,7 +36,7 @@
 	c.events = append(c.events, i)
 }
 
-// watch tells a box what the store has written since the box's revision.
+// deliverWatch gives b the changes in the store since b's revision.
 func (c *simulation) deliverWatch(b *recordSet) {
 	var items []store.Item
 	for _, i := range c.events {
@@ -47,22 +47,21 @@
 	b.apply(Records{Items: items, From: b.revision, To: c.revision})
 }
 
-// read tells a box all that stands in the store.
+// deliverAll gives b all records in the store.
 func (c *simulation) deliverAll(b *recordSet) {
 	b.apply(Records{Items: slices.Collect(maps.Values(c.current)), Whole: true, To: c.revision})
 }
 
-// ask tells a box what another has that it lacks.
+// fetchFrom gives b the changes that it lacks and that of has.
 func (c *simulation) fetchFrom(b, of *recordSet) {
 	if r := of.changesSince(b.revision); r.To > b.revision {
 		b.apply(r)
 	}
 }
 
-// After one push that was lost, each member of a relay fetched all records, 10,000 in the largest
-// fleet, twice a second while endpoints were replaced: the answer to a box that lacked a change
-// was everything. It is what has changed since; a box that learns by any mix of watches, whole
-// reads and such answers knows in the end what the store has, and no key that has gone.
+// Guards against answers with all records, 10,000 in the largest fleet, to each box that missed one
+// change. The answer holds the changes since the box's revision only. A box that is updated by any
+// mix of watches, whole lists and such answers ends up with exactly the records in the store.
 func TestChangesSince(t *testing.T) {
 	for seed := range uint64(300) {
 		c := &simulation{rng: rand.New(rand.NewPCG(seed, 0)), current: map[string]store.Item{}}
@@ -92,7 +91,7 @@
 	}
 }
 
-// What a box is told that lacks one change of 10,000 records is that change.
+// A box that lacks one change to 10,000 records gets only that change.
 func TestChangesSinceIsIncremental(t *testing.T) {
 	var r recordSet
 	all := Records{Whole: true, To: 10_000}
@@ -102,5 +101,5 @@
 	r.apply(all)
 	r.apply(Records{Items: []store.Item{{Key: "e/7", Revision: 10_001, Deleted: true}}, From: 10_000, To: 10_001})
 	require.Equal(t, Records{Items: []store.Item{{Key: "e/7", Revision: 10_001, Deleted: true}}, From: 10_000, To: 10_001}, r.changesSince(10_000))
-	require.True(t, r.changesSince(9_999).Whole, "what went before the records were read is not known")
+	require.True(t, r.changesSince(9_999).Whole, "deletions before the first read are unknown")
 }
