--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -1,4 +1,6 @@
-// Package mirror keeps a copy of the keys under a prefix of the store.
+// Package mirror follows the keys under a prefix of the store. It reads all of them
+// once, then watches for changes, and reads all again when the store has compacted
+// the history that it needs.
 package mirror
 
 import (
@@ -14,47 +16,48 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// gather is how long a mirror waits after changes before it asks for more, so
-// that changes that come together cost one call.
+// coalesceDelay is the pause after changes before the next watch call, so that
+// changes in quick succession cost one call.
 const coalesceDelay = 100 * time.Millisecond
 
-// The pause after a call that got no answer, at random between minPause and maxPause.
-// While the store is known to be away it is awayPause, unless the mirror is restarted:
-// each call is paid for, also one that is refused. Where a store was away for 4.5 s,
-// 70 boxes made 1,550 calls that read everything in that time and the next second.
+// The delay after a failed call is random between minRetryDelay and maxRetryDelay.
+// While the store is known to be unreachable it is unreachableRetryDelay, because
+// failed calls are billed too: without the longer delay, 70 boxes made 1,550 calls
+// that read everything during an outage of 4.5 s and the second after it. Restart
+// ends the delay.
 const (
 	minRetryDelay         = 50 * time.Millisecond
 	maxRetryDelay         = 400 * time.Millisecond
 	unreachableRetryDelay = 2 * time.Second
 )
 
-// Mirror follows one prefix. Apply gets changes in the order of their revisions;
-// with whole set, the items are all that there is, and a key that is missing is
-// gone. It is called by one goroutine.
+// Mirror follows one prefix. Apply is called by one goroutine with changes in the
+// order of their revisions. If whole is set, items holds all keys under the prefix,
+// and keys that are missing from it have been deleted.
 type Mirror struct {
 	Store  store.Store
 	Prefix string
 
-	// Wait is how long one call waits for changes. A store that forgets its history
-	// does not end the calls that wait, so a change may go unheard for as long.
+	// Wait is how long one watch call waits for changes. A store that compacts its
+	// history doesn't end pending calls, so a change may be missed for that long.
 	Wait time.Duration
 
 	Apply func(items []store.Item, whole bool, revision uint64)
 	Log   zerolog.Logger
 
-	// Since returns a revision up to which all is known when Run begins; zero, or nil,
-	// is nothing.
+	// StartRevision, if set, is called by Run and returns the revision up to which the
+	// keys are already known. If it is nil or returns zero, Run reads all keys first.
 	StartRevision func() uint64
 
-	// Away reports whether the store is known to answer nothing; nil is never. Whoever
-	// knows that it answers again restarts the mirror.
+	// StoreUnreachable, if set, reports whether the store is known to be unreachable. Its
+	// owner must call Restart when the store answers again.
 	StoreUnreachable func() bool
 
 	mu        sync.Mutex
 	interrupt context.CancelFunc
 }
 
-// Restart ends the call or the pause under way, and begins again from the last revision.
+// Restart interrupts the current call or delay and continues from the last revision.
 func (m *Mirror) Restart() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -63,33 +66,33 @@
 	}
 }
 
-// Run follows the prefix until c ends.
+// Run follows the prefix until c is done.
 func (m *Mirror) Run(c context.Context) {
 	var revision uint64
 	if m.StartRevision != nil {
 		revision = m.StartRevision()
 	}
 	for c.Err() == nil {
-		x, cancel := context.WithCancel(c)
+		call, cancel := context.WithCancel(c)
 		m.mu.Lock()
 		m.interrupt = cancel
 		m.mu.Unlock()
-		next, err := m.poll(x, revision)
+		next, err := m.poll(call, revision)
 		switch {
 		case err == nil:
 			revision = next
 		case errors.Is(err, store.ErrHistory):
-			m.Log.Info().Str("event", "watch").Str("prefix", m.Prefix).Uint64("revision", revision).Msg("the history is gone; reading everything")
+			m.Log.Info().Str("event", "watch").Str("prefix", m.Prefix).Uint64("revision", revision).Msg("history compacted; reading all keys")
 			revision = 0
 		default:
-			m.Log.Debug().Str("event", "watch").Str("prefix", m.Prefix).Err(err).Msg("no answer")
-			wait.For(x, m.retryDelay())
+			m.Log.Debug().Str("event", "watch").Str("prefix", m.Prefix).Err(err).Msg("store call failed")
+			wait.For(call, m.retryDelay())
 		}
 		cancel()
 	}
 }
 
-// pause returns how long to wait after a call that got no answer.
+// retryDelay returns how long to wait after a failed call.
 func (m *Mirror) retryDelay() time.Duration {
 	if m.StoreUnreachable != nil && m.StoreUnreachable() {
 		return unreachableRetryDelay
@@ -97,6 +100,8 @@
 	return minRetryDelay + rand.N(maxRetryDelay-minRetryDelay)
 }
 
+// poll reads all keys if revision is zero, or else waits for changes after it. It returns the new
+// revision.
 func (m *Mirror) poll(c context.Context, revision uint64) (uint64, error) {
 	if revision == 0 {
 		items, at, err := m.Store.Range(c, m.Prefix)
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -15,8 +15,8 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// While the store is known to be away hardly a call is made, and when it is back the
-// change that came meanwhile is read at once.
+// While the store is known to be unreachable, few calls are made. After Restart, a change
+// made in the meantime is read at once.
 func TestStoreUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &memstore.Memory{}
--- a/view/digest.go
+++ b/view/digest.go
@@ -11,7 +11,7 @@
 
 func compareNames(a, b string) int { return cmp.Compare(a, b) }
 
-// digest hashes what the boxes of a list must agree on.
+// digest returns a hash of the fields of a box list that all entry boxes must agree on.
 func digest(bs []fleet.Box) uint64 {
 	h := xxhash.New()
 	for _, b := range bs {
--- a/view/view.go
+++ b/view/view.go
@@ -1,5 +1,6 @@
-// Package view holds what one entry box knows of the endpoints: the box list,
-// reclaim notices, lagging load, and its own work in flight.
+// Package view holds an entry box's view of the endpoints: the box list, reclaim
+// notices, the latest load reports, and the box's own streams in flight. Readers
+// get immutable snapshots.
 package view
 
 import (
@@ -20,11 +21,11 @@
 // Name is the name of the service.
 const Name = "view"
 
-// noticeKept is how long after its deadline a notice still counts, since the
-// box list lags behind it.
+// noticeRetention is how long a notice is kept after its deadline. The box list
+// lags behind the notices and may still show the box as live.
 const noticeRetention = 30 * time.Second
 
-// Row is the part of a load report that changes all the time.
+// Row is the part of an endpoint's load report that changes often.
 type Row struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -33,7 +34,7 @@
 	Waiting uint16
 }
 
-// Facts is the part of a load report that seldom changes.
+// Facts is the part of an endpoint's load report that seldom changes.
 type Facts struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -45,8 +46,9 @@
 	ChecksFence     bool
 }
 
-// EndpointState is one endpoint as the router sees it. Sent counts this box's own work
-// in flight there, base what of it the last report already covered.
+// EndpointState is an endpoint with the state that routing needs. ReportedAt is when
+// its last load row arrived. InFlight counts this box's own streams at the endpoint;
+// reportedInFlight is that count when the last load row arrived.
 type EndpointState struct {
 	fleet.Endpoint
 	Hash       uint64
@@ -56,22 +58,23 @@
 	reportedInFlight int64
 }
 
-// EstimateStreams estimates the streams at the endpoint now: the lagging report, and what
-// this box has sent or ended since.
+// EstimateStreams estimates the number of streams at the endpoint: those of the last
+// load row, corrected by the streams that this box has started or ended since.
 func (s *EndpointState) EstimateStreams() int {
 	return max(s.Running+s.Waiting+int(s.InFlight.Load()-s.reportedInFlight), int(s.InFlight.Load()), 0)
 }
 
-// ProcessID names the process at the endpoint: what it said holds for no other.
+// ProcessID identifies the process at the endpoint. State reported by a process, such
+// as a back-off period, doesn't apply to its successor.
 func (s *EndpointState) ProcessID() string { return s.Name + "/" + s.Incarnation }
 
-// ID returns the short name of a box in rows.
+// ID returns the hash that identifies a box in load rows.
 func ID(box string) uint32 { return uint32(rendezvous.Hash(box)) }
 
-// View is the table of endpoints. Readers take the slots as they are at a
-// moment; writers replace them.
+// View is the table of endpoints. Each change builds a new Snapshot, which readers
+// load without a lock.
 type View struct {
-	// Rests are those that endpoints' processes asked this box for.
+	// BackOffs holds the back-off periods that endpoints requested from this box, by ProcessID.
 	BackOffs rest.BackOffs
 
 	mu               sync.Mutex
@@ -90,8 +93,8 @@
 	snapshot atomic.Pointer[Snapshot]
 }
 
-// Snapshot is the endpoints at one moment. It is never changed, so two that
-// are the same pointer are the same.
+// Snapshot holds the endpoints at one moment. It is immutable, so equal pointers
+// mean that nothing has changed.
 type Snapshot struct {
 	Endpoints []*EndpointState
 }
@@ -109,7 +112,7 @@
 // Name returns the service's name.
 func (v *View) Name() string { return Name }
 
-// Start takes the operators' labels. The observer fills the view.
+// Start subscribes to the operators' labels. The observer service sets everything else.
 func (v *View) Start(_ context.Context, k *kernel.Kernel) error {
 	f, err := kernel.Find[*follower.Follower](k, follower.Name)
 	if err != nil {
@@ -122,10 +125,10 @@
 // Stop does nothing.
 func (v *View) Stop(context.Context) error { return nil }
 
-// Snapshot returns the endpoints as they are now.
+// Snapshot returns the current endpoints.
 func (v *View) Snapshot() *Snapshot { return v.snapshot.Load() }
 
-// Endpoints returns the endpoints as they are now. The slice is not to be changed.
+// Endpoints returns the current endpoints. The caller must not modify the slice.
 func (v *View) Endpoints() []*EndpointState { return v.Snapshot().Endpoints }
 
 // Endpoint returns the endpoint on a box, or nil.
@@ -156,14 +159,14 @@
 	return v.digest
 }
 
-// Horizon returns the time up to which all notices are known.
+// Horizon returns the time up to which the notices are complete.
 func (v *View) Horizon() time.Time {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.horizon
 }
 
-// Notices returns the deadline of each box that has a notice.
+// Notices returns the deadlines of the boxes that have a reclaim notice, by box name.
 func (v *View) Notices() map[string]time.Time {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -174,14 +177,14 @@
 	return m
 }
 
-// OnLeaving calls f for each new notice.
+// OnLeaving registers a function that is called for each new reclaim notice.
 func (v *View) OnLeaving(f func(box string, deadline time.Time)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.leavingCallbacks = append(v.leavingCallbacks, f)
 }
 
-// setLabels changes how operators' labels are put on boxes.
+// setLabeler replaces the function that applies the operators' labels to a box.
 func (v *View) setLabeler(f func(fleet.Box) fleet.Box) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -189,33 +192,33 @@
 	v.rebuild()
 }
 
-// SetBoxes replaces the box list.
+// SetBoxes replaces the box list. A box that is newly leaving counts as a new notice.
 func (v *View) SetBoxes(bs []fleet.Box) {
 	v.mu.Lock()
 	v.boxes = slices.Clone(bs)
 	slices.SortFunc(v.boxes, func(a, b fleet.Box) int { return compareNames(a.Name, b.Name) })
 	v.digest = digest(v.boxes)
-	var fresh []fleet.Box
+	var added []fleet.Box
 	for _, b := range v.boxes {
 		if _, known := v.notices[b.Name]; b.State == fleet.Leaving && !known {
 			v.notices[b.Name] = b.Deadline
-			fresh = append(fresh, b)
+			added = append(added, b)
 		}
 	}
 	v.rebuild()
 	v.mu.Unlock()
-	v.notifyLeaving(fresh)
+	v.notifyLeaving(added)
 }
 
-// SetNotices adds notices that are known as of a time. It returns how many were
-// new.
+// SetNotices adds notices, given as deadlines by box name, and returns how many were
+// new. The notices are complete up to asOf.
 func (v *View) SetNotices(bs map[string]time.Time, asOf time.Time) int {
 	v.mu.Lock()
-	var fresh []fleet.Box
+	var added []fleet.Box
 	for b, d := range bs {
 		if _, known := v.notices[b]; !known && time.Since(d) < noticeRetention {
 			v.notices[b] = d
-			fresh = append(fresh, fleet.Box{Name: b, Deadline: d})
+			added = append(added, fleet.Box{Name: b, Deadline: d})
 		}
 	}
 	for b, d := range v.notices {
@@ -226,12 +229,12 @@
 	if asOf.After(v.horizon) {
 		v.horizon = asOf
 	}
-	if len(fresh) > 0 {
+	if len(added) > 0 {
 		v.rebuild()
 	}
 	v.mu.Unlock()
-	v.notifyLeaving(fresh)
-	return len(fresh)
+	v.notifyLeaving(added)
+	return len(added)
 }
 
 func (v *View) notifyLeaving(bs []fleet.Box) {
@@ -245,7 +248,7 @@
 	}
 }
 
-// SetFacts takes facts of endpoints.
+// SetFacts adds or replaces the facts of endpoints.
 func (v *View) SetFacts(fs []Facts) {
 	if len(fs) == 0 {
 		return
@@ -258,7 +261,7 @@
 	v.rebuild()
 }
 
-// Facts returns what is known of the endpoints with these IDs; all for none.
+// Facts returns the known facts of the endpoints with the given IDs, or of all if ids is empty.
 func (v *View) Facts(ids []uint32) []Facts {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -271,7 +274,7 @@
 	return fs
 }
 
-// SetRows takes load rows, and returns the IDs whose facts are missing.
+// SetRows adds or replaces load rows and returns the IDs whose facts are missing.
 func (v *View) SetRows(rs []Row) []uint32 {
 	if len(rs) == 0 {
 		return nil
@@ -292,7 +295,7 @@
 	return missing
 }
 
-// inFlightCounter returns the count of own work at a box. The caller holds the lock.
+// inFlightCounter returns the counter of own streams at a box. The caller holds v.mu.
 func (v *View) inFlightCounter(box string) *atomic.Int64 {
 	c, ok := v.inFlight[box]
 	if !ok {
@@ -302,7 +305,7 @@
 	return c
 }
 
-// annotate puts labels and notices on a box. The caller holds the lock.
+// annotate applies the labels and a notice, if any, to a box. The caller holds v.mu.
 func (v *View) annotate(b fleet.Box) fleet.Box {
 	b = v.label(b)
 	if d, ok := v.notices[b.Name]; ok && b.State == fleet.Live {
@@ -311,7 +314,7 @@
 	return b
 }
 
-// rebuild makes the slots anew. The caller holds the lock.
+// rebuild replaces the snapshot. The caller holds v.mu.
 func (v *View) rebuild() {
 	ss := make([]*EndpointState, 0, len(v.boxes))
 	for _, b := range v.boxes {
--- a/view/view_test.go
+++ b/view/view_test.go
@@ -24,13 +24,13 @@
 	return []view.Facts{{Box: box, Incarnation: "i", Loaded: []string{"m@1"}, Slots: 8, TokensPerSecond: 50}}
 }
 
-// A notice holds against a box list that lags behind it, is told once, and is
-// forgotten only after its deadline.
+// A notice overrides a box list that lags behind it, is reported once, and is
+// dropped only after its deadline.
 func TestNoticeOverridesStaleList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := view.New()
-		var told []string
-		v.OnLeaving(func(b string, _ time.Time) { told = append(told, b) })
+		var notified []string
+		v.OnLeaving(func(b string, _ time.Time) { notified = append(notified, b) })
 		v.SetBoxes(boxes(2))
 		v.SetFacts(facts("e000"))
 		n := map[string]time.Time{"e000": time.Now().Add(time.Minute)}
@@ -39,15 +39,15 @@
 		v.SetBoxes(boxes(2))
 		require.Equal(t, fleet.Leaving, v.Endpoint("e000").State)
 		require.False(t, v.Endpoint("e000").Usable())
-		require.Equal(t, []string{"e000"}, told)
+		require.Equal(t, []string{"e000"}, notified)
 		time.Sleep(2 * time.Minute)
 		v.SetNotices(nil, time.Now())
 		require.Empty(t, v.Notices())
 	})
 }
 
-// The load of an endpoint is its lagging report and what this box has sent and
-// ended since.
+// The estimate is the last load row plus the streams that this box has started since
+// and minus those that it has ended.
 func TestEstimateStreamsCorrectsReport(t *testing.T) {
 	v := view.New()
 	v.SetBoxes(boxes(1))
@@ -55,14 +55,14 @@
 	v.Endpoint("e000").InFlight.Add(2)
 	v.SetRows([]view.Row{{ID: view.ID("e000"), Running: 5}})
 	s := v.Endpoint("e000")
-	require.Equal(t, 5, s.EstimateStreams(), "the report has what was sent before")
+	require.Equal(t, 5, s.EstimateStreams(), "the row includes the streams sent before it")
 	s.InFlight.Add(3)
 	require.Equal(t, 8, s.EstimateStreams())
 	s.InFlight.Add(-4)
 	require.Equal(t, 4, s.EstimateStreams())
 }
 
-// Rows of endpoints without facts are asked for.
+// SetRows returns the endpoints whose facts are missing; they aren't usable until the facts arrive.
 func TestMissingFacts(t *testing.T) {
 	v := view.New()
 	v.SetBoxes(boxes(1))
@@ -72,7 +72,7 @@
 	require.True(t, v.Endpoint("e000").Usable())
 }
 
-// BenchmarkRows is what one push of load rows costs a box.
+// BenchmarkRows measures SetRows with the 6 load rows of one push.
 func BenchmarkRows(b *testing.B) {
 	for _, n := range []int{9, 37, 111, 333} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
