--- a/known/known.go
+++ b/known/known.go
@@ -295,7 +295,7 @@
 // lacksStartTime reports whether a record has no start time though an earlier record of the same
 // endpoint had one. Endpoints that report a start time always do, so another program wrote the
 // record. Accepting it would look like a new process and discard the state kept for the running
-// one.
+// one. If no endpoint reports a start time, all records pass.
 func (k *Service) lacksStartTime(e endpoint.Endpoint) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/known/records.go
+++ b/known/records.go
@@ -31,10 +31,10 @@
 	revision      uint64
 }
 
-// applied is the result of applying a change: the items that were new, deletions included, and
+// applyResult is the result of applying a change: the items that were new, deletions included, and
 // the revision before the change. If advanced is set, the change raised the revision or was a
 // whole list.
-type applied struct {
+type applyResult struct {
 	items    []store.Item
 	from     uint64
 	advanced bool
@@ -42,10 +42,10 @@
 
 // apply applies a change. Items that aren't newer than the known state of their key are skipped,
 // so changes may arrive in any order and more than once.
-func (r *recordSet) apply(c Records) applied {
+func (r *recordSet) apply(c Records) applyResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := applied{from: r.revision, advanced: c.To > r.revision || c.Whole}
+	t := applyResult{from: r.revision, advanced: c.To > r.revision || c.Whole}
 	listed := map[string]bool{}
 	for _, i := range c.Items {
 		listed[i.Key] = true
--- a/member/member.go
+++ b/member/member.go
@@ -1,5 +1,7 @@
-// Package member keeps the table of entry boxes that are up: by probes inside
-// a data centre, and by two relays between data centres.
+// Package member maintains the table of entry boxes that are up. It is a SWIM-style
+// membership protocol: within a data centre each box probes the others in turn,
+// directly and through other boxes, and exchanges tables when their digests differ.
+// Two relays per data centre exchange tables with the other data centres.
 package member
 
 import (
@@ -9,21 +11,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is what the table says of a member. A higher one wins at the same
-// Number.
+// State is the state of a member. Of two rows that differ only in their states, the
+// one with the higher state is the newer.
 type State uint8
 
 // The states of a member.
 const (
-	Alive State = iota
-	Suspect
-	Dead
-	Left
+	Alive   State = iota
+	Suspect       // a probe failed
+	Dead          // suspect for suspicionTimeout
+	Left          // stopped
 )
 
-// Member is one process of an entry box. Successor is the incarnation that
-// answers for a process that has left. Started orders the processes of one
-// box; Number grows when a member refutes a suspicion.
+// Member is one process of an entry box. Incarnation identifies the process, and
+// Started, in nanoseconds since the Unix epoch, orders the processes of one box.
+// Refutations grows when the member refutes a suspicion. Successor is the
+// incarnation that takes over the requests of a process that has left.
 type Member struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -37,23 +40,24 @@
 	Successor   string
 }
 
-// newer reports whether m replaces o in the table.
+// supersedes reports whether m replaces o in the table.
 func (m Member) supersedes(o Member) bool {
 	return cmp.Or(cmp.Compare(m.Started, o.Started), cmp.Compare(m.Refutations, o.Refutations), cmp.Compare(m.State, o.State)) > 0
 }
 
-// up reports whether work may be sent to m.
+// isUp reports whether requests may be sent to m.
 func (m Member) isUp() bool { return m.State == Alive || m.State == Suspect }
 
-// Table holds one row a box. It is plain data and not safe for many at once. The
-// members that are up are asked for with every request, so they are listed once
-// for each change.
+// Table holds one row per box. It is not safe for concurrent use. The list of
+// members that are up is needed for every request, so it is cached until the table
+// changes.
 type Table struct {
 	rows           map[string]Member
 	upByDataCentre map[string][]Member
 }
 
-// Merge takes rows from elsewhere and returns those that changed the table.
+// Merge adds the rows that are newer than those in the table and returns them. Rows
+// of unknown boxes that are down and have no successor are ignored.
 func (t *Table) Merge(ms []Member) []Member {
 	if t.rows == nil {
 		t.rows = make(map[string]Member)
@@ -77,7 +81,7 @@
 	return m, ok
 }
 
-// find returns the row of an incarnation.
+// findIncarnation returns the row of an incarnation.
 func (t *Table) findIncarnation(incarnation string) (Member, bool) {
 	for _, m := range t.rows {
 		if m.Incarnation == incarnation {
@@ -87,7 +91,7 @@
 	return Member{}, false
 }
 
-// Rows returns every row, by box.
+// Rows returns all rows, sorted by box.
 func (t *Table) Rows() []Member {
 	ms := make([]Member, 0, len(t.rows))
 	for _, m := range t.rows {
@@ -97,8 +101,8 @@
 	return ms
 }
 
-// Up returns the members that are up in a data centre, or in all for "". The
-// slice is not to be changed.
+// Up returns the members that are up in a data centre, or in all if dc is empty. The
+// caller must not modify the slice.
 func (t *Table) Up(dc string) []Member {
 	if ms, listed := t.upByDataCentre[dc]; listed {
 		return ms
@@ -111,14 +115,15 @@
 	return t.upByDataCentre[dc]
 }
 
-// Forget drops the row of a box that is down.
+// Forget removes the row of a box unless the box is up.
 func (t *Table) Forget(box string) {
 	if m, ok := t.rows[box]; ok && !m.isUp() {
 		delete(t.rows, box)
 	}
 }
 
-// Digest returns a hash of what two tables must agree on: the rows that are up.
+// Digest returns a hash of the rows that are up. Two tables with different digests
+// are exchanged.
 func (t *Table) Digest() uint64 {
 	var d uint64
 	var b [16]byte
--- a/member/probe.go
+++ b/member/probe.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// join asks the seeds, and the platform's service for boxes that came later.
+// join exchanges tables with the seeds and the boxes registered in the key-value
+// service, and registers this box there.
 func (s *Service) join(c context.Context) {
 	c, cancel := context.WithTimeout(c, joinTimeout)
 	defer cancel()
@@ -49,11 +50,12 @@
 	s.register(c)
 }
 
+// register stores this box's row in the key-value service for boxes that start later.
 func (s *Service) register(c context.Context) {
 	k := registrationPrefix + s.self.Box
 	e, err := s.store.Get(c, k)
 	if err != nil {
-		s.Log.Warn().Err(err).Msg("not registered")
+		s.Log.Warn().Err(err).Msg("registration failed")
 		return
 	}
 	b, err := msgpack.Marshal(s.Self())
@@ -61,11 +63,11 @@
 		return
 	}
 	if _, err := s.store.Swap(c, kv.Entry{Key: k, Rev: e.Rev, Value: b}); err != nil {
-		s.Log.Warn().Err(err).Msg("not registered")
+		s.Log.Warn().Err(err).Msg("registration failed")
 	}
 }
 
-// probeRound probes the next member and settles old suspicions.
+// probeRound expires old suspicions and probes the next member.
 func (s *Service) probeRound(c context.Context) {
 	s.expireSuspects()
 	m, ok := s.nextTarget()
@@ -80,7 +82,7 @@
 	s.Merge([]Member{m})
 }
 
-// syncWithSeed looks for the seeds when nobody of the own data centre is known.
+// syncWithSeed exchanges tables with a random seed.
 func (s *Service) syncWithSeed(c context.Context) {
 	if len(s.Seeds) == 0 {
 		return
@@ -90,6 +92,7 @@
 	s.syncWith(c, s.Seeds[rand.IntN(len(s.Seeds))])
 }
 
+// probe reports whether m answers. It exchanges tables with m if the digests differ.
 func (s *Service) probe(c context.Context, m Member) bool {
 	c, cancel := context.WithTimeout(c, probeTimeout)
 	defer cancel()
@@ -106,7 +109,8 @@
 	return true
 }
 
-// probeIndirectly asks others to probe m.
+// probeIndirectly reports whether m answers a probe by one of up to maxIndirectProbes other
+// members.
 func (s *Service) probeIndirectly(c context.Context, m Member) bool {
 	c, cancel := context.WithTimeout(c, 2*probeTimeout)
 	defer cancel()
@@ -119,7 +123,9 @@
 		}
 		n++
 		var a probe
-		if err := s.client.Call(c, h.Address, "member.probe", probe{From: s.self.Box, Digest: s.digest(), Target: m.Address}, &a); err == nil && a.Target == m.Address {
+		if err := s.client.Call(
+			c, h.Address, "member.probe", probe{From: s.self.Box, Digest: s.digest(), Target: m.Address}, &a,
+		); err == nil && a.Target == m.Address {
 			return true
 		}
 	}
@@ -172,7 +178,8 @@
 	s.Merge(t.Rows)
 }
 
-// nextTarget goes round the members of the data centre in shuffled order.
+// nextTarget returns the next member of the data centre to probe. Each pass visits the members in
+// a new random order.
 func (s *Service) nextTarget() (Member, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -192,7 +199,8 @@
 	return Member{}, false
 }
 
-// expireSuspects turns suspects into dead and forgets those that are long gone.
+// expireSuspects marks members as dead that have been suspect for suspicionTimeout, and removes
+// rows and successors after forgetAfter.
 func (s *Service) expireSuspects() {
 	s.mu.Lock()
 	var dead []Member
@@ -212,21 +220,21 @@
 	s.Merge(dead)
 }
 
-// relayRound exchanges tables with one member of each other data centre, if this box
-// is one of its data centre's relays.
+// relayRound probes a random member of each other data centre, which exchanges the tables
+// if they differ, and a random seed. It does nothing unless this box is a relay.
 func (s *Service) relayRound(c context.Context) {
 	if mine, _ := s.Owner("relay", relaysPerDataCentre); !mine {
 		return
 	}
-	by := map[string][]Member{}
+	byDataCentre := map[string][]Member{}
 	for _, m := range s.Up("") {
-		by[m.DataCentre] = append(by[m.DataCentre], m)
+		byDataCentre[m.DataCentre] = append(byDataCentre[m.DataCentre], m)
 	}
-	delete(by, s.self.DataCentre)
+	delete(byDataCentre, s.self.DataCentre)
 	c, cancel := context.WithTimeout(c, relayInterval)
 	defer cancel()
 	var g sync.WaitGroup
-	for _, ms := range by {
+	for _, ms := range byDataCentre {
 		m := ms[rand.IntN(len(ms))]
 		g.Go(func() { s.probe(c, m) })
 	}
--- a/member/service.go
+++ b/member/service.go
@@ -18,7 +18,7 @@
 // Name is the name of the service.
 const Name = "member"
 
-// The times of the protocol.
+// The parameters of the protocol.
 const (
 	probeInterval       = time.Second
 	probeTimeout        = 400 * time.Millisecond
@@ -32,22 +32,24 @@
 	maxSuccessorHops = 8
 )
 
-// registerPrefix is where a box leaves its address for those that join later.
+// registrationPrefix is the key prefix under which boxes store their rows for boxes that join later.
 const registrationPrefix = "members/"
 
-// caller is what the service needs of the peers' client.
+// caller is the part of peer.Client that the service uses.
 type caller interface {
 	Call(c context.Context, address, method string, in, out any) error
 }
 
-// store is what the service needs of the key-value service.
+// store is the part of kv.Client that the service uses.
 type store interface {
 	Get(c context.Context, key string) (kv.Entry, error)
 	List(c context.Context, prefix string) ([]kv.Entry, error)
 	Swap(c context.Context, e kv.Entry) (kv.Entry, error)
 }
 
-// probe is a ping; the answer has the same form.
+// probe is the message and the answer of a probe. Digest is that of the sender's table.
+// Target, if set, is the address of a member that the receiver should probe; the answer
+// repeats it if that member answered.
 type probe struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -56,8 +58,8 @@
 	Target string
 }
 
-// exchange is what two boxes tell each other when their tables differ: the rows,
-// and the successors of processes that have left.
+// syncMessage is the message and the answer of a table exchange. Successors maps the
+// incarnations of processes that have left to those of their successors.
 type syncMessage struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -65,15 +67,15 @@
 	Successors map[string]string
 }
 
-// succession says which incarnation answers for one that has left.
+// succession names the incarnation that takes over from one that has left, and when it was learned.
 type succession struct {
 	incarnation string
 	learned     time.Time
 }
 
-// Service is the membership of one box.
+// Service runs the membership protocol for one box.
 type Service struct {
-	Seeds []string
+	Seeds []string // addresses of boxes to join through
 	Log   zerolog.Logger
 
 	mu         sync.Mutex
@@ -88,7 +90,7 @@
 	group      sync.WaitGroup
 }
 
-// New returns the membership of a box. Its address is known once it starts.
+// New returns the membership service of a box. The address of the box is set by Start.
 func New(box, dc string, seeds []string, log zerolog.Logger) *Service {
 	m := Member{Box: box, DataCentre: dc, Incarnation: uuid.NewString(), Started: time.Now().UnixNano()}
 	return &Service{Seeds: seeds, Log: log, self: m, changedAt: map[string]time.Time{}, successors: map[string]succession{}}
@@ -97,7 +99,7 @@
 // Name returns the service's name.
 func (s *Service) Name() string { return Name }
 
-// Start joins the others and begins to probe them.
+// Start joins the other boxes and starts the probes.
 func (s *Service) Start(c context.Context, k *kernel.Kernel) error {
 	p, err := kernel.Find[*peer.Node](k, peer.Name)
 	if err != nil {
@@ -122,7 +124,7 @@
 	return nil
 }
 
-// Stop tells the others that the box leaves and ends the probes.
+// Stop ends the probes and notifies the data centre that the box leaves.
 func (s *Service) Stop(c context.Context) error {
 	s.cancel()
 	s.group.Wait()
@@ -140,22 +142,22 @@
 	return nil
 }
 
-// Self returns the own row.
+// Self returns the row of this box.
 func (s *Service) Self() Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.self
 }
 
-// Up returns the members that are up in a data centre, or in all for "", this box among them. The
-// slice is shared and must not be changed.
+// Up returns the members that are up in a data centre, or in all if dc is empty, including this
+// box. The slice is shared; the caller must not modify it.
 func (s *Service) Up(dc string) []Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Up(dc)
 }
 
-// LocalBoxes returns the boxes that are up in the own data centre.
+// LocalBoxes returns the names of the boxes that are up in this box's data centre.
 func (s *Service) LocalBoxes() []string {
 	ms := s.Up(s.self.DataCentre)
 	ns := make([]string, len(ms))
@@ -165,8 +167,8 @@
 	return ns
 }
 
-// Owner reports whether this box is among the first n of its data centre for
-// a key, and returns the first.
+// Owner ranks the boxes of the data centre for a key by rendezvous hashing. It reports
+// whether this box is among the first n, and returns the first.
 func (s *Service) Owner(key string, n int) (bool, Member) {
 	ns := rendezvous.Top(rendezvous.Hash(key), s.LocalBoxes(), n)
 	if len(ns) == 0 {
@@ -178,16 +180,17 @@
 	return slices.Contains(ns, s.self.Box), m
 }
 
-// SetSuccessor names the incarnation that will answer for this process when it has
-// left.
+// SetSuccessor sets the incarnation that takes over the requests of this process when
+// it leaves.
 func (s *Service) SetSuccessor(incarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.self.Successor = incarnation
 }
 
-// ResolveIncarnation returns the member that answers for an incarnation: itself while it
-// is up, or else its successor, or the successor's.
+// ResolveIncarnation returns the member that handles the requests of an incarnation:
+// the incarnation itself while it is up, or else the first of its successors that is
+// up, within maxSuccessorHops.
 func (s *Service) ResolveIncarnation(incarnation string) (Member, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -205,7 +208,7 @@
 	return Member{}, false
 }
 
-// Merge takes rows from another box.
+// Merge merges rows from another box into the table.
 func (s *Service) Merge(ms []Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,7 +225,8 @@
 	s.refute()
 }
 
-// refute answers a rumour that this process is down. The caller holds the lock.
+// refute raises the refutation count if the table has this process in a wrong state. The
+// caller holds s.mu.
 func (s *Service) refute() {
 	m, ok := s.table.Get(s.self.Box)
 	if !ok || m.Incarnation != s.self.Incarnation || m.State == s.self.State || s.self.State == Left {
--- a/member/service_test.go
+++ b/member/service_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// network carries the calls of the boxes of one test, and counts their bytes.
+// network delivers the calls between the boxes of a test and counts their bytes.
 type network struct {
 	mu    sync.Mutex
 	boxes map[string]*Service
@@ -22,7 +22,7 @@
 	bytes int
 }
 
-// end is one box's side of the network.
+// transport is the caller of one box.
 type transport struct {
 	*network
 	from string
@@ -73,7 +73,7 @@
 	return msgpack.Unmarshal(v, out)
 }
 
-// group makes n boxes of one data centre that know each other.
+// newGroup returns n boxes of one data centre that know each other, and their network.
 func newGroup(n int) (*network, []*Service) {
 	w := &network{boxes: map[string]*Service{}, down: map[string]bool{}}
 	ss := make([]*Service, n)
@@ -91,7 +91,7 @@
 	return w, ss
 }
 
-// rounds lets every box probe so many times.
+// runRounds runs n probe rounds on every box that is not down.
 func runRounds(t *testing.T, w *network, ss []*Service, n int) {
 	for range n {
 		for _, s := range ss {
@@ -103,8 +103,8 @@
 	}
 }
 
-// A box that is cut off is dead to the others within seconds, and alive again,
-// under the same identity, soon after it is back.
+// A partitioned box is dead to the others within 20 rounds. It is alive again under
+// the same incarnation within 20 rounds after the partition ends.
 func TestPartitionedBoxRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, ss := newGroup(9)
@@ -125,8 +125,8 @@
 	})
 }
 
-// Half of the boxes are cut off at once: each half goes on with itself, and
-// they find each other again by their seeds.
+// When the boxes are split into two halves, each half goes on by itself. After the
+// partition ends, the halves merge through their seeds.
 func TestPartitionHeals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, ss := newGroup(8)
@@ -155,7 +155,7 @@
 	})
 }
 
-// Tables that have heard the same rows, in whatever order, agree.
+// Tables that have merged the same rows in any order are equal.
 func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Member {
@@ -182,7 +182,7 @@
 	return is
 }
 
-// BenchmarkRound is one probe of one box in a quiet group, and what it sends.
+// BenchmarkRound measures a probe round of one box in a stable group, and the bytes that it sends.
 func BenchmarkRound(b *testing.B) {
 	for _, n := range []int{6, 39, 350} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
--- a/peer/auth.go
+++ b/peer/auth.go
@@ -20,15 +20,18 @@
 	clientRole       = "client"
 )
 
-// errStranger is returned when the far side does not know the shared secret.
-var errWrongSecret = errors.New("the far side does not know the peers' secret")
+// errWrongSecret is returned when the remote side doesn't know the shared secret.
+var errWrongSecret = errors.New("peer handshake failed: wrong shared secret")
 
-// proof shows knowledge of the secret for the two nonces of one connection.
+// proof is a handshake message. MAC proves knowledge of the secret; it covers the nonces
+// of both sides, so it can't be replayed on another connection.
 type proof struct {
 	Nonce []byte `msgpack:"n"`
 	MAC   []byte `msgpack:"m,omitempty"`
 }
 
+// mac returns the MAC of one side. Including the side prevents a proof from being sent back to
+// its author.
 func mac(secret, side string, nonces ...[]byte) []byte {
 	h := hmac.New(sha256.New, []byte(secret))
 	h.Write([]byte(side))
@@ -67,7 +70,8 @@
 	return p, nil
 }
 
-// clientHandshake is the client's side: nonce, the server's proof, the own proof.
+// clientHandshake runs the client's side of the handshake: it sends a nonce, verifies
+// the server's proof, and sends its own.
 func clientHandshake(c *frame.Conn, secret string) error {
 	n := newNonce()
 	if err := writeProof(c, proof{Nonce: n}); err != nil {
@@ -83,7 +87,7 @@
 	return writeProof(c, proof{MAC: mac(secret, clientRole, n, p.Nonce)})
 }
 
-// serverHandshake is the server's side of clientHandshake.
+// serverHandshake runs the server's side of the handshake.
 func serverHandshake(c *frame.Conn, secret string) error {
 	p, err := readProof(c)
 	if err != nil {
--- a/peer/client.go
+++ b/peer/client.go
@@ -13,16 +13,17 @@
 	"birchlink.dev/birchlink/frame"
 )
 
-// dialLimit bounds how long a connection may take to stand.
+// dialTimeout bounds the TCP connection setup.
 const dialTimeout = time.Second
 
-// silentFor is how long a connection on which calls wait may carry nothing before it is
-// closed: it may have gone silent for good without a reset, and TCP takes minutes to
-// notice. It is longer than a busy box takes to answer, and lets two rounds of half a
-// second fail.
+// maxSilence is how long a connection with pending calls may deliver no frame before it
+// is closed when one of them is given up. A connection can die without a reset, which TCP
+// detects only after minutes. The limit is longer than a busy box takes to answer; a dead
+// connection makes two rounds of half a second fail.
 const maxSilence = 900 * time.Millisecond
 
-// Client calls peers by address and keeps one connection to each.
+// Client calls peers by address. It keeps one connection to each peer and multiplexes
+// the calls on it. It is safe for concurrent use.
 type Client struct {
 	secret string
 	local  *net.TCPAddr
@@ -31,7 +32,7 @@
 	group  sync.WaitGroup
 }
 
-// link is one connection with the calls that wait on it.
+// link is a connection with its pending calls.
 type link struct {
 	conn   *frame.Conn
 	mu     sync.Mutex
@@ -39,27 +40,31 @@
 	calls  map[uint64]*inbox
 	done   chan struct{}
 
-	// waits is since when calls wait without a frame for any; zero while none does.
+	// waitingSince is when the first call since the last received frame was made; zero
+	// if there was none.
 	waitingSince time.Time
 }
 
 // NewClient returns a client without connections.
 func NewClient(secret string) *Client { return &Client{secret: secret, links: map[string]*link{}} }
 
-// Call makes a call and decodes its last value into out, unless that is nil.
+// Call makes a call and decodes its result into out, unless out is nil. Errors are
+// those of Stream.
 func (c *Client) Call(x context.Context, address, method string, in, out any) error {
 	return c.Stream(x, address, method, in, out, nil)
 }
 
-// Stream makes a call and hands each item before the last value to each. A
-// failure of the connection is of kind Unavailable: whether the call took
-// effect is not known.
-func (c *Client) Stream(x context.Context, address, method string, in, out any, each func([]byte) error) error {
+// Stream makes a call, passes each item to onItem, unless that is nil, and decodes the
+// result into out, unless that is nil. An error of onItem ends the call. A connection
+// failure is returned as an error of kind errkind.Unavailable; the call may or may not
+// have taken effect. Errors of the remote handler keep their kind, message and
+// RetryAfter.
+func (c *Client) Stream(x context.Context, address, method string, in, out any, onItem func([]byte) error) error {
 	l, err := c.connect(x, address)
 	if err != nil {
 		return &errkind.Error{Kind: errkind.Unavailable, Message: "peer " + address, Err: err}
 	}
-	id, ch := l.openCall()
+	id, answers := l.openCall()
 	defer l.closeCall(id)
 	b, err := msgpack.Marshal(in)
 	if err != nil {
@@ -70,33 +75,34 @@
 		return &errkind.Error{Kind: errkind.Unavailable, Message: "peer " + address, Err: err}
 	}
 	for {
-		for _, m := range ch.drain() {
-			if last, err := handleFrame(m, out, each); last || err != nil {
+		for _, m := range answers.drain() {
+			if last, err := handleFrame(m, out, onItem); last || err != nil {
 				return err
 			}
 		}
 		select {
-		case <-ch.ready:
+		case <-answers.ready:
 		case <-x.Done():
 			l.closeIfSilent()
 			_ = l.conn.Write(frame.Message{ID: id, Type: frame.Cancel}, writeTimeout)
 			return x.Err()
 		case <-l.done:
-			// Frames that came before the end still count.
-			if ch.isEmpty() {
+			// Handle the frames that arrived before the connection ended.
+			if answers.isEmpty() {
 				return errkind.New(errkind.Unavailable, "peer %s left", address)
 			}
 		}
 	}
 }
 
-func handleFrame(m frame.Message, out any, each func([]byte) error) (bool, error) {
+// handleFrame handles one frame of a call and reports whether it is the last.
+func handleFrame(m frame.Message, out any, onItem func([]byte) error) (bool, error) {
 	switch m.Type {
 	case frame.Item:
-		if each == nil {
+		if onItem == nil {
 			return false, nil
 		}
-		return false, each(m.Body)
+		return false, onItem(m.Body)
 	case frame.Fail:
 		var f failure
 		if err := msgpack.Unmarshal(m.Body, &f); err != nil {
@@ -114,7 +120,7 @@
 	}
 }
 
-// Bytes returns what went over all open connections, both ways.
+// Bytes returns the number of bytes sent and received on all open connections.
 func (c *Client) Bytes() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,7 +131,7 @@
 	return n
 }
 
-// Close ends all connections.
+// Close closes all connections and waits for their readers.
 func (c *Client) Close() {
 	c.mu.Lock()
 	for _, l := range c.links {
@@ -135,6 +141,7 @@
 	c.group.Wait()
 }
 
+// connect returns the connection to an address and dials it if there is none.
 func (c *Client) connect(x context.Context, address string) (*link, error) {
 	c.mu.Lock()
 	l := c.links[address]
@@ -176,7 +183,7 @@
 	return &link{conn: f, calls: map[uint64]*inbox{}, done: make(chan struct{})}, nil
 }
 
-// read hands each frame to its call until the connection ends.
+// readLoop delivers each frame to its call until the connection ends.
 func (c *Client) readLoop(address string, l *link) {
 	defer func() {
 		c.mu.Lock()
@@ -194,9 +201,9 @@
 	}
 }
 
-// inbox holds the frames of one call until they are read. What a call may
-// answer is bounded by its handler, so the inbox is too; a reader that is slow
-// does not hold up the other calls of the connection.
+// inbox queues the frames of one call, so that a slow reader doesn't block the other
+// calls of the connection. It has no limit of its own; the handler bounds the size of
+// an answer.
 type inbox struct {
 	mu     sync.Mutex
 	frames []frame.Message
@@ -245,8 +252,8 @@
 	delete(l.calls, id)
 }
 
-// closeIfSilent closes a connection on which calls have waited for too long without a
-// sign of the far side.
+// closeIfSilent closes the connection if calls have been pending for maxSilence without
+// a frame from the remote side.
 func (l *link) closeIfSilent() {
 	l.mu.Lock()
 	silent := !l.waitingSince.IsZero() && time.Since(l.waitingSince) >= maxSilence
@@ -256,7 +263,7 @@
 	}
 }
 
-// deliver gives a frame to its call, unless that has ended.
+// deliver passes a frame to its call, or drops it if the call has ended.
 func (l *link) deliver(m frame.Message) {
 	l.mu.Lock()
 	b, ok := l.calls[m.ID]
--- a/peer/client_test.go
+++ b/peer/client_test.go
@@ -13,43 +13,43 @@
 	"birchlink.dev/birchlink/peer"
 )
 
-// link passes connections on to a server. Those that are open when it is silenced carry
-// nothing any more and are not reset; later ones work.
-type link struct {
+// proxy forwards connections to a server. After silence, the open connections deliver nothing
+// and are not reset; later connections work.
+type proxy struct {
 	net.Listener
-	to       string
-	silenced atomic.Int64
-	opened   atomic.Int64
+	target       string
+	silencedUpTo atomic.Int64 // connections numbered up to this one deliver nothing
+	opened       atomic.Int64
 }
 
-func newLink(t *testing.T, to string) *link {
+func newProxy(t *testing.T, target string) *proxy {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	k := &link{Listener: l, to: to}
+	p := &proxy{Listener: l, target: target}
 	t.Cleanup(func() { _ = l.Close() })
-	go k.accept()
-	return k
+	go p.accept()
+	return p
 }
 
-func (k *link) accept() {
+func (p *proxy) accept() {
 	for {
-		c, err := k.Accept()
+		c, err := p.Accept()
 		if err != nil {
 			return
 		}
-		s, err := net.Dial("tcp", k.to)
+		s, err := net.Dial("tcp", p.target)
 		if err != nil {
 			_ = c.Close()
 			return
 		}
-		n := k.opened.Add(1)
-		go k.carry(n, s, c)
-		go k.carry(n, c, s)
+		n := p.opened.Add(1)
+		go p.forward(n, s, c)
+		go p.forward(n, c, s)
 	}
 }
 
-func (k *link) carry(n int64, to, from net.Conn) {
+func (p *proxy) forward(n int64, to, from net.Conn) {
 	defer from.Close()
 	defer to.Close()
 	b := make([]byte, 4096)
@@ -58,7 +58,7 @@
 		if err != nil {
 			return
 		}
-		if n <= k.silenced.Load() {
+		if n <= p.silencedUpTo.Load() {
 			continue
 		}
 		if _, err := to.Write(b[:got]); err != nil {
@@ -67,9 +67,9 @@
 	}
 }
 
-func (k *link) silence() { k.silenced.Store(k.opened.Load()) }
+func (p *proxy) silence() { p.silencedUpTo.Store(p.opened.Load()) }
 
-// call asks for an echo, within a fifth of a second.
+// callEcho reports whether an echo call succeeds within 200 ms.
 func callEcho(t *testing.T, c *peer.Client, address string) bool {
 	t.Helper()
 	x, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
@@ -78,8 +78,8 @@
 	return c.Call(x, address, "echo", "a", &out) == nil && out == "a"
 }
 
-// connected returns a client that has called a server over a link.
-func connect(t *testing.T) (*link, *peer.Client) {
+// connect returns a client that has called a server through the returned proxy.
+func connect(t *testing.T) (*proxy, *peer.Client) {
 	t.Helper()
 	s := peer.NewServer("secret")
 	peer.Handle(s, "echo", func(_ context.Context, in string) (string, error) { return in, nil })
@@ -89,32 +89,32 @@
 	})
 	require.NoError(t, s.Listen("127.0.0.1:0"))
 	t.Cleanup(s.Close)
-	k := newLink(t, s.Address())
+	p := newProxy(t, s.Address())
 	c := peer.NewClient("secret")
 	t.Cleanup(c.Close)
-	require.Eventually(t, func() bool { return callEcho(t, c, k.Addr().String()) }, 30*time.Second, time.Millisecond)
-	return k, c
+	require.Eventually(t, func() bool { return callEcho(t, c, p.Addr().String()) }, 30*time.Second, time.Millisecond)
+	return p, c
 }
 
-// TestSilentConnection calls over a connection that has gone silent without a reset: a
-// bounded number of calls is lost, and the next one goes over a new connection.
+// When a connection dies without a reset, a bounded number of calls fail and the next one uses
+// a new connection.
 func TestSilentConnection(t *testing.T) {
-	k, c := connect(t)
-	address := k.Addr().String()
-	k.silence()
+	p, c := connect(t)
+	address := p.Addr().String()
+	p.silence()
 	require.Eventually(t, func() bool { return callEcho(t, c, address) }, 30*time.Second, time.Millisecond)
 }
 
-// A connection over which answers come is kept, though some calls are not answered.
+// A connection that delivers answers is kept, even if some of its calls are not answered.
 func TestSlowCallKeepsConnection(t *testing.T) {
-	k, c := connect(t)
-	address := k.Addr().String()
-	opened := k.opened.Load()
+	p, c := connect(t)
+	address := p.Addr().String()
+	opened := p.opened.Load()
 	for range 8 {
 		x, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 		require.Error(t, c.Call(x, address, "hang", "", nil))
 		cancel()
 		require.Eventually(t, func() bool { return callEcho(t, c, address) }, 30*time.Second, time.Millisecond)
 	}
-	require.Equal(t, opened, k.opened.Load())
+	require.Equal(t, opened, p.opened.Load())
 }
--- a/peer/turn_test.go
+++ b/peer/concurrency_test.go
@@ -10,23 +10,23 @@
 	"birchlink.dev/birchlink/peer"
 )
 
-// Calls that are answered in turn wait for each other; one that is given up does not take a turn.
+// Calls over the limit wait, and a call that is cancelled while it waits doesn't count.
 func TestLimitConcurrency(t *testing.T) {
 	s := peer.NewServer("secret")
 	require.NoError(t, s.Listen("127.0.0.1:0"))
 	t.Cleanup(s.Close)
 	var mu sync.Mutex
-	under, most := 0, 0
+	running, peak := 0, 0
 	entered, release := make(chan struct{}, 10), make(chan struct{})
 	peer.Handle(s, "large", func(context.Context, int) (int, error) {
 		mu.Lock()
-		under++
-		most = max(most, under)
+		running++
+		peak = max(peak, running)
 		mu.Unlock()
 		entered <- struct{}{}
 		<-release
 		mu.Lock()
-		under--
+		running--
 		mu.Unlock()
 		return 1, nil
 	})
@@ -47,5 +47,5 @@
 	require.Error(t, c.Call(x, s.Address(), "large", 1, nil))
 	close(release)
 	g.Wait()
-	require.Equal(t, 2, most)
+	require.Equal(t, 2, peak)
 }
--- a/peer/node.go
+++ b/peer/node.go
@@ -12,27 +12,27 @@
 // Name is the name of the service.
 const Name = "peer"
 
-// Node is the server and the client of one box, as a service.
+// Node is the service that holds the peer server and clients of one box.
 type Node struct {
 	Server *Server
 	Client *Client
 
-	// Bulk calls on connections of its own, for answers that are so large that they would hold
-	// up the other calls of a connection.
+	// Bulk uses connections of its own, for answers so large that they would delay the other
+	// calls of a connection.
 	Bulk *Client
 
-	// Advertise is the address that peers are told.
+	// Advertise is the address under which other boxes reach this one.
 	Advertise string
 
 	address string
 }
 
-// NewNode returns a node that will listen on an address. It also calls from
-// that IP number, so that a peer can be known by it. What goes over its
-// connections is the gauge peers.bytes.
+// NewNode returns a node that listens on an address once started. Its clients connect
+// from the same IP address, so that a peer can be identified by it. The gauge
+// peers.bytes in m reports the bytes sent and received on its open connections.
 func NewNode(address, advertise, secret string, m metrics.Registry) *Node {
 	n := &Node{Server: NewServer(secret), Client: NewClient(secret), Bulk: NewClient(secret), Advertise: advertise, address: address}
-	// The registry is the node's own, so the name is free.
+	// Register fails only if the name is taken, and the registry is this node's own.
 	_ = m.Register("peers.bytes", metrics.NewFunctionalGauge(func() int64 { return n.Server.Bytes() + n.Client.Bytes() + n.Bulk.Bytes() }))
 	if a, err := net.ResolveTCPAddr("tcp", address); err == nil {
 		n.Client.local = &net.TCPAddr{IP: a.IP}
@@ -44,10 +44,10 @@
 // Name returns the service's name.
 func (n *Node) Name() string { return Name }
 
-// Start begins to listen. Handlers may be entered afterwards.
+// Start begins to listen. Handlers may be registered later.
 func (n *Node) Start(context.Context, *kernel.Kernel) error { return n.Server.Listen(n.address) }
 
-// Stop ends all connections.
+// Stop closes the listener and all connections.
 func (n *Node) Stop(context.Context) error {
 	n.Client.Close()
 	n.Bulk.Close()
--- a/peer/server.go
+++ b/peer/server.go
@@ -1,4 +1,6 @@
-// Package peer carries calls between entry boxes over framed TCP connections.
+// Package peer implements the calls between entry boxes. Calls are multiplexed over
+// framed TCP connections, and both sides of a connection authenticate each other by a
+// shared secret. A call returns one result, and may return a stream of items before it.
 package peer
 
 import (
@@ -14,26 +16,28 @@
 	"birchlink.dev/birchlink/frame"
 )
 
-// writeLimit ends a connection whose far side stops reading.
+// writeTimeout bounds the write of one frame. A connection whose remote side has stopped reading
+// is closed after it.
 const writeTimeout = 5 * time.Second
 
-// Handler answers one call. It may send items before it returns; the value that
-// it returns is the last.
+// Handler answers one call. Body is the encoded argument. The handler may send items
+// before it returns the result. C is cancelled when the caller gives up or the
+// connection ends.
 type Handler func(c context.Context, body []byte, send func(any) error) (any, error)
 
-// failure is an error as it crosses between boxes.
+// failure is the wire form of an errkind.Error.
 type failure struct {
 	Kind       errkind.Kind  `msgpack:"k"`
 	Message    string        `msgpack:"m"`
 	RetryAfter time.Duration `msgpack:"r,omitempty"`
 }
 
-// Server answers the calls of peers that know the secret.
+// Server answers calls of peers that know the secret.
 type Server struct {
 	secret     string
 	mu         sync.RWMutex
 	handlers   map[string]Handler
-	semaphores map[string]chan struct{} // of the methods whose calls are answered in turn
+	semaphores map[string]chan struct{} // limits on concurrent calls, by method
 	conns      map[*frame.Conn]bool
 	group      sync.WaitGroup
 	listener   net.Listener
@@ -45,23 +49,24 @@
 	return &Server{secret: secret, handlers: map[string]Handler{}, semaphores: map[string]chan struct{}{}, conns: map[*frame.Conn]bool{}}
 }
 
-// Handle enters the handler of a method.
+// Handle registers the handler of a method.
 func (s *Server) Handle(method string, h Handler) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.handlers[method] = h
 }
 
-// LimitConcurrency lets no more than so many calls of a method be answered at once, from the handler's begin
-// until the answer has been written. The others wait their turn: sent to all that ask at once, a
-// large answer would reach each of them after the last byte of all.
-func (s *Server) LimitConcurrency(method string, atOnce int) {
+// LimitConcurrency limits the number of calls of a method that are answered at the same time. A
+// call counts from the start of its handler until its answer has been written; further calls wait.
+// Without a limit, large answers that are sent concurrently share the bandwidth, and all of them
+// arrive only when the last byte of all has been sent.
+func (s *Server) LimitConcurrency(method string, limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.semaphores[method] = make(chan struct{}, atOnce)
+	s.semaphores[method] = make(chan struct{}, limit)
 }
 
-// Handle enters a handler of typed messages without items.
+// Handle registers a handler with a typed argument and result and without items.
 func Handle[I, O any](s *Server, method string, f func(context.Context, I) (O, error)) {
 	s.Handle(method, func(c context.Context, body []byte, _ func(any) error) (any, error) {
 		var in I
@@ -72,7 +77,7 @@
 	})
 }
 
-// Listen serves on an address until Close.
+// Listen starts serving on an address and returns. Close ends it.
 func (s *Server) Listen(address string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -84,10 +89,10 @@
 	return nil
 }
 
-// Address returns where the server listens.
+// Address returns the address on which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close ends the listener, the connections and the handlers.
+// Close closes the listener and the connections, cancels the running handlers, and waits for them.
 func (s *Server) Close() {
 	s.cancel()
 	s.listener.Close()
@@ -99,7 +104,7 @@
 	s.group.Wait()
 }
 
-// Bytes returns what went over all open connections, both ways.
+// Bytes returns the number of bytes sent and received on all open connections.
 func (s *Server) Bytes() int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -120,10 +125,11 @@
 	}
 }
 
-func (s *Server) setOpen(f *frame.Conn, in bool) {
+// setOpen adds a connection to the open ones or removes it.
+func (s *Server) setOpen(f *frame.Conn, open bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if in {
+	if open {
 		s.conns[f] = true
 	} else {
 		delete(s.conns, f)
@@ -148,12 +154,12 @@
 	s.readLoop(c, f)
 }
 
-// read answers the calls of one connection until it ends.
+// readLoop answers the calls of a connection until it ends.
 func (s *Server) readLoop(c context.Context, f *frame.Conn) {
 	var g sync.WaitGroup
 	defer g.Wait()
-	c, all := context.WithCancel(c)
-	defer all()
+	c, cancelAll := context.WithCancel(c)
+	defer cancelAll()
 	var mu sync.Mutex
 	cancels := map[uint64]context.CancelFunc{}
 	for {
@@ -184,12 +190,12 @@
 
 func (s *Server) handleCall(c context.Context, f *frame.Conn, m frame.Message) {
 	s.mu.RLock()
-	h, turn := s.handlers[m.Method], s.semaphores[m.Method]
+	h, sem := s.handlers[m.Method], s.semaphores[m.Method]
 	s.mu.RUnlock()
-	if turn != nil {
+	if sem != nil {
 		select {
-		case turn <- struct{}{}:
-			defer func() { <-turn }()
+		case sem <- struct{}{}:
+			defer func() { <-sem }()
 		case <-c.Done():
 			return
 		}
@@ -205,7 +211,7 @@
 		_ = writeBody(f, m.ID, frame.Fail, failure{e.Kind, e.Message, e.RetryAfter})
 		return
 	}
-	// The connection closes on a write error, so the caller learns of it.
+	// Close the connection on a write error so that the caller notices.
 	if err := writeBody(f, m.ID, frame.End, v); err != nil {
 		f.Close()
 	}
--- a/view/view.go
+++ b/view/view.go
@@ -295,7 +295,7 @@
 	return missing
 }
 
-// inFlightCounter returns the counter of own streams at a box. The caller holds v.mu.
+// inFlightCounter returns the counter of this box's streams at another box. The caller holds v.mu.
 func (v *View) inFlightCounter(box string) *atomic.Int64 {
 	c, ok := v.inFlight[box]
 	if !ok {
