--- a/plain/proxy.go
+++ b/plain/proxy.go
@@ -258,7 +258,7 @@
 	}
 	ts := make([]router.Target, len(ss))
 	for i, s := range ss {
-		ts[i] = router.Target{Box: s.Name, Hash: s.Hash, Busy: s.EstimateStreams(), Slots: max(s.Slots, 1), TokensPerSecond: 1}
+		ts[i] = router.Target{Box: s.Name, Hash: s.Hash, Busy: s.EstimateRequests(), Slots: max(s.Slots, 1), TokensPerSecond: 1}
 	}
 	ch := router.LeastLoaded{}.Pick(ts, router.Query{})
 	n := decisions.Decision{Subject: q.ID, Event: "route", Attempt: attempt, Reason: ch.Reason, Workload: q.Service}
--- a/stream/choose.go
+++ b/stream/choose.go
@@ -100,7 +100,7 @@
 		}
 		c.slots = append(c.slots, s.EndpointState)
 		c.targets = append(c.targets, router.Target{
-			Box: s.Name, Hash: s.Hash, Busy: s.EstimateStreams(), Slots: s.Slots, TokensPerSecond: s.TokensPerSecond,
+			Box: s.Name, Hash: s.Hash, Busy: s.EstimateRequests(), Slots: s.Slots, TokensPerSecond: s.TokensPerSecond,
 			Preference: s.preference, PrefixCached: s.Name == held,
 		})
 	}
--- a/stream/leave.go
+++ b/stream/leave.go
@@ -105,7 +105,7 @@
 		ss = append(ss, s)
 	}
 	slices.SortStableFunc(ss, func(a, b *view.EndpointState) int {
-		return cmp.Or(first(a, to)-first(b, to), cmp.Compare(a.EstimateStreams(), b.EstimateStreams()))
+		return cmp.Or(first(a, to)-first(b, to), cmp.Compare(a.EstimateRequests(), b.EstimateRequests()))
 	})
 	return ss[:min(len(ss), maxLandings)]
 }
--- a/view/view.go
+++ b/view/view.go
@@ -1,5 +1,5 @@
 // Package view holds an entry box's view of the endpoints: the box list, reclaim
-// notices, the latest load reports, and the box's own streams in flight. Readers
+// notices, the latest load reports, and the box's own requests in flight. Readers
 // get immutable snapshots.
 package view
 
@@ -47,7 +47,7 @@
 }
 
 // EndpointState is an endpoint with the state that routing needs. ReportedAt is when
-// its last load row arrived. InFlight counts this box's own streams at the endpoint;
+// its last load row arrived. InFlight counts this box's own requests at the endpoint;
 // reportedInFlight is that count when the last load row arrived.
 type EndpointState struct {
 	fleet.Endpoint
@@ -58,9 +58,9 @@
 	reportedInFlight int64
 }
 
-// EstimateStreams estimates the number of streams at the endpoint: those of the last
-// load row, corrected by the streams that this box has started or ended since.
-func (s *EndpointState) EstimateStreams() int {
+// EstimateRequests estimates the number of requests at the endpoint: those of the last
+// load row, corrected by the requests that this box has sent or ended since.
+func (s *EndpointState) EstimateRequests() int {
 	return max(s.Running+s.Waiting+int(s.InFlight.Load()-s.reportedInFlight), int(s.InFlight.Load()), 0)
 }
 
@@ -295,7 +295,7 @@
 	return missing
 }
 
-// inFlightCounter returns the counter of this box's streams at another box. The caller holds v.mu.
+// inFlightCounter returns the counter of this box's requests at another box. The caller holds v.mu.
 func (v *View) inFlightCounter(box string) *atomic.Int64 {
 	c, ok := v.inFlight[box]
 	if !ok {
--- a/view/view_test.go
+++ b/view/view_test.go
@@ -46,20 +46,20 @@
 	})
 }
 
-// The estimate is the last load row plus the streams that this box has started since
+// The estimate is the last load row plus the requests that this box has sent since
 // and minus those that it has ended.
-func TestEstimateStreamsCorrectsReport(t *testing.T) {
+func TestEstimateRequestsCorrectsReport(t *testing.T) {
 	v := view.New()
 	v.SetBoxes(boxes(1))
 	v.SetFacts(facts("e000"))
 	v.Endpoint("e000").InFlight.Add(2)
 	v.SetRows([]view.Row{{ID: view.ID("e000"), Running: 5}})
 	s := v.Endpoint("e000")
-	require.Equal(t, 5, s.EstimateStreams(), "the row includes the streams sent before it")
+	require.Equal(t, 5, s.EstimateRequests(), "the row includes the requests sent before it")
 	s.InFlight.Add(3)
-	require.Equal(t, 8, s.EstimateStreams())
+	require.Equal(t, 8, s.EstimateRequests())
 	s.InFlight.Add(-4)
-	require.Equal(t, 4, s.EstimateStreams())
+	require.Equal(t, 4, s.EstimateRequests())
 }
 
 // SetRows returns the endpoints whose facts are missing; they aren't usable until the facts arrive.
