--- a/admission/capacity.go
+++ b/admission/capacity.go
@@ -17,7 +17,7 @@
 
 // MeasureCapacity returns the capacity of the data centre dc, given the endpoints of all data
 // centres.
-func MeasureCapacity(ss []*view.Slot, dc string) Capacity {
+func MeasureCapacity(ss []*view.EndpointState, dc string) Capacity {
 	var c Capacity
 	all, worst := 0, 0
 	lost := map[string]int{}
--- a/admission/service.go
+++ b/admission/service.go
@@ -148,8 +148,8 @@
 // entry boxes.
 func (a *Admission) limitsFor(account string) Limits {
 	all := float64(max(len(a.members.Up("")), 1))
-	here := float64(max(len(a.members.Names()), 1))
-	c := MeasureCapacity(a.view.Slots(), a.members.Self().DataCentre)
+	here := float64(max(len(a.members.LocalBoxes()), 1))
+	c := MeasureCapacity(a.view.Endpoints(), a.members.Self().DataCentre)
 	return Limits{Slots: c.EngineSlots * c.RetainedShare / here, PlainSlots: c.ServiceSlots / here, RateShare: a.rateShare(account, here) * here / all}
 }
 
--- a/gossip/fetch.go
+++ b/gossip/fetch.go
@@ -29,7 +29,7 @@
 // the rounds: within the time limit of a round, no member received its records when all asked at
 // once, and their relay sent them again and again.
 func (g *Gossip) catchUp(from string, version, revision uint64) {
-	if v, _ := g.known.Raw(); version > v {
+	if v, _ := g.known.RawConfig(); version > v {
 		g.startFetch(&g.configFetch, from, g.fetchConfiguration)
 	}
 	if revision > g.known.Revision() {
@@ -78,7 +78,7 @@
 
 // fetchConfiguration fetches a configuration newer than this box's.
 func (g *Gossip) fetchConfiguration(c context.Context, from string) {
-	v, _ := g.known.Raw()
+	v, _ := g.known.RawConfig()
 	var raw []byte
 	if err := g.node.Bulk.Call(c, from, "gossip.configuration", v, &raw); err != nil || len(raw) == 0 {
 		g.log.Debug().Str("event", "configuration").Str("from", from).Err(err).Msg("not fetched; retried in the next round")
@@ -99,13 +99,13 @@
 		g.log.Error().Str("event", "endpoints").Str("from", from).Err(err).Msg("records not taken; retried in the next round")
 		return
 	}
-	g.known.Tell(r)
+	g.known.Merge(r)
 }
 
 // catchUpFromRelays fetches from a relay with a newer configuration or newer records, since its
 // push of the change may have been lost.
 func (g *Gossip) catchUpFromRelays() {
-	v, _ := g.known.Raw()
+	v, _ := g.known.RawConfig()
 	at := g.known.Revision()
 	var from Status
 	g.mu.Lock()
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -114,7 +114,7 @@
 	RestoreEndpointStats func(map[string]estimate.Stats)
 
 	log           zerolog.Logger
-	known         *known.Known
+	known         *known.Service
 	session       *session.Session
 	node          *peer.Node
 	ctx           context.Context
@@ -180,23 +180,23 @@
 	peer.Handle(g.node.Server, "gossip.relay", g.handleRelay)
 	peer.Handle(g.node.Server, "gossip.update", g.handleUpdate)
 	peer.Handle(g.node.Server, "gossip.configuration", func(context.Context, uint64) ([]byte, error) {
-		_, raw := g.known.Raw()
+		_, raw := g.known.RawConfig()
 		return g.packedConfig.pack(raw)
 	})
 	peer.Handle(g.node.Server, "gossip.records", func(_ context.Context, since uint64) ([]byte, error) {
 		return g.packedRecords.pack(g.known, since)
 	})
-	g.node.Server.InTurn("gossip.configuration", maxConcurrentSends)
-	g.node.Server.InTurn("gossip.records", maxConcurrentSends)
+	g.node.Server.LimitConcurrency("gossip.configuration", maxConcurrentSends)
+	g.node.Server.LimitConcurrency("gossip.records", maxConcurrentSends)
 	peer.Handle(g.node.Server, "gossip.news", g.handleNotification)
 	c, cancel := context.WithCancel(context.Background())
 	g.ctx, g.cancel = c, cancel
 	g.Quarantine.SendsTrials = g.sendsTrials
 	g.Quarantine.OnChange = func(s []quarantine.Suspect) { g.notify(notification{Suspects: s}) }
-	g.slotWatch = &mirror.Mirror{Store: g.Store, Prefix: g.Prefix, Wait: watchTimeout, Apply: g.applySlots, Log: g.log, Away: g.session.Away}
+	g.slotWatch = &mirror.Mirror{Store: g.Store, Prefix: g.Prefix, Wait: watchTimeout, Apply: g.applySlots, Log: g.log, StoreUnreachable: g.session.Away}
 	g.session.OnReturn(g.slotWatch.Restart)
 	g.known.OnRecords(func(r known.Records) { g.pushRecords(c, r) })
-	g.known.OnRaw(func(raw []byte) {
+	g.known.OnRawConfig(func(raw []byte) {
 		g.updateQuota() // makes new accounts known before their first request
 		g.pushConfiguration(c, raw)
 	})
@@ -301,7 +301,7 @@
 	g.takeOverSlot(c)
 	g.setSlotWatch(c, true)
 	g.exchangeWithRelays(c)
-	g.known.Follow(g.isWatcher())
+	g.known.SetWatching(g.isWatcher())
 	if g.session.Lease() != 0 && g.mayHaveLostSlot() {
 		g.claimSlot(c)
 	}
--- a/gossip/member.go
+++ b/gossip/member.go
@@ -26,7 +26,7 @@
 	}
 	switch {
 	case fresh:
-		g.known.Follow(false)
+		g.known.SetWatching(false)
 		if g.slotVacant {
 			g.claimSlot(c)
 		}
@@ -34,7 +34,7 @@
 	case g.inStartupGrace() && !g.session.Away():
 		g.claimSlot(c)
 	case g.storeAnswers(c):
-		g.known.Follow(true)
+		g.known.SetWatching(true)
 		g.claimSlot(c)
 	}
 	if !answered && g.session.Silent() > askAnyAfter {
--- a/gossip/records.go
+++ b/gossip/records.go
@@ -46,13 +46,13 @@
 }
 
 // pack returns the packed records that changed since a revision. It packs once per pair of revisions.
-func (p *recordsCache) pack(k *known.Known, since uint64) ([]byte, error) {
+func (p *recordsCache) pack(k *known.Service, since uint64) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if zip, ok := p.zipsByStart[since]; ok && p.revision == k.Revision() {
 		return zip, nil
 	}
-	r := k.Since(since)
+	r := k.ChangesSince(since)
 	if p.zipsByStart == nil || p.revision != r.To {
 		p.revision, p.zipsByStart = r.To, map[uint64][]byte{}
 	}
--- a/gossip/relay.go
+++ b/gossip/relay.go
@@ -119,7 +119,7 @@
 	w.Leavers = g.known.Roster.Leavers(in.Leavers.Sum)
 	w.Rates = g.Rates.Report(in.Rates.Sum, now)
 	w.Orders = g.Rollouts.Orders()
-	w.Others.Version, _ = g.known.Raw()
+	w.Others.Version, _ = g.known.RawConfig()
 	w.Others.Usage = nil
 	if !hasStats {
 		w.Others.Speeds = nil
@@ -165,7 +165,7 @@
 		in.Records = &r
 	}
 	if in.Records != nil {
-		return g.known.Tell(*in.Records), nil
+		return g.known.Merge(*in.Records), nil
 	}
 	return true, nil
 }
@@ -229,7 +229,7 @@
 		return
 	}
 	to := g.reachableMembers()
-	if g.known.Follows() {
+	if g.known.IsWatching() {
 		to = append(to, g.reachableRelays()...)
 	}
 	g.broadcast(c, to, "gossip.update", u)
--- a/gossip/watchers_test.go
+++ b/gossip/watchers_test.go
@@ -18,7 +18,7 @@
 func watcherDataCentres(bs []*box) []string {
 	var dcs []string
 	for _, b := range bs {
-		if !b.stopped && b.known.Follows() {
+		if !b.stopped && b.known.IsWatching() {
 			dcs = append(dcs, b.DataCentre)
 		}
 	}
@@ -76,15 +76,15 @@
 	waitUntil(t, func() bool { return countBoxes(bs, (*box).IsRelay) == 6 })
 	waitUntil(t, settled)
 	change()
-	first := slices.IndexFunc(bs, func(b *box) bool { return b.known.Follows() })
+	first := slices.IndexFunc(bs, func(b *box) bool { return b.known.IsWatching() })
 	bs[first].stop()
 	change()
 	waitUntil(t, settled)
-	next := slices.IndexFunc(bs, func(b *box) bool { return !b.stopped && b.known.Follows() })
+	next := slices.IndexFunc(bs, func(b *box) bool { return !b.stopped && b.known.IsWatching() })
 	stores[next].closed.Store(true)
 	change()
 	waitUntil(t, func() bool {
-		return len(watcherDataCentres(bs)) >= 2 && !bs[next].known.Follows()
+		return len(watcherDataCentres(bs)) >= 2 && !bs[next].known.IsWatching()
 	})
 	change()
 }
--- a/peer/client.go
+++ b/peer/client.go
@@ -13,16 +13,17 @@
 	"birchlink.dev/birchlink/frame"
 )
 
-// dialLimit bounds how long a connection may take to stand.
-const dialLimit = time.Second
+// dialTimeout bounds the TCP connection setup.
+const dialTimeout = time.Second
 
-// silentFor is how long a connection on which calls wait may carry nothing before it is
-// closed: it may have gone silent for good without a reset, and TCP takes minutes to
-// notice. It is longer than a busy box takes to answer, and lets two rounds of half a
-// second fail.
-const silentFor = 900 * time.Millisecond
+// maxSilence is how long a connection with pending calls may deliver no frame before it
+// is closed when one of them is given up. A connection can die without a reset, which TCP
+// detects only after minutes. The limit is longer than a busy box takes to answer; a dead
+// connection makes two rounds of half a second fail.
+const maxSilence = 900 * time.Millisecond
 
-// Client calls peers by address and keeps one connection to each.
+// Client calls peers by address. It keeps one connection to each peer and multiplexes
+// the calls on it. It is safe for concurrent use.
 type Client struct {
 	secret string
 	local  *net.TCPAddr
@@ -31,72 +32,77 @@
 	group  sync.WaitGroup
 }
 
-// link is one connection with the calls that wait on it.
+// link is a connection with its pending calls.
 type link struct {
-	conn  *frame.Conn
-	mu    sync.Mutex
-	next  uint64
-	calls map[uint64]*inbox
-	done  chan struct{}
+	conn   *frame.Conn
+	mu     sync.Mutex
+	lastID uint64
+	calls  map[uint64]*inbox
+	done   chan struct{}
 
-	// waits is since when calls wait without a frame for any; zero while none does.
-	waits time.Time
+	// waitingSince is when the first call since the last received frame was made; zero
+	// if there was none.
+	waitingSince time.Time
 }
 
 // NewClient returns a client without connections.
 func NewClient(secret string) *Client { return &Client{secret: secret, links: map[string]*link{}} }
 
-// Call makes a call and decodes its last value into out, unless that is nil.
+// Call makes a call and decodes its result into out, unless out is nil. Errors are
+// those of Stream.
 func (c *Client) Call(x context.Context, address, method string, in, out any) error {
 	return c.Stream(x, address, method, in, out, nil)
 }
 
-// Stream makes a call and hands each item before the last value to each. A
-// failure of the connection is of kind Unavailable: whether the call took
-// effect is not known.
-func (c *Client) Stream(x context.Context, address, method string, in, out any, each func([]byte) error) error {
-	l, err := c.link(x, address)
+// Stream makes a call, passes each item to onItem, unless that is nil, and decodes the
+// result into out, unless that is nil. An error of onItem ends the call. A connection
+// failure is returned as an error of kind errkind.Unavailable; the call may or may not
+// have taken effect. Errors of the remote handler keep their kind, message and
+// RetryAfter.
+func (c *Client) Stream(x context.Context, address, method string, in, out any, onItem func([]byte) error) error {
+	l, err := c.connect(x, address)
 	if err != nil {
 		return &errkind.Error{Kind: errkind.Unavailable, Message: "peer " + address, Err: err}
 	}
-	id, ch := l.open()
-	defer l.forget(id)
+	id, answers := l.openCall()
+	defer l.closeCall(id)
 	b, err := msgpack.Marshal(in)
 	if err != nil {
 		return fmt.Errorf("encode call: %w", err)
 	}
-	if err := l.conn.Write(frame.Message{ID: id, Type: frame.Call, Method: method, Body: b}, writeLimit); err != nil {
+	if err := l.conn.Write(frame.Message{ID: id, Type: frame.Call, Method: method, Body: b}, writeTimeout); err != nil {
 		l.conn.Close()
 		return &errkind.Error{Kind: errkind.Unavailable, Message: "peer " + address, Err: err}
 	}
 	for {
-		for _, m := range ch.take() {
-			if last, err := take(m, out, each); last || err != nil {
+		for _, m := range answers.drain() {
+			if last, err := handleFrame(m, out, onItem); last || err != nil {
 				return err
 			}
 		}
 		select {
-		case <-ch.ready:
+		case <-answers.ready:
 		case <-x.Done():
 			l.closeIfSilent()
-			_ = l.conn.Write(frame.Message{ID: id, Type: frame.Cancel}, writeLimit)
+			_ = l.conn.Write(frame.Message{ID: id, Type: frame.Cancel}, writeTimeout)
 			return x.Err()
 		case <-l.done:
-			// Frames that came before the end still count.
-			if ch.empty() {
+			// Handle the frames that arrived before the connection ended.
+			if answers.isEmpty() {
 				return errkind.New(errkind.Unavailable, "peer %s left", address)
 			}
 		}
 	}
 }
 
-func take(m frame.Message, out any, each func([]byte) error) (bool, error) {
+// handleFrame handles one frame of a call and reports whether it is the last.
+func handleFrame(m frame.Message, out any, onItem func([]byte) error) (bool, error) {
 	switch m.Type {
 	case frame.Item:
-		if each == nil {
+		if onItem == nil {
 			return false, nil
 		}
-		return false, each(m.Body)
+		return false, onItem(m.Body)
 	case frame.Fail:
 		var f failure
 		if err := msgpack.Unmarshal(m.Body, &f); err != nil {
@@ -114,7 +120,7 @@
 	}
 }
 
-// Bytes returns what went over all open connections, both ways.
+// Bytes returns the number of bytes sent and received on all open connections.
 func (c *Client) Bytes() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,7 +131,7 @@
 	return n
 }
 
-// Close ends all connections.
+// Close closes all connections and waits for their readers.
 func (c *Client) Close() {
 	c.mu.Lock()
 	for _, l := range c.links {
@@ -135,7 +141,8 @@
 	c.group.Wait()
 }
 
-func (c *Client) link(x context.Context, address string) (*link, error) {
+// connect returns the connection to an address and dials it if there is none.
+func (c *Client) connect(x context.Context, address string) (*link, error) {
 	c.mu.Lock()
 	l := c.links[address]
 	c.mu.Unlock()
@@ -153,12 +160,12 @@
 		return o, nil
 	}
 	c.links[address] = l
-	c.group.Go(func() { c.read(address, l) })
+	c.group.Go(func() { c.readLoop(address, l) })
 	return l, nil
 }
 
 func (c *Client) dial(x context.Context, address string) (*link, error) {
-	d := net.Dialer{Timeout: dialLimit}
+	d := net.Dialer{Timeout: dialTimeout}
 	if c.local != nil {
 		d.LocalAddr = c.local
 	}
@@ -167,8 +174,8 @@
 		return nil, fmt.Errorf("dial: %w", err)
 	}
 	f := frame.New(n)
-	_ = n.SetReadDeadline(time.Now().Add(helloLimit))
-	if err := greet(f, c.secret); err != nil {
+	_ = n.SetReadDeadline(time.Now().Add(handshakeTimeout))
+	if err := clientHandshake(f, c.secret); err != nil {
 		f.Close()
 		return nil, err
 	}
@@ -176,8 +183,8 @@
 	return &link{conn: f, calls: map[uint64]*inbox{}, done: make(chan struct{})}, nil
 }
 
-// read hands each frame to its call until the connection ends.
-func (c *Client) read(address string, l *link) {
+// readLoop delivers each frame to its call until the connection ends.
+func (c *Client) readLoop(address string, l *link) {
 	defer func() {
 		c.mu.Lock()
 		delete(c.links, address)
@@ -190,13 +197,13 @@
 		if err != nil {
 			return
 		}
-		l.hand(m)
+		l.deliver(m)
 	}
 }
 
-// inbox holds the frames of one call until they are read. What a call may
-// answer is bounded by its handler, so the inbox is too; a reader that is slow
-// does not hold up the other calls of the connection.
+// inbox queues the frames of one call, so that a slow reader doesn't block the other
+// calls of the connection. It has no limit of its own; the handler bounds the size of
+// an answer.
 type inbox struct {
 	mu     sync.Mutex
 	frames []frame.Message
@@ -213,7 +220,7 @@
 	}
 }
 
-func (b *inbox) take() []frame.Message {
+func (b *inbox) drain() []frame.Message {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	ms := b.frames
@@ -221,46 +228,46 @@
 	return ms
 }
 
-func (b *inbox) empty() bool {
+func (b *inbox) isEmpty() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.frames) == 0
 }
 
-func (l *link) open() (uint64, *inbox) {
+func (l *link) openCall() (uint64, *inbox) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.next++
-	if l.waits.IsZero() {
-		l.waits = time.Now()
+	l.lastID++
+	if l.waitingSince.IsZero() {
+		l.waitingSince = time.Now()
 	}
 	b := &inbox{ready: make(chan struct{}, 1)}
-	l.calls[l.next] = b
-	return l.next, b
+	l.calls[l.lastID] = b
+	return l.lastID, b
 }
 
-func (l *link) forget(id uint64) {
+func (l *link) closeCall(id uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.calls, id)
 }
 
-// closeIfSilent closes a connection on which calls have waited for too long without a
-// sign of the far side.
+// closeIfSilent closes the connection if calls have been pending for maxSilence without
+// a frame from the remote side.
 func (l *link) closeIfSilent() {
 	l.mu.Lock()
-	silent := !l.waits.IsZero() && time.Since(l.waits) >= silentFor
+	silent := !l.waitingSince.IsZero() && time.Since(l.waitingSince) >= maxSilence
 	l.mu.Unlock()
 	if silent {
 		l.conn.Close()
 	}
 }
 
-// hand gives a frame to its call, unless that has ended.
-func (l *link) hand(m frame.Message) {
+// deliver passes a frame to its call, or drops it if the call has ended.
+func (l *link) deliver(m frame.Message) {
 	l.mu.Lock()
 	b, ok := l.calls[m.ID]
-	l.waits = time.Time{}
+	l.waitingSince = time.Time{}
 	l.mu.Unlock()
 	if ok {
 		b.put(m)
--- a/peer/server.go
+++ b/peer/server.go
@@ -1,4 +1,6 @@
-// Package peer carries calls between entry boxes over framed TCP connections.
+// Package peer implements the calls between entry boxes. Calls are multiplexed over
+// framed TCP connections, and both sides of a connection authenticate each other by a
+// shared secret. A call returns one result, and may return a stream of items before it.
 package peer
 
 import (
@@ -14,54 +16,57 @@
 	"birchlink.dev/birchlink/frame"
 )
 
-// writeLimit ends a connection whose far side stops reading.
-const writeLimit = 5 * time.Second
+// writeTimeout bounds the write of one frame. A connection whose remote side has stopped reading
+// is closed after it.
+const writeTimeout = 5 * time.Second
 
-// Handler answers one call. It may send items before it returns; the value that
-// it returns is the last.
+// Handler answers one call. Body is the encoded argument. The handler may send items
+// before it returns the result. C is cancelled when the caller gives up or the
+// connection ends.
 type Handler func(c context.Context, body []byte, send func(any) error) (any, error)
 
-// failure is an error as it crosses between boxes.
+// failure is the wire form of an errkind.Error.
 type failure struct {
 	Kind       errkind.Kind  `msgpack:"k"`
 	Message    string        `msgpack:"m"`
 	RetryAfter time.Duration `msgpack:"r,omitempty"`
 }
 
-// Server answers the calls of peers that know the secret.
+// Server answers calls of peers that know the secret.
 type Server struct {
-	secret   string
-	mu       sync.RWMutex
-	handlers map[string]Handler
-	turns    map[string]chan struct{} // of the methods whose calls are answered in turn
-	conns    map[*frame.Conn]bool
-	group    sync.WaitGroup
-	listener net.Listener
-	cancel   context.CancelFunc
+	secret     string
+	mu         sync.RWMutex
+	handlers   map[string]Handler
+	semaphores map[string]chan struct{} // limits on concurrent calls, by method
+	conns      map[*frame.Conn]bool
+	group      sync.WaitGroup
+	listener   net.Listener
+	cancel     context.CancelFunc
 }
 
 // NewServer returns a server without handlers.
 func NewServer(secret string) *Server {
-	return &Server{secret: secret, handlers: map[string]Handler{}, turns: map[string]chan struct{}{}, conns: map[*frame.Conn]bool{}}
+	return &Server{secret: secret, handlers: map[string]Handler{}, semaphores: map[string]chan struct{}{}, conns: map[*frame.Conn]bool{}}
 }
 
-// Handle enters the handler of a method.
+// Handle registers the handler of a method.
 func (s *Server) Handle(method string, h Handler) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.handlers[method] = h
 }
 
-// InTurn lets no more than so many calls of a method be answered at once, from the handler's begin
-// until the answer has been written. The others wait their turn: sent to all that ask at once, a
-// large answer would reach each of them after the last byte of all.
-func (s *Server) InTurn(method string, atOnce int) {
+// LimitConcurrency limits the number of calls of a method that are answered at the same time. A
+// call counts from the start of its handler until its answer has been written; further calls wait.
+// Without a limit, large answers that are sent concurrently share the bandwidth, and all of them
+// arrive only when the last byte of all has been sent.
+func (s *Server) LimitConcurrency(method string, limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turns[method] = make(chan struct{}, atOnce)
+	s.semaphores[method] = make(chan struct{}, limit)
 }
 
-// Handle enters a handler of typed messages without items.
+// Handle registers a handler with a typed argument and result and without items.
 func Handle[I, O any](s *Server, method string, f func(context.Context, I) (O, error)) {
 	s.Handle(method, func(c context.Context, body []byte, _ func(any) error) (any, error) {
 		var in I
@@ -72,7 +77,7 @@
 	})
 }
 
-// Listen serves on an address until Close.
+// Listen starts serving on an address and returns. Close ends it.
 func (s *Server) Listen(address string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -84,10 +89,10 @@
 	return nil
 }
 
-// Address returns where the server listens.
+// Address returns the address on which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close ends the listener, the connections and the handlers.
+// Close closes the listener and the connections, cancels the running handlers, and waits for them.
 func (s *Server) Close() {
 	s.cancel()
 	s.listener.Close()
@@ -99,7 +104,7 @@
 	s.group.Wait()
 }
 
-// Bytes returns what went over all open connections, both ways.
+// Bytes returns the number of bytes sent and received on all open connections.
 func (s *Server) Bytes() int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -120,10 +125,11 @@
 	}
 }
 
-func (s *Server) enter(f *frame.Conn, in bool) {
+// setOpen adds a connection to the open ones or removes it.
+func (s *Server) setOpen(f *frame.Conn, open bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if in {
+	if open {
 		s.conns[f] = true
 	} else {
 		delete(s.conns, f)
@@ -132,28 +138,28 @@
 
 func (s *Server) serve(c context.Context, n net.Conn) {
 	f := frame.New(n)
-	s.enter(f, true)
-	defer s.enter(f, false)
+	s.setOpen(f, true)
+	defer s.setOpen(f, false)
 	defer f.Close()
 	if c.Err() != nil {
 		return
 	}
-	_ = n.SetReadDeadline(time.Now().Add(helloLimit))
-	if err := welcome(f, s.secret); err != nil {
+	_ = n.SetReadDeadline(time.Now().Add(handshakeTimeout))
+	if err := serverHandshake(f, s.secret); err != nil {
 		return
 	}
 	_ = n.SetReadDeadline(time.Time{})
 	c, cancel := context.WithCancel(c)
 	defer cancel()
-	s.read(c, f)
+	s.readLoop(c, f)
 }
 
-// read answers the calls of one connection until it ends.
-func (s *Server) read(c context.Context, f *frame.Conn) {
+// readLoop answers the calls of a connection until it ends.
+func (s *Server) readLoop(c context.Context, f *frame.Conn) {
 	var g sync.WaitGroup
 	defer g.Wait()
-	c, all := context.WithCancel(c)
-	defer all()
+	c, cancelAll := context.WithCancel(c)
+	defer cancelAll()
 	var mu sync.Mutex
 	cancels := map[uint64]context.CancelFunc{}
 	for {
@@ -171,7 +177,7 @@
 			x, stop := context.WithCancel(c)
 			cancels[m.ID] = stop
 			g.Go(func() {
-				s.answer(x, f, m)
+				s.handleCall(x, f, m)
 				stop()
 				mu.Lock()
 				delete(cancels, m.ID)
@@ -182,39 +188,39 @@
 	}
 }
 
-func (s *Server) answer(c context.Context, f *frame.Conn, m frame.Message) {
+func (s *Server) handleCall(c context.Context, f *frame.Conn, m frame.Message) {
 	s.mu.RLock()
-	h, turn := s.handlers[m.Method], s.turns[m.Method]
+	h, sem := s.handlers[m.Method], s.semaphores[m.Method]
 	s.mu.RUnlock()
-	if turn != nil {
+	if sem != nil {
 		select {
-		case turn <- struct{}{}:
-			defer func() { <-turn }()
+		case sem <- struct{}{}:
+			defer func() { <-sem }()
 		case <-c.Done():
 			return
 		}
 	}
-	send := func(v any) error { return write(f, m.ID, frame.Item, v) }
+	send := func(v any) error { return writeBody(f, m.ID, frame.Item, v) }
 	if h == nil {
-		_ = write(f, m.ID, frame.Fail, failure{Kind: errkind.Unavailable, Message: "no method " + m.Method})
+		_ = writeBody(f, m.ID, frame.Fail, failure{Kind: errkind.Unavailable, Message: "no method " + m.Method})
 		return
 	}
 	v, err := h(c, m.Body, send)
 	if err != nil {
 		e := errkind.Of(err)
-		_ = write(f, m.ID, frame.Fail, failure{e.Kind, e.Message, e.RetryAfter})
+		_ = writeBody(f, m.ID, frame.Fail, failure{e.Kind, e.Message, e.RetryAfter})
 		return
 	}
-	// The connection closes on a write error, so the caller learns of it.
-	if err := write(f, m.ID, frame.End, v); err != nil {
+	// Close the connection on a write error so that the caller notices.
+	if err := writeBody(f, m.ID, frame.End, v); err != nil {
 		f.Close()
 	}
 }
 
-func write(f *frame.Conn, id uint64, t frame.Type, v any) error {
+func writeBody(f *frame.Conn, id uint64, t frame.Type, v any) error {
 	b, err := msgpack.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("encode body: %w", err)
 	}
-	return f.Write(frame.Message{ID: id, Type: t, Body: b}, writeLimit)
+	return f.Write(frame.Message{ID: id, Type: t, Body: b}, writeTimeout)
 }
