--- a/claims/committer.go
+++ b/claims/committer.go
@@ -106,11 +106,11 @@
 			answer(ws, rs)
 			return
 		}
-		unknown = unknown || errors.Is(err, kv.ErrUnknown)
+		unknown = unknown || errors.Is(err, kv.ErrOutcomeUnknown)
 		if !unknown && !errors.Is(err, kv.ErrConflict) {
 			break
 		}
-		if errors.Is(err, kv.ErrAway) {
+		if errors.Is(err, kv.ErrUnavailable) {
 			// The claims may stand already: look again before giving up.
 			wait.For(c, lookAgain)
 		}
--- a/claims/committer_test.go
+++ b/claims/committer_test.go
@@ -32,7 +32,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.away {
-		return kv.Entry{}, kv.ErrAway
+		return kv.Entry{}, kv.ErrUnavailable
 	}
 	return f.entry, nil
 }
@@ -43,16 +43,16 @@
 	defer f.mu.Unlock()
 	switch {
 	case f.away:
-		return kv.Entry{}, kv.ErrAway
+		return kv.Entry{}, kv.ErrUnavailable
 	case f.dice.Float64() < f.lose:
-		return kv.Entry{}, kv.ErrUnknown
+		return kv.Entry{}, kv.ErrOutcomeUnknown
 	case e.Rev != f.entry.Rev:
 		return f.entry, kv.ErrConflict
 	}
 	f.swaps++
 	f.entry = kv.Entry{Key: e.Key, Rev: f.entry.Rev + 1, Value: e.Value}
 	if f.dice.Float64() < f.lose {
-		return kv.Entry{}, kv.ErrUnknown
+		return kv.Entry{}, kv.ErrOutcomeUnknown
 	}
 	return f.entry, nil
 }
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -144,7 +144,7 @@
 	}
 	p.known = known.New(known.Source{
 		ConfigKey: platform.ConfigKey, OperatorPrefix: platform.OperatorPrefix, EndpointsPrefix: platform.ServersPrefix,
-		Document: platform.Document, Endpoint: platform.Endpoint, Order: platform.Order,
+		Document: platform.DecodeDocument, Endpoint: platform.DecodeEndpoint, Order: platform.DecodeOrder,
 	}, st, log)
 	p.known.OnOrders = p.gossip.Ordered
 	p.gossip.Rollouts.Random = rand.Float64
@@ -253,7 +253,7 @@
 // holder returns the service that decides on roll-outs.
 func (p *entryParts) holder(e *election.Election, log zerolog.Logger) *rollout.Controller {
 	p.rollouts = &rollout.Controller{
-		Gate: p.gossip.Rollouts, Store: p.store, Key: rolloutKey, Status: platform.Status, Fence: e.Act, Broadcast: p.gossip.Decided,
+		Gate: p.gossip.Rollouts, Store: p.store, Key: rolloutKey, Status: platform.EncodeStatus, Fence: e.UseFence, Broadcast: p.gossip.Decided,
 		RemoteEvidence: p.seen, Now: p.clock.Now, MaxShare: p.settings.RolloutShare, Log: log,
 	}
 	return p.rollouts
--- a/daemon/entry_test.go
+++ b/daemon/entry_test.go
@@ -238,22 +238,22 @@
 	defer stopAll(t, bs)
 	p.store.SetDown(true)
 	s := p.servers[0]
-	s.SayLeaving()
-	for i := 0; s.Asked() == 0; i++ {
+	s.ReportLeaving()
+	for i := 0; s.RequestCount() == 0; i++ {
 		status, text := bs[0].call(t, fmt.Sprint("first", i), "body")
 		require.Equal(t, http.StatusOK, status, text)
 	}
 	for _, b := range bs {
 		require.Eventually(t, func() bool { return b.metric(t, "endpoints.leaving", 1) }, 20*time.Second, 5*time.Millisecond)
 	}
-	asked := s.Asked()
+	asked := s.RequestCount()
 	for i, b := range bs {
 		for j := range 12 {
 			status, text := b.call(t, fmt.Sprint("then", i, "-", j), "body")
 			require.Equal(t, http.StatusOK, status, text)
 		}
 	}
-	require.Equal(t, asked, s.Asked())
+	require.Equal(t, asked, s.RequestCount())
 }
 
 // A server that turns requests away asks each box for rest by itself. One box sent it 8 requests in
@@ -264,20 +264,20 @@
 	p := newPlatform(t, 2)
 	bs := p.startFleet("a")
 	defer stopAll(t, bs)
-	p.servers[0].TurnAway(time.Hour)
+	p.servers[0].RefuseRequests(time.Hour)
 	for i := range 30 {
 		status, text := bs[0].call(t, fmt.Sprint("one", i), "body")
 		require.Equal(t, http.StatusOK, status, text)
 	}
-	require.LessOrEqual(t, p.servers[0].Asked(), 1)
-	p.servers[1].TurnAway(2 * time.Hour)
+	require.LessOrEqual(t, p.servers[0].RequestCount(), 1)
+	p.servers[1].RefuseRequests(2 * time.Hour)
 	for i := range 30 {
 		status, text := bs[0].call(t, fmt.Sprint("both", i), "body")
 		require.Equal(t, http.StatusServiceUnavailable, status, text)
 		require.Contains(t, text, "not_run")
 	}
-	require.Equal(t, 1, p.servers[0].Asked())
-	require.Equal(t, 31, p.servers[1].Asked())
+	require.Equal(t, 1, p.servers[0].RequestCount())
+	require.Equal(t, 31, p.servers[1].RequestCount())
 }
 
 // Two servers said in their answers that they take 1 and 1.2 requests a second from all boxes
@@ -296,14 +296,14 @@
 	bs := p.startFleet("a", "b", "c", "d", "e", "f")
 	defer stopAll(t, bs)
 	s := p.servers[0]
-	s.SayLimit(fmt.Sprint(perSecond))
+	s.ReportLimit(fmt.Sprint(perSecond))
 	began := time.Now()
 	for i := range 200 {
 		status, text := bs[i%len(bs)].call(t, fmt.Sprint("call", i), "body")
 		require.Equal(t, http.StatusOK, status, text)
 	}
 	windows := math.Ceil(time.Since(began).Seconds() / window)
-	require.LessOrEqual(t, float64(s.Asked()), float64(len(bs))+windows*(1.5*window*perSecond+5))
+	require.LessOrEqual(t, float64(s.RequestCount()), float64(len(bs))+windows*(1.5*window*perSecond+5))
 }
 
 // written reports whether what processes that start anew have to know names a content.
--- a/daemon/rates_test.go
+++ b/daemon/rates_test.go
@@ -34,13 +34,13 @@
 	defer func() { stopAll(t, bs) }()
 	p.store.SetDown(true)
 	s := p.servers[0]
-	s.SayLimit("5")
-	bs[0].askUntil(t, "first", func() bool { return s.Asked() > 0 })
+	s.ReportLimit("5")
+	bs[0].askUntil(t, "first", func() bool { return s.RequestCount() > 0 })
 	limited(t, bs, 1)
 	p.store.SetDown(false)
 	bs = append(bs, p.startBox("e", "north"))
 	limited(t, bs, 1)
-	s.SayLimit("")
+	s.ReportLimit("")
 	bs[1].askUntil(t, "then", func() bool { return bs[1].metric(t, "endpoints.limited", 0) })
 	limited(t, bs, 0)
 }
@@ -52,13 +52,13 @@
 	bs := p.startFleet("a", "b")
 	defer stopAll(t, bs)
 	for _, s := range p.servers {
-		s.SayLimit("0.01")
+		s.ReportLimit("0.01")
 	}
 	for i := range 4 {
 		bs[0].call(t, fmt.Sprint("first", i), "body")
 	}
 	limited(t, bs, 2)
-	asked := p.servers[0].Asked() + p.servers[1].Asked()
+	asked := p.servers[0].RequestCount() + p.servers[1].RequestCount()
 	refused := 0
 	for i := range 40 {
 		status, text := bs[i%2].call(t, fmt.Sprint("then", i), "body")
@@ -69,6 +69,6 @@
 		require.Contains(t, text, "not_run")
 		refused++
 	}
-	require.Equal(t, 40-refused, p.servers[0].Asked()+p.servers[1].Asked()-asked)
+	require.Equal(t, 40-refused, p.servers[0].RequestCount()+p.servers[1].RequestCount()-asked)
 	require.Greater(t, refused, 30)
 }
--- a/duty/lease.go
+++ b/duty/lease.go
@@ -17,13 +17,13 @@
 // The times of a lease. A holder renews every Renew; a challenger takes over
 // when it has seen no renewal for Term on its own clock.
 const (
-	Renew = 3 * time.Second
-	Term  = 10 * time.Second
+	RenewInterval = 3 * time.Second
+	Term          = 10 * time.Second
 )
 
-// safePart is the part of the term in which a holder may give orders to
+// safeTermDivisor is the part of the term in which a holder may give orders to
 // endpoints that do not check its fence.
-const safePart = 2
+const safeTermDivisor = 2
 
 // store is what a lease needs of the key-value service.
 type store interface {
@@ -44,13 +44,13 @@
 	Holder string
 	Store  store
 
-	mu      sync.Mutex
-	rev     uint64
-	seen    time.Time
-	last    record
-	mine    bool
-	renewed time.Time
-	since   time.Time
+	mu          sync.Mutex
+	rev         uint64
+	lastChange  time.Time
+	lastRecord  record
+	held        bool
+	lastRenewal time.Time
+	heldSince   time.Time
 }
 
 // Step renews the lease if this box has it, or takes it when its holder has
@@ -61,11 +61,11 @@
 	if err != nil {
 		return fmt.Errorf("lease %s: %w", l.Key, err)
 	}
-	r, err := l.look(e, began)
+	r, err := l.observe(e, began)
 	if err != nil {
 		return err
 	}
-	next, ok := l.next(r, e.Rev, began)
+	next, ok := l.nextRecord(r, e.Rev, began)
 	if !ok {
 		return nil
 	}
@@ -75,18 +75,18 @@
 	}
 	n, err := l.Store.Swap(c, kv.Entry{Key: l.Key, Rev: e.Rev, Value: b})
 	if errors.Is(err, kv.ErrConflict) {
-		l.lose()
+		l.clearHeld()
 		return nil
 	}
 	if err != nil {
 		return fmt.Errorf("lease %s: %w", l.Key, err)
 	}
-	l.hold(next, n.Rev, began)
+	l.setHeld(next, n.Rev, began)
 	return nil
 }
 
-// look notes what the store has, and when it last changed.
-func (l *Lease) look(e kv.Entry, now time.Time) (record, error) {
+// observe notes what the store has, and when it last changed.
+func (l *Lease) observe(e kv.Entry, now time.Time) (record, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var r record
@@ -95,64 +95,64 @@
 			return r, fmt.Errorf("decode lease: %w", err)
 		}
 	}
-	if e.Rev != l.rev || l.seen.IsZero() {
-		l.rev, l.seen, l.last = e.Rev, now, r
+	if e.Rev != l.rev || l.lastChange.IsZero() {
+		l.rev, l.lastChange, l.lastRecord = e.Rev, now, r
 	}
 	if r.Holder != l.Holder {
-		l.mine = false
+		l.held = false
 	}
 	return r, nil
 }
 
-// next returns the record to write, if one is due.
-func (l *Lease) next(r record, rev uint64, now time.Time) (record, bool) {
+// nextRecord returns the record to write, if one is due.
+func (l *Lease) nextRecord(r record, rev uint64, now time.Time) (record, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case r.Holder == l.Holder:
 		return record{Holder: l.Holder, Fence: r.Fence, Beat: r.Beat + 1}, true
-	case rev == 0, now.Sub(l.seen) >= Term:
+	case rev == 0, now.Sub(l.lastChange) >= Term:
 		return record{Holder: l.Holder, Fence: r.Fence + 1}, true
 	default:
 		return r, false
 	}
 }
 
-func (l *Lease) hold(r record, rev uint64, began time.Time) {
+func (l *Lease) setHeld(r record, rev uint64, began time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.mine {
-		l.since = time.Now()
+	if !l.held {
+		l.heldSince = time.Now()
 	}
-	l.mine, l.rev, l.last, l.seen, l.renewed = true, rev, r, began, began
+	l.held, l.rev, l.lastRecord, l.lastChange, l.lastRenewal = true, rev, r, began, began
 }
 
-func (l *Lease) lose() {
+func (l *Lease) clearHeld() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.mine = false
+	l.held = false
 }
 
-// Mine returns the fence if this box last had the duty. It may have lost it
+// Held returns the fence if this box last had the duty. It may have lost it
 // meanwhile: only endpoints that check the fence may be given orders by it.
-func (l *Lease) Mine() (uint64, bool) {
+func (l *Lease) Held() (uint64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.last.Fence, l.mine
+	return l.lastRecord.Fence, l.held
 }
 
-// Safe reports whether this box has the duty well inside its term, and any
+// MayActUnfenced reports whether this box has the duty well inside its term, and any
 // order of the holder before, which may take up to longest, has ended.
-func (l *Lease) Safe(now time.Time, longest time.Duration) bool {
+func (l *Lease) MayActUnfenced(now time.Time, longest time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	first := l.last.Fence <= 1
-	return l.mine && now.Sub(l.renewed) < Term/safePart && (first || now.Sub(l.since) > Term+longest)
+	first := l.lastRecord.Fence <= 1
+	return l.held && now.Sub(l.lastRenewal) < Term/safeTermDivisor && (first || now.Sub(l.heldSince) > Term+longest)
 }
 
-// Current returns who has the duty as far as this box knows.
-func (l *Lease) Current() (holder string, fence uint64) {
+// CurrentHolder returns who has the duty as far as this box knows.
+func (l *Lease) CurrentHolder() (holder string, fence uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.last.Holder, l.last.Fence
+	return l.lastRecord.Holder, l.lastRecord.Fence
 }
--- a/duty/lease_test.go
+++ b/duty/lease_test.go
@@ -15,16 +15,16 @@
 
 // fakeStore holds one key, and can be away.
 type fakeStore struct {
-	mu    sync.Mutex
-	entry kv.Entry
-	away  bool
+	mu          sync.Mutex
+	entry       kv.Entry
+	unavailable bool
 }
 
 func (f *fakeStore) Get(context.Context, string) (kv.Entry, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.away {
-		return kv.Entry{}, kv.ErrAway
+	if f.unavailable {
+		return kv.Entry{}, kv.ErrUnavailable
 	}
 	return f.entry, nil
 }
@@ -32,8 +32,8 @@
 func (f *fakeStore) Swap(_ context.Context, e kv.Entry) (kv.Entry, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.away {
-		return kv.Entry{}, kv.ErrAway
+	if f.unavailable {
+		return kv.Entry{}, kv.ErrUnavailable
 	}
 	if e.Rev != f.entry.Rev {
 		return f.entry, kv.ErrConflict
@@ -46,8 +46,8 @@
 // tests.
 func step(t *testing.T, l *duty.Lease) { _ = l.Step(t.Context()) }
 
-func fence(l *duty.Lease) uint64 {
-	f, mine := l.Mine()
+func heldFence(l *duty.Lease) uint64 {
+	f, mine := l.Held()
 	if !mine {
 		return 0
 	}
@@ -63,22 +63,22 @@
 		a, b := &duty.Lease{Holder: "a", Store: f}, &duty.Lease{Holder: "b", Store: f}
 		step(t, a)
 		step(t, b)
-		require.EqualValues(t, 1, fence(a))
-		require.Zero(t, fence(b))
-		require.True(t, a.Safe(time.Now(), time.Minute), "the first holder has nobody to wait for")
+		require.EqualValues(t, 1, heldFence(a))
+		require.Zero(t, heldFence(b))
+		require.True(t, a.MayActUnfenced(time.Now(), time.Minute), "the first holder has nobody to wait for")
 		time.Sleep(duty.Term)
 		step(t, b)
-		require.EqualValues(t, 2, fence(b))
-		require.EqualValues(t, 1, fence(a), "it has not looked yet")
-		require.False(t, a.Safe(time.Now(), time.Minute))
-		require.False(t, b.Safe(time.Now(), time.Minute), "an order of a may still be under way")
+		require.EqualValues(t, 2, heldFence(b))
+		require.EqualValues(t, 1, heldFence(a), "it has not looked yet")
+		require.False(t, a.MayActUnfenced(time.Now(), time.Minute))
+		require.False(t, b.MayActUnfenced(time.Now(), time.Minute), "an order of a may still be under way")
 		step(t, a)
-		require.Zero(t, fence(a))
+		require.Zero(t, heldFence(a))
 		for range 25 {
-			time.Sleep(duty.Renew)
+			time.Sleep(duty.RenewInterval)
 			step(t, b)
 		}
-		require.True(t, b.Safe(time.Now(), time.Minute))
+		require.True(t, b.MayActUnfenced(time.Now(), time.Minute))
 	})
 }
 
@@ -90,24 +90,24 @@
 		a, b := &duty.Lease{Holder: "a", Store: f}, &duty.Lease{Holder: "b", Store: f}
 		step(t, a)
 		step(t, b)
-		f.away = true
+		f.unavailable = true
 		for range 10 {
-			time.Sleep(duty.Renew)
+			time.Sleep(duty.RenewInterval)
 			step(t, a)
 			step(t, b)
 		}
-		require.EqualValues(t, 1, fence(a))
-		require.False(t, a.Safe(time.Now(), 0))
-		require.Zero(t, fence(b))
-		f.away = false
+		require.EqualValues(t, 1, heldFence(a))
+		require.False(t, a.MayActUnfenced(time.Now(), 0))
+		require.Zero(t, heldFence(b))
+		f.unavailable = false
 		step(t, a)
 		step(t, b)
-		require.EqualValues(t, 1, fence(a), "the same holder goes on")
+		require.EqualValues(t, 1, heldFence(a), "the same holder goes on")
 	})
 }
 
 // Two that seek a duty nobody has: one gets it.
-func TestOneGetsIt(t *testing.T) {
+func TestSingleWinner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeStore{}
 		ls := []*duty.Lease{{Holder: "a", Store: f}, {Holder: "b", Store: f}, {Holder: "c", Store: f}}
@@ -118,7 +118,7 @@
 		g.Wait()
 		n := 0
 		for _, l := range ls {
-			if fence(l) > 0 {
+			if heldFence(l) > 0 {
 				n++
 			}
 		}
--- a/election/election.go
+++ b/election/election.go
@@ -21,10 +21,10 @@
 // stopped before the store ends the lease. A challenger watches the key, each
 // call for challenge, and asks for the duty when the key goes.
 const (
-	renewParts = 3
-	stopPart   = 0.3
-	challenge  = 8 * time.Second
-	retry      = 300 * time.Millisecond
+	renewalsPerTerm = 3
+	stopFraction    = 0.3
+	watchTimeout    = 8 * time.Second
+	retryInterval   = 300 * time.Millisecond
 )
 
 // Election is one box's part in a duty. Its exported fields are set before it starts.
@@ -42,34 +42,34 @@
 	cancel context.CancelFunc
 	group  sync.WaitGroup
 
-	mu    sync.Mutex
-	fence uint64
-	until time.Time // the holder acts until then
-	lease store.Lease
-	acted time.Time // when this box last acted, under whatever fence
-	under uint64    // the fence under which it did
+	mu         sync.Mutex
+	fence      uint64
+	validUntil time.Time // the holder acts until then
+	lease      store.Lease
+	lastUse    time.Time // when this box last acted, under whatever fence
+	lastFence  uint64    // the fence under which it did
 }
 
-// Act returns the fence and true if this box may make a call now. A box that
+// UseFence returns the fence and true if this box may make a call now. A box that
 // gets the duty back waits a term after its last call under an earlier fence, so
 // that it does not act by turns with the holder between; so does a process that
 // has just started, which does not know of calls before.
-func (e *Election) Act() (uint64, bool) {
+func (e *Election) UseFence() (uint64, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := boottime.Now()
-	if e.fence == 0 || !now.Before(e.until) {
+	if e.fence == 0 || !now.Before(e.validUntil) {
 		return 0, false
 	}
-	if e.under != e.fence && now.Sub(e.acted) < e.Term {
+	if e.lastFence != e.fence && now.Sub(e.lastUse) < e.Term {
 		return 0, false
 	}
-	e.acted, e.under = now, e.fence
+	e.lastUse, e.lastFence = now, e.fence
 	return e.fence, true
 }
 
-// Drop gives the duty up for good under this fence: it was refused.
-func (e *Election) Drop(fence uint64) {
+// Resign gives the duty up for good under this fence: it was refused.
+func (e *Election) Resign(fence uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.fence == fence {
@@ -101,7 +101,7 @@
 // run takes part until c ends, then gives the duty back if it is held.
 func (e *Election) run(c context.Context) {
 	e.mu.Lock()
-	e.acted = boottime.Now()
+	e.lastUse = boottime.Now()
 	e.mu.Unlock()
 	for c.Err() == nil {
 		pause := e.step(c)
@@ -136,24 +136,24 @@
 		e.release(c)
 	}
 	if e.Eligible != nil && !e.Eligible() {
-		return challenge / 4
+		return watchTimeout / 4
 	}
-	i, at, err := e.look(c)
+	i, at, err := e.readKey(c)
 	if err != nil {
-		return retry
+		return retryInterval
 	}
 	if i.Revision == 0 {
-		return e.take(c)
+		return e.acquire(c)
 	}
 	// Whatever ends the watch, the next step looks at the key again.
-	if _, _, err := e.Store.Watch(c, e.Key, at, challenge); err != nil {
-		return retry
+	if _, _, err := e.Store.Watch(c, e.Key, at, watchTimeout); err != nil {
+		return retryInterval
 	}
 	return 0
 }
 
-// look returns the key's item, and a revision from which a watch misses nothing.
-func (e *Election) look(c context.Context) (store.Item, uint64, error) {
+// readKey returns the key's item, and a revision from which a watch misses nothing.
+func (e *Election) readKey(c context.Context) (store.Item, uint64, error) {
 	items, at, err := e.Store.Range(c, e.Key)
 	if err != nil || len(items) == 0 {
 		return store.Item{}, at, err
@@ -167,24 +167,24 @@
 	defer e.mu.Unlock()
 	switch {
 	case err == nil:
-		e.until = began.Add(time.Duration((1 - stopPart) * float64(e.Term)))
-		return e.Term / renewParts
+		e.validUntil = began.Add(time.Duration((1 - stopFraction) * float64(e.Term)))
+		return e.Term / renewalsPerTerm
 	case errors.Is(err, store.ErrNoLease):
 		e.Log.Warn().Str("event", "duty lost").Uint64("fence", e.fence).Msg("the lease has ended")
 		e.fence, e.lease = 0, 0
-		return retry
+		return retryInterval
 	default:
-		return retry
+		return retryInterval
 	}
 }
 
-// take creates the key under a new lease. The revision that created it is
+// acquire creates the key under a new lease. The revision that created it is
 // higher than that of any holder before, so it is the fence.
-func (e *Election) take(c context.Context) time.Duration {
+func (e *Election) acquire(c context.Context) time.Duration {
 	began := boottime.Now()
 	l, _, err := e.Store.Grant(c, e.Term)
 	if err != nil {
-		return retry
+		return retryInterval
 	}
 	x := store.Change{
 		If:  []store.Condition{{Key: e.Key}},
@@ -196,12 +196,12 @@
 		if err := e.Store.Revoke(c, l); err != nil {
 			e.Log.Info().Str("event", "duty").Err(err).Msg("a lease that is of no use ends by itself")
 		}
-		return retry
+		return retryInterval
 	}
 	e.mu.Lock()
 	e.fence, e.lease = rev, l
-	e.until = began.Add(time.Duration((1 - stopPart) * float64(e.Term)))
+	e.validUntil = began.Add(time.Duration((1 - stopFraction) * float64(e.Term)))
 	e.mu.Unlock()
 	e.Log.Info().Str("event", "duty taken").Uint64("fence", rev).Msg("this box holds the duty")
-	return e.Term / renewParts
+	return e.Term / renewalsPerTerm
 }
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -17,16 +17,16 @@
 
 const term = 3 * time.Second
 
-func enter(t *testing.T, m *memstore.Memory, box string) *election.Election {
+func startElection(t *testing.T, m *memstore.Memory, box string) *election.Election {
 	t.Helper()
 	e := &election.Election{Store: m, Key: "duty", Box: box, Term: term, Log: zerolog.Nop()}
 	require.NoError(t, e.Start(t.Context(), nil))
 	return e
 }
 
-func acting(es ...*election.Election) (n int, fence uint64) {
+func countHolders(es ...*election.Election) (n int, fence uint64) {
 	for _, e := range es {
-		if f, ok := e.Act(); ok {
+		if f, ok := e.UseFence(); ok {
 			n, fence = n+1, f
 		}
 	}
@@ -35,18 +35,18 @@
 
 // The duty passes from a holder that stops to another, under a higher fence,
 // and never is with two.
-func TestHandOver(t *testing.T) {
+func TestHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
-		a := enter(t, m, "a")
+		a := startElection(t, m, "a")
 		wait.For(t.Context(), 2*term)
-		b := enter(t, m, "b")
+		b := startElection(t, m, "b")
 		wait.For(t.Context(), 2*term)
-		n, first := acting(a, b)
+		n, first := countHolders(a, b)
 		require.Equal(t, 1, n)
 		require.NoError(t, a.Stop(context.Background()))
 		wait.For(t.Context(), term)
-		n, second := acting(a, b)
+		n, second := countHolders(a, b)
 		require.Equal(t, 1, n)
 		require.Greater(t, second, first)
 		require.NoError(t, b.Stop(context.Background()))
@@ -55,16 +55,16 @@
 
 // A holder that the store does not answer stops acting before its lease can
 // end, by its own steady clock alone.
-func TestStopsBeforeTheLeaseEnds(t *testing.T) {
+func TestStopsBeforeLeaseExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
-		a := enter(t, m, "a")
+		a := startElection(t, m, "a")
 		wait.For(t.Context(), 2*term)
-		_, ok := a.Act()
+		_, ok := a.UseFence()
 		require.True(t, ok)
 		m.SetDown(true)
 		wait.For(t.Context(), term)
-		_, ok = a.Act()
+		_, ok = a.UseFence()
 		require.False(t, ok)
 		m.SetDown(false)
 		require.NoError(t, a.Stop(context.Background()))
@@ -73,17 +73,17 @@
 
 // A box that gets the duty back does not act until a term after its last call
 // under the earlier fence: else it and the holder between would act by turns.
-func TestWaitsBeforeActingAgain(t *testing.T) {
+func TestWaitsTermAfterReelection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
-		a := enter(t, m, "a")
+		a := startElection(t, m, "a")
 		wait.For(t.Context(), 2*term)
-		f, ok := a.Act()
+		f, ok := a.UseFence()
 		require.True(t, ok)
 		last := time.Now()
-		a.Drop(f)
+		a.Resign(f)
 		for {
-			g, ok := a.Act()
+			g, ok := a.UseFence()
 			if ok {
 				require.Greater(t, g, f)
 				require.GreaterOrEqual(t, time.Since(last), term)
@@ -96,13 +96,13 @@
 }
 
 // A change whose answer is lost does not leave two holders, nor none for long.
-func TestLostAnswer(t *testing.T) {
+func TestLostCommitResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
 		m.LoseAnswers(1)
-		a, b := enter(t, m, "a"), enter(t, m, "b")
+		a, b := startElection(t, m, "a"), startElection(t, m, "b")
 		wait.For(t.Context(), 3*term)
-		n, _ := acting(a, b)
+		n, _ := countHolders(a, b)
 		require.Equal(t, 1, n)
 		require.NoError(t, a.Stop(context.Background()))
 		require.NoError(t, b.Stop(context.Background()))
@@ -114,12 +114,12 @@
 func TestSuspendedHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
-		a := enter(t, m, "a")
+		a := startElection(t, m, "a")
 		wait.For(t.Context(), 2*term)
-		n, _ := acting(a)
+		n, _ := countHolders(a)
 		require.Equal(t, 1, n)
 		boottime.Skip(term)
-		n, _ = acting(a)
+		n, _ = countHolders(a)
 		require.Zero(t, n)
 		require.NoError(t, a.Stop(context.Background()))
 	})
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -34,12 +34,12 @@
 
 // The times of the protocol.
 const (
-	watchWait  = 10 * time.Second
-	gossip     = 2 * time.Second
-	askLimit   = time.Second
-	readBack   = 3 * time.Second
-	retryAfter = 500 * time.Millisecond
-	watchers   = 2
+	watchTimeout   = 10 * time.Second
+	gossipInterval = 2 * time.Second
+	callTimeout    = time.Second
+	confirmTimeout = 3 * time.Second
+	retryInterval  = 500 * time.Millisecond
+	maxWatchers    = 2
 )
 
 // Revision is one version as it is held: the operators' text, who wrote it, and
@@ -93,14 +93,14 @@
 	); err != nil {
 		return err
 	}
-	peer.Handle(f.peers.Server, "config.get", f.give)
-	peer.Handle(f.peers.Server, "config.offer", f.offered)
+	peer.Handle(f.peers.Server, "config.get", f.handleGet)
+	peer.Handle(f.peers.Server, "config.offer", f.handleOffer)
 	f.readStore(c)
 	f.readPeers(c)
 	x, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
 	f.group.Go(func() { f.watch(x) })
-	f.group.Go(func() { f.exchange(x) })
+	f.group.Go(func() { f.pollPeers(x) })
 	return nil
 }
 
@@ -169,7 +169,7 @@
 }
 
 func (f *Follower) readStore(c context.Context) {
-	c, cancel := context.WithTimeout(c, askLimit)
+	c, cancel := context.WithTimeout(c, callTimeout)
 	defer cancel()
 	e, err := f.store.Get(c, Key)
 	if err != nil {
@@ -193,7 +193,7 @@
 }
 
 func (f *Follower) fetch(c context.Context, address string) {
-	c, cancel := context.WithTimeout(c, askLimit)
+	c, cancel := context.WithTimeout(c, callTimeout)
 	defer cancel()
 	var r Revision
 	if err := f.peers.Client.Call(c, address, "config.get", f.version(), &r); err == nil && r.Version > 0 {
@@ -201,8 +201,8 @@
 	}
 }
 
-// give answers with the version in force if it is higher than the asker's.
-func (f *Follower) give(_ context.Context, have uint64) (Revision, error) {
+// handleGet answers with the version in force if it is higher than the asker's.
+func (f *Follower) handleGet(_ context.Context, have uint64) (Revision, error) {
 	if r := f.Revision(); r.Version > have {
 		return r, nil
 	}
@@ -217,7 +217,7 @@
 	Address string
 }
 
-func (f *Follower) offered(c context.Context, o offer) (struct{}, error) {
+func (f *Follower) handleOffer(c context.Context, o offer) (struct{}, error) {
 	if o.Version > f.version() {
 		f.fetch(c, o.Address)
 	}
@@ -229,13 +229,13 @@
 func (f *Follower) watch(c context.Context) {
 	var after uint64
 	for c.Err() == nil {
-		if mine, _ := f.members.Owner("config", watchers); !mine {
-			wait.For(c, gossip)
+		if mine, _ := f.members.Owner("config", maxWatchers); !mine {
+			wait.For(c, gossipInterval)
 			continue
 		}
-		e, err := f.store.Watch(c, Key, after, watchWait)
+		e, err := f.store.Watch(c, Key, after, watchTimeout)
 		if err != nil {
-			wait.For(c, retryAfter+rand.N(retryAfter))
+			wait.For(c, retryInterval+rand.N(retryInterval))
 			continue
 		}
 		after = e.Rev
@@ -252,7 +252,7 @@
 
 // announce offers the version in force to the data centre.
 func (f *Follower) announce(c context.Context) {
-	c, cancel := context.WithTimeout(c, askLimit)
+	c, cancel := context.WithTimeout(c, callTimeout)
 	defer cancel()
 	self := f.members.Self()
 	var g sync.WaitGroup
@@ -266,14 +266,14 @@
 	g.Wait()
 }
 
-// exchange asks one box at random for a higher version, so that a lost offer
+// pollPeers asks one box at random for a higher version, so that a lost offer
 // is made good; a relay of its data centre asks one of each other too, so that
 // a data centre that was cut off has it soon after it is joined again.
-func (f *Follower) exchange(c context.Context) {
+func (f *Follower) pollPeers(c context.Context) {
 	for c.Err() == nil {
-		wait.For(c, gossip)
+		wait.For(c, gossipInterval)
 		var g sync.WaitGroup
-		for _, m := range f.partners() {
+		for _, m := range f.pollTargets() {
 			g.Go(func() { f.fetch(c, m.Address) })
 		}
 		g.Wait()
@@ -283,8 +283,8 @@
 	}
 }
 
-// partners chooses whom to ask in one round.
-func (f *Follower) partners() []member.Member {
+// pollTargets chooses whom to ask in one round.
+func (f *Follower) pollTargets() []member.Member {
 	self := f.members.Self()
 	by := map[string][]member.Member{}
 	for _, m := range f.members.Up("") {
@@ -292,7 +292,7 @@
 			by[m.DataCentre] = append(by[m.DataCentre], m)
 		}
 	}
-	relay, _ := f.members.Owner("relay", watchers)
+	relay, _ := f.members.Owner("relay", maxWatchers)
 	var ps []member.Member
 	for dc, ms := range by {
 		if dc == self.DataCentre || relay {
@@ -326,13 +326,13 @@
 		return Revision{}, err
 	}
 	if old.Version != base {
-		return old, lost(old)
+		return old, conflictError(old)
 	}
 	r := Revision{Version: base + 1, Text: text, Editor: editor, Nonce: uuid.NewString(), At: time.Now().UTC()}
 	return f.swap(c, e.Rev, r)
 }
 
-func lost(to Revision) error {
+func conflictError(to Revision) error {
 	return errkind.New(errkind.ConfigConflict, "version %d by %s at %s is in force; read it and edit again", to.Version, to.Editor, to.At.Format(time.RFC3339))
 }
 
@@ -348,32 +348,32 @@
 		f.announce(c)
 		return r, nil
 	case errors.Is(err, kv.ErrConflict):
-		return f.settle(e, r)
-	case errors.Is(err, kv.ErrAway):
+		return f.resolveConflict(e, r)
+	case errors.Is(err, kv.ErrUnavailable):
 		return r, errkind.New(errkind.Unavailable, "nothing was changed: %w", err)
 	}
-	return f.confirm(c, r)
+	return f.confirmSwap(c, r)
 }
 
-// settle compares what is in force with what was written.
-func (f *Follower) settle(e kv.Entry, r Revision) (Revision, error) {
+// resolveConflict compares what is in force with what was written.
+func (f *Follower) resolveConflict(e kv.Entry, r Revision) (Revision, error) {
 	now, err := decode(e)
 	if err != nil {
 		return r, err
 	}
 	if now.Nonce != r.Nonce {
-		return now, lost(now)
+		return now, conflictError(now)
 	}
 	f.Install(r)
 	return r, nil
 }
 
-// confirm reads back after a lost answer: the nonce says whose change it is.
-func (f *Follower) confirm(c context.Context, r Revision) (Revision, error) {
-	c, cancel := context.WithTimeout(c, readBack)
+// confirmSwap reads back after a lost answer: the nonce says whose change it is.
+func (f *Follower) confirmSwap(c context.Context, r Revision) (Revision, error) {
+	c, cancel := context.WithTimeout(c, confirmTimeout)
 	defer cancel()
 	for c.Err() == nil {
-		wait.For(c, retryAfter)
+		wait.For(c, retryInterval)
 		e, err := f.store.Get(c, Key)
 		if err != nil {
 			continue
@@ -381,7 +381,7 @@
 		if now, err := decode(e); err == nil && now.Version < r.Version {
 			return r, errkind.New(errkind.Unavailable, "the change was lost on its way; version %d is in force", now.Version)
 		}
-		return f.settle(e, r)
+		return f.resolveConflict(e, r)
 	}
 	return r, errkind.New(errkind.OutcomeUnknown, "version %d may be in force or not; read it before editing again", r.Version)
 }
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -14,7 +14,7 @@
 
 // Whatever versions arrive, in whatever order and as often as they like, the
 // one in force never goes back, and every change of it is told once.
-func TestNeverReverts(t *testing.T) {
+func TestVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := follower.New(zerolog.Nop())
 		var told []uint64
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -289,15 +289,15 @@
 }
 
 func (away) Range(context.Context, string) ([]store.Item, uint64, error) {
-	return nil, 0, store.ErrAway
+	return nil, 0, store.ErrUnavailable
 }
 
 func (away) Watch(context.Context, string, uint64, time.Duration) ([]store.Item, uint64, error) {
-	return nil, 0, store.ErrAway
+	return nil, 0, store.ErrUnavailable
 }
 
 func (away) Grant(context.Context, time.Duration) (store.Lease, time.Duration, error) {
-	return 0, 0, store.ErrAway
+	return 0, 0, store.ErrUnavailable
 }
 
 // A box that the store turns away from its start learns the configuration and
@@ -323,21 +323,21 @@
 
 func (p *partial) Commit(c context.Context, x store.Change) (uint64, error) {
 	if p.readOnly.Load() {
-		return 0, store.ErrAway
+		return 0, store.ErrUnavailable
 	}
 	return p.Store.Commit(c, x)
 }
 
 func (p *partial) Renew(c context.Context, l store.Lease) error {
 	if p.silent.Load() {
-		return store.ErrAway
+		return store.ErrUnavailable
 	}
 	return p.Store.Renew(c, l)
 }
 
 func (p *partial) Revoke(c context.Context, l store.Lease) error {
 	if p.silent.Load() {
-		return store.ErrAway
+		return store.ErrUnavailable
 	}
 	return p.Store.Revoke(c, l)
 }
--- a/gossip/watchers_test.go
+++ b/gossip/watchers_test.go
@@ -34,14 +34,14 @@
 
 func (g *gate) Renew(c context.Context, l store.Lease) error {
 	if g.closed.Load() {
-		return store.ErrAway
+		return store.ErrUnavailable
 	}
 	return g.Store.Renew(c, l)
 }
 
 func (g *gate) Watch(c context.Context, prefix string, since uint64, wait time.Duration) ([]store.Item, uint64, error) {
 	if g.closed.Load() {
-		return nil, 0, store.ErrAway
+		return nil, 0, store.ErrUnavailable
 	}
 	return g.Store.Watch(c, prefix, since, wait)
 }
--- a/kv/client.go
+++ b/kv/client.go
@@ -17,39 +17,39 @@
 	"birchlink.dev/birchlink/jsonhttp"
 )
 
-// callLimit bounds one call; a watch may take its own wait on top.
-const callLimit = 2 * time.Second
+// callTimeout bounds one call; a watch may take its own wait on top.
+const callTimeout = 2 * time.Second
 
-// maxPause bounds how long an outage may keep the client from asking again.
-const maxPause = 5 * time.Second
+// maxBackOff bounds how long an outage may keep the client from asking again.
+const maxBackOff = 5 * time.Second
 
 // The ways a call can fail. After ErrUnknown a swap may have taken effect.
 var (
-	ErrConflict = errors.New("the value has changed")
-	ErrUnknown  = errors.New("no answer: a change may have taken effect")
-	ErrAway     = errors.New("the key-value service is away")
+	ErrConflict       = errors.New("the value has changed")
+	ErrOutcomeUnknown = errors.New("no answer: a change may have taken effect")
+	ErrUnavailable    = errors.New("the key-value service is away")
 )
 
 // Client calls the service within a budget of writes and reads a second. After
 // a failure it pauses with growing jitter, and calls fail at once meanwhile.
 type Client struct {
-	http   *jsonhttp.Client
-	writes *rate.Limiter
-	reads  *rate.Limiter
-	calls  metrics.Registry
+	http     *jsonhttp.Client
+	writes   *rate.Limiter
+	reads    *rate.Limiter
+	registry metrics.Registry
 
 	mu      sync.Mutex
 	backoff *backoff.ExponentialBackOff
-	until   time.Time
+	retryAt time.Time
 }
 
 // New returns a client with a budget of calls a second; calls are counted in m.
 func New(address, caller string, writes, reads int, m metrics.Registry) *Client {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval, b.MaxInterval = 100*time.Millisecond, maxPause
+	b.InitialInterval, b.MaxInterval = 100*time.Millisecond, maxBackOff
 	c := jsonhttp.New(address, caller, 0)
 	return &Client{
-		http: c, calls: m, backoff: b,
+		http: c, registry: m, backoff: b,
 		writes: rate.NewLimiter(rate.Limit(writes), 2*writes), reads: rate.NewLimiter(rate.Limit(reads), 2*reads),
 	}
 }
@@ -57,14 +57,14 @@
 // Get returns a key's value.
 func (c *Client) Get(x context.Context, key string) (Entry, error) {
 	var e Entry
-	err := c.do(x, "get", c.reads, http.MethodGet, "/kv/"+key, nil, &e, callLimit)
+	err := c.do(x, "get", c.reads, http.MethodGet, "/kv/"+key, nil, &e, callTimeout)
 	return e, err
 }
 
 // List returns the entries whose key has a prefix.
 func (c *Client) List(x context.Context, prefix string) ([]Entry, error) {
 	var es []Entry
-	err := c.do(x, "list", c.reads, http.MethodGet, "/list/"+prefix, nil, &es, callLimit)
+	err := c.do(x, "list", c.reads, http.MethodGet, "/list/"+prefix, nil, &es, callTimeout)
 	return es, err
 }
 
@@ -72,7 +72,7 @@
 func (c *Client) Watch(x context.Context, key string, after uint64, wait time.Duration) (Entry, error) {
 	var e Entry
 	p := fmt.Sprintf("/watch/%s?%s", key, url.Values{"after": {fmt.Sprint(after)}, "wait": {wait.String()}}.Encode())
-	err := c.do(x, "watch", c.reads, http.MethodGet, p, nil, &e, wait+callLimit)
+	err := c.do(x, "watch", c.reads, http.MethodGet, p, nil, &e, wait+callTimeout)
 	return e, err
 }
 
@@ -83,11 +83,11 @@
 		return Entry{}, fmt.Errorf("value of %d bytes is over %d", len(e.Value), MaxValue)
 	}
 	var n Entry
-	err := c.do(x, "swap", c.writes, http.MethodPut, "/kv/"+e.Key, e, &n, callLimit)
+	err := c.do(x, "swap", c.writes, http.MethodPut, "/kv/"+e.Key, e, &n, callTimeout)
 	var s *jsonhttp.StatusError
 	if errors.As(err, &s) && s.Status == http.StatusConflict {
 		if err := json.Unmarshal([]byte(s.Body), &n); err != nil {
-			return n, fmt.Errorf("%w: %w", ErrUnknown, err)
+			return n, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 		}
 		return n, ErrConflict
 	}
@@ -95,46 +95,46 @@
 }
 
 func (c *Client) do(x context.Context, name string, l *rate.Limiter, method, path string, in, out any, limit time.Duration) error {
-	if c.paused() {
-		return ErrAway
+	if c.isBackingOff() {
+		return ErrUnavailable
 	}
 	if err := l.Wait(x); err != nil {
-		return fmt.Errorf("%w: the box's own budget is spent", ErrAway)
+		return fmt.Errorf("%w: the box's own budget is spent", ErrUnavailable)
 	}
-	metrics.GetOrRegisterCounter("kv."+name, c.calls).Inc(1)
+	metrics.GetOrRegisterCounter("kv."+name, c.registry).Inc(1)
 	x, cancel := context.WithTimeout(x, limit)
 	defer cancel()
 	err := c.http.Do(x, method, path, in, out)
 	var s *jsonhttp.StatusError
 	switch {
 	case err == nil, errors.As(err, &s) && s.Status == http.StatusConflict:
-		c.settle(true)
+		c.recordResult(true)
 		return err
 	case errors.As(err, &s):
-		c.settle(false)
-		return fmt.Errorf("%w: %w", ErrAway, err)
+		c.recordResult(false)
+		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	case errors.Is(err, context.Canceled):
-		return fmt.Errorf("%w: %w", ErrUnknown, err)
+		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	default:
-		c.settle(false)
-		return fmt.Errorf("%w: %w", ErrUnknown, err)
+		c.recordResult(false)
+		return fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 }
 
-func (c *Client) paused() bool {
+func (c *Client) isBackingOff() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Now().Before(c.until)
+	return time.Now().Before(c.retryAt)
 }
 
-// settle ends the pause after a success and lengthens it after a failure.
-func (c *Client) settle(ok bool) {
+// recordResult ends the pause after a success and lengthens it after a failure.
+func (c *Client) recordResult(ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if ok {
 		c.backoff.Reset()
-		c.until = time.Time{}
+		c.retryAt = time.Time{}
 		return
 	}
-	c.until = time.Now().Add(c.backoff.NextBackOff())
+	c.retryAt = time.Now().Add(c.backoff.NextBackOff())
 }
--- a/kv/client_test.go
+++ b/kv/client_test.go
@@ -18,7 +18,7 @@
 	"birchlink.dev/birchlink/stand/kvstore"
 )
 
-func serve(t *testing.T, h http.Handler) string {
+func startServer(t *testing.T, h http.Handler) string {
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
 	return s.Listener.Addr().String()
@@ -26,7 +26,7 @@
 
 // A thousand calls in an outage ask the service a handful of times, and the
 // first call after the pause finds it again.
-func TestOutageIsNoStorm(t *testing.T) {
+func TestBackOffDuringOutage(t *testing.T) {
 	var asked atomic.Int64
 	var away atomic.Bool
 	away.Store(true)
@@ -39,10 +39,10 @@
 		}
 		store.ServeHTTP(w, r)
 	})
-	c := kv.New(serve(t, h), "box", 1000, 1000, metrics.NewRegistry())
+	c := kv.New(startServer(t, h), "box", 1000, 1000, metrics.NewRegistry())
 	for range 1000 {
 		_, err := c.Get(t.Context(), "k")
-		require.ErrorIs(t, err, kv.ErrAway)
+		require.ErrorIs(t, err, kv.ErrUnavailable)
 	}
 	require.Less(t, asked.Load(), int64(50))
 	away.Store(false)
@@ -53,11 +53,11 @@
 }
 
 // The box's own budget bounds its calls, whatever asks.
-func TestBudget(t *testing.T) {
+func TestCallBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var asked atomic.Int64
 		c := kv.New("127.0.0.1:1", "box", 5, 5, metrics.NewRegistry())
-		kv.Transport(c, roundTrip(func(*http.Request) (*http.Response, error) {
+		kv.SetTransport(c, roundTripFunc(func(*http.Request) (*http.Response, error) {
 			asked.Add(1)
 			return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader("{}"))}, nil
 		}))
@@ -69,15 +69,15 @@
 	})
 }
 
-type roundTrip func(*http.Request) (*http.Response, error)
+type roundTripFunc func(*http.Request) (*http.Response, error)
 
-func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
 // A swap against the present revision wins, one against an older is told what
 // is in force, and one whose answer is lost is not known to have failed.
 func TestSwap(t *testing.T) {
 	s := kvstore.New(1000, 1000)
-	c := kv.New(serve(t, s), "box", 1000, 1000, metrics.NewRegistry())
+	c := kv.New(startServer(t, s), "box", 1000, 1000, metrics.NewRegistry())
 	first, err := c.Swap(t.Context(), kv.Entry{Key: "k", Value: []byte("1")})
 	require.NoError(t, err)
 	now, err := c.Swap(t.Context(), kv.Entry{Key: "k", Value: []byte("2")})
@@ -86,7 +86,7 @@
 	require.Equal(t, first.Rev, now.Rev)
 	s.Faults.Set(faults.Mode{Name: "lost_answer", Left: 1})
 	_, err = c.Swap(t.Context(), kv.Entry{Key: "k", Rev: now.Rev, Value: []byte("3")})
-	require.ErrorIs(t, err, kv.ErrUnknown)
+	require.ErrorIs(t, err, kv.ErrOutcomeUnknown)
 	require.Eventually(t, func() bool {
 		e, err := c.Get(t.Context(), "k")
 		return err == nil && string(e.Value) == "3"
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -78,7 +78,7 @@
 		switch {
 		case err == nil:
 			revision = next
-		case errors.Is(err, store.ErrHistory):
+		case errors.Is(err, store.ErrCompacted):
 			m.Log.Info().Str("event", "watch").Str("prefix", m.Prefix).Uint64("revision", revision).Msg("the history is gone; reading everything")
 			revision = 0
 		default:
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -169,7 +169,7 @@
 	for c.Err() == nil {
 		wait.For(c, pollInterval)
 		t := o.known.Table()
-		fence, ok := o.Election.Act()
+		fence, ok := o.Election.UseFence()
 		if !ok || t == nil || !o.known.Ready() {
 			continue
 		}
@@ -294,7 +294,7 @@
 
 // order orders a count for a pool from the cloud, records the result and logs it.
 func (o *Orders) order(c context.Context, p pool, n int, site scaling.Site, capacity scaling.Capacity) {
-	fence, ok := o.Election.Act()
+	fence, ok := o.Election.UseFence()
 	if !ok || fence != o.fence {
 		return
 	}
@@ -307,7 +307,7 @@
 	if errors.Is(err, cloudapi.ErrFenced) {
 		last.outOfSupply = p.reclaimable
 		if !p.reclaimable {
-			o.Election.Drop(fence)
+			o.Election.Resign(fence)
 		}
 	}
 	o.lastOrders[p] = last
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -105,7 +105,7 @@
 
 // Leader returns the incarnation of the box that holds the lease and the fence of the
 // lease, as far as this box knows.
-func (p *Placer) Leader() (string, uint64) { return p.lease.Current() }
+func (p *Placer) Leader() (string, uint64) { return p.lease.CurrentHolder() }
 
 // Plan returns the last plan that this box computed.
 func (p *Placer) Plan() placement.Plan {
@@ -115,7 +115,7 @@
 }
 
 func (p *Placer) loop(c context.Context) {
-	t := time.NewTicker(duty.Renew)
+	t := time.NewTicker(duty.RenewInterval)
 	defer t.Stop()
 	for {
 		p.reconcile(c)
@@ -130,13 +130,13 @@
 // reconcile renews the lease and, if this box holds it, computes and applies a plan.
 func (p *Placer) reconcile(c context.Context) {
 	candidate, _ := p.members.Owner("placer", candidates)
-	if _, held := p.lease.Mine(); !candidate && !held {
+	if _, held := p.lease.Held(); !candidate && !held {
 		return
 	}
 	if err := p.lease.Step(c); err != nil {
 		p.Log.Warn().Err(err).Msg("could not acquire or renew the lease")
 	}
-	fence, held := p.lease.Mine()
+	fence, held := p.lease.Held()
 	d := p.follower.Current()
 	if !held || d == nil {
 		return
@@ -197,7 +197,7 @@
 		}
 		p.order(c, s.Endpoint, a, fence)
 	}
-	if !p.lease.Safe(time.Now(), 0) {
+	if !p.lease.MayActUnfenced(time.Now(), 0) {
 		return
 	}
 	for _, s := range n.Start {
@@ -213,7 +213,7 @@
 // fences refuses stale orders itself, so the last holder of the lease can continue while
 // the platform is unreachable.
 func (p *Placer) canOrder(s *view.Slot) bool {
-	return s.ChecksFence || p.lease.Safe(time.Now(), orderTimeout)
+	return s.ChecksFence || p.lease.MayActUnfenced(time.Now(), orderTimeout)
 }
 
 // order sends an assignment to one engine in the background, unless an earlier order to
--- a/reporter/reporter.go
+++ b/reporter/reporter.go
@@ -197,7 +197,7 @@
 func (r *Reporter) report(c context.Context) {
 	for c.Err() == nil {
 		wait.For(c, step)
-		if fence, ok := r.Election.Act(); ok {
+		if fence, ok := r.Election.UseFence(); ok {
 			r.round(c, fence)
 		}
 	}
@@ -216,7 +216,7 @@
 		if err := r.send(c, fence, w); err != nil {
 			r.log.Info().Str("event", "usage").Int64("window", w).Uint64("fence", fence).Err(err).Msg("not reported yet")
 			if errors.Is(err, cloudapi.ErrFenced) {
-				r.Election.Drop(fence)
+				r.Election.Resign(fence)
 				return
 			}
 		}
@@ -230,7 +230,7 @@
 	if err != nil {
 		return err
 	}
-	f, ok := r.Election.Act()
+	f, ok := r.Election.UseFence()
 	if !ok || f != fence {
 		return errors.New("the duty is no longer held")
 	}
--- a/rollout/holder.go
+++ b/rollout/holder.go
@@ -210,7 +210,7 @@
 	})
 	if err != nil {
 		// Another box may have written the key, or this change may have taken effect.
-		if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrUnknown) {
+		if errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrOutcomeUnknown) {
 			c.statesLoaded = false
 		}
 		return err
--- a/soak/run.go
+++ b/soak/run.go
@@ -132,14 +132,14 @@
 		}
 	case TurnAway:
 		s := r.fleet.Servers[f.Target]
-		s.TurnAway(f.For)
+		s.RefuseRequests(f.For)
 		time.Sleep(f.For)
-		s.TurnAway(0)
+		s.RefuseRequests(0)
 	case SayLimit:
 		s := r.fleet.Servers[f.Target]
-		s.SayLimit(limitSaid)
+		s.ReportLimit(limitSaid)
 		time.Sleep(f.For)
-		s.SayLimit("")
+		s.ReportLimit("")
 	case Config:
 		r.configure()
 	default:
@@ -237,5 +237,5 @@
 			r.faults = append(r.faults, fmt.Sprintf("%s was answered %s and ran %d times", id, why, n))
 		}
 	}
-	r.faults = append(r.faults, r.fleet.Cloud.Faults()...)
+	r.faults = append(r.faults, r.fleet.Cloud.Violations()...)
 }
--- a/stand/memstore/store.go
+++ b/stand/memstore/store.go
@@ -147,7 +147,7 @@
 func (m *Memory) enter() error {
 	m.calls++
 	if m.down {
-		return store.ErrAway
+		return store.ErrUnavailable
 	}
 	return nil
 }
@@ -193,7 +193,7 @@
 	}
 	if since < m.floor {
 		m.mu.Unlock()
-		return nil, 0, store.ErrHistory
+		return nil, 0, store.ErrCompacted
 	}
 	m.mu.Unlock()
 	for {
@@ -260,7 +260,7 @@
 	m.wake()
 	if m.lose > 0 {
 		m.lose--
-		return 0, store.ErrUnknown
+		return 0, store.ErrOutcomeUnknown
 	}
 	return m.revision, nil
 }
--- a/store/store.go
+++ b/store/store.go
@@ -11,11 +11,11 @@
 // The ways a call can fail besides an answer of the service. After ErrUnknown a
 // change may have taken effect, or may still take effect.
 var (
-	ErrConflict = errors.New("a condition of the change does not hold")
-	ErrUnknown  = errors.New("no answer: a change may have taken effect")
-	ErrAway     = errors.New("the store is away")
-	ErrNoLease  = errors.New("no such lease")
-	ErrHistory  = errors.New("the history asked for is gone")
+	ErrConflict       = errors.New("a condition of the change does not hold")
+	ErrOutcomeUnknown = errors.New("no answer: a change may have taken effect")
+	ErrUnavailable    = errors.New("the store is away")
+	ErrNoLease        = errors.New("no such lease")
+	ErrCompacted      = errors.New("the history asked for is gone")
 )
 
 // Item is one key's value. Revision is that of its last change, and the
