--- a/duty/lease.go
+++ b/duty/lease.go
@@ -1,5 +1,6 @@
-// Package duty lets one box of a data centre do what only one should: under a
-// lease in the platform's service, with a fence that grows with each holder.
+// Package duty implements leases for tasks that only one box of a data centre should perform. A lease
+// is a record in the platform's key-value service. Its fence (fencing token) increases with each new
+// holder.
 package duty
 
 import (
@@ -14,47 +15,48 @@
 	"birchlink.dev/birchlink/kv"
 )
 
-// The times of a lease. A holder renews every Renew; a challenger takes over
-// when it has seen no renewal for Term on its own clock.
+// A holder renews its lease every RenewInterval. Another box takes the lease over when it has observed
+// no renewal for Term on its own clock.
 const (
 	RenewInterval = 3 * time.Second
 	Term          = 10 * time.Second
 )
 
-// safeTermDivisor is the part of the term in which a holder may give orders to
-// endpoints that do not check its fence.
+// safeTermDivisor divides the term: a holder may give orders to endpoints that do not check its fence
+// only within Term/safeTermDivisor after a renewal.
 const safeTermDivisor = 2
 
-// store is what a lease needs of the key-value service.
+// store is the part of the key-value client that a lease uses.
 type store interface {
 	Get(c context.Context, key string) (kv.Entry, error)
 	Swap(c context.Context, e kv.Entry) (kv.Entry, error)
 }
 
-// record is the lease as it is stored. Beat changes with each renewal.
+// record is the stored form of a lease. Beat changes with each renewal.
 type record struct {
 	Holder string
 	Fence  uint64
 	Beat   uint64
 }
 
-// Lease is one box's part in a duty.
+// Lease competes for and renews the lease at Key on behalf of the box Holder. The exported fields must
+// be set before the first Step.
 type Lease struct {
 	Key    string
 	Holder string
 	Store  store
 
 	mu          sync.Mutex
-	rev         uint64
-	lastChange  time.Time
-	lastRecord  record
+	rev         uint64    // of the last record observed or written
+	lastChange  time.Time // when this box first observed rev
+	lastRecord  record    // at rev
 	held        bool
-	lastRenewal time.Time
-	heldSince   time.Time
+	lastRenewal time.Time // by this box
+	heldSince   time.Time // when this box last became the holder
 }
 
-// Step renews the lease if this box has it, or takes it when its holder has
-// not renewed it for a term. It is to be called every Renew.
+// Step renews the lease if this box holds it, or takes it over if its holder has not renewed it for a
+// term. It must be called every RenewInterval. Losing a race for the lease is not an error.
 func (l *Lease) Step(c context.Context) error {
 	began := time.Now()
 	e, err := l.Store.Get(c, l.Key)
@@ -85,7 +87,7 @@
 	return nil
 }
 
-// observe notes what the store has, and when it last changed.
+// observe decodes the stored record and records when it changed.
 func (l *Lease) observe(e kv.Entry, now time.Time) (record, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,7 +106,7 @@
 	return r, nil
 }
 
-// nextRecord returns the record to write, if one is due.
+// nextRecord returns the record to write and true, or false if another box holds the lease.
 func (l *Lease) nextRecord(r record, rev uint64, now time.Time) (record, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -133,24 +135,26 @@
 	l.held = false
 }
 
-// Held returns the fence if this box last had the duty. It may have lost it
-// meanwhile: only endpoints that check the fence may be given orders by it.
+// Held returns the current fence and whether this box held the lease at its last step. It may have
+// lost the lease since then, so it may only give orders to endpoints that check the fence. For the
+// others, see MayActUnfenced.
 func (l *Lease) Held() (uint64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lastRecord.Fence, l.held
 }
 
-// MayActUnfenced reports whether this box has the duty well inside its term, and any
-// order of the holder before, which may take up to longest, has ended.
-func (l *Lease) MayActUnfenced(now time.Time, longest time.Duration) bool {
+// MayActUnfenced reports whether this box may give orders to endpoints that do not check the fence. It
+// may if less than Term/safeTermDivisor has passed since it renewed the lease, and if all orders of the
+// previous holder, which take up to maxDuration each, have ended.
+func (l *Lease) MayActUnfenced(now time.Time, maxDuration time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	first := l.lastRecord.Fence <= 1
-	return l.held && now.Sub(l.lastRenewal) < Term/safeTermDivisor && (first || now.Sub(l.heldSince) > Term+longest)
+	return l.held && now.Sub(l.lastRenewal) < Term/safeTermDivisor && (first || now.Sub(l.heldSince) > Term+maxDuration)
 }
 
-// CurrentHolder returns who has the duty as far as this box knows.
+// CurrentHolder returns the holder and the fence of the last record that this box has read or written.
 func (l *Lease) CurrentHolder() (holder string, fence uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/duty/lease_test.go
+++ b/duty/lease_test.go
@@ -13,7 +13,7 @@
 	"birchlink.dev/birchlink/kv"
 )
 
-// fakeStore holds one key, and can be away.
+// fakeStore is a store of one key that can be made unavailable.
 type fakeStore struct {
 	mu          sync.Mutex
 	entry       kv.Entry
@@ -42,8 +42,7 @@
 	return f.entry, nil
 }
 
-// step lets a box do what it does every few seconds; a failure is part of some
-// tests.
+// step runs one step of l. It ignores errors, which some tests provoke.
 func step(t *testing.T, l *duty.Lease) { _ = l.Step(t.Context()) }
 
 func heldFence(l *duty.Lease) uint64 {
@@ -54,9 +53,9 @@
 	return f
 }
 
-// A holder that is paused longer than its term loses the duty to the next, with
-// a higher fence; when it goes on it believes that it has the duty until it
-// looks, but it may not order endpoints that do not check.
+// A holder that is paused for longer than the term loses the lease to a holder with a higher fence.
+// When it resumes, it considers itself the holder until its next step, but must not give orders to
+// endpoints that do not check the fence.
 func TestPausedHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeStore{}
@@ -65,13 +64,13 @@
 		step(t, b)
 		require.EqualValues(t, 1, heldFence(a))
 		require.Zero(t, heldFence(b))
-		require.True(t, a.MayActUnfenced(time.Now(), time.Minute), "the first holder has nobody to wait for")
+		require.True(t, a.MayActUnfenced(time.Now(), time.Minute), "the first holder has no predecessor to wait for")
 		time.Sleep(duty.Term)
 		step(t, b)
 		require.EqualValues(t, 2, heldFence(b))
-		require.EqualValues(t, 1, heldFence(a), "it has not looked yet")
+		require.EqualValues(t, 1, heldFence(a), "it has not made a step yet")
 		require.False(t, a.MayActUnfenced(time.Now(), time.Minute))
-		require.False(t, b.MayActUnfenced(time.Now(), time.Minute), "an order of a may still be under way")
+		require.False(t, b.MayActUnfenced(time.Now(), time.Minute), "an order of a may still be running")
 		step(t, a)
 		require.Zero(t, heldFence(a))
 		for range 25 {
@@ -82,8 +81,8 @@
 	})
 }
 
-// While the platform is away the holder keeps its fence, for endpoints that
-// check it, and soon gives no orders to others; nobody else takes the duty.
+// During an outage of the store the holder keeps its fence for endpoints that check it, soon gives no
+// orders to the others, and no other box takes the lease.
 func TestOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeStore{}
@@ -102,11 +101,11 @@
 		f.unavailable = false
 		step(t, a)
 		step(t, b)
-		require.EqualValues(t, 1, heldFence(a), "the same holder goes on")
+		require.EqualValues(t, 1, heldFence(a), "the same holder continues")
 	})
 }
 
-// Two that seek a duty nobody has: one gets it.
+// If several boxes compete for a free lease, exactly one gets it.
 func TestSingleWinner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeStore{}
--- a/election/election.go
+++ b/election/election.go
@@ -1,5 +1,6 @@
-// Package election lets one box at a time hold a duty: by a key that stands
-// under the holder's lease in the store, whose revision is the fence.
+// Package election elects the holder of a duty, a task that only one box may perform at a time. The
+// holder's key in the store is attached to a lease, which the holder renews. The revision at which the
+// key was created is the fence (fencing token) of the holder's calls.
 package election
 
 import (
@@ -16,18 +17,18 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// The parts of the term. A holder renews three times in it, and stops acting
-// when less than stopPart of it is left on its own steady clock, so that it has
-// stopped before the store ends the lease. A challenger watches the key, each
-// call for challenge, and asks for the duty when the key goes.
+// A holder stops acting when less than stopFraction of the term is left on its own monotonic clock, so
+// that it has stopped before the store ends the lease. The other boxes watch the key and try to become
+// the holder when it is deleted.
 const (
 	renewalsPerTerm = 3
 	stopFraction    = 0.3
-	watchTimeout    = 8 * time.Second
-	retryInterval   = 300 * time.Millisecond
+	watchTimeout    = 8 * time.Second        // longest wait of one watch
+	retryInterval   = 300 * time.Millisecond // after a failed call
 )
 
-// Election is one box's part in a duty. Its exported fields are set before it starts.
+// Election takes part in the election for one duty on behalf of one box. The exported fields must be
+// set before it starts.
 type Election struct {
 	Store store.Store
 	Key   string
@@ -35,8 +36,8 @@
 	Term  time.Duration
 	Log   zerolog.Logger
 
-	// Eligible reports whether this box may ask for the duty; nil is always. One
-	// that may not any more keeps the duty while it holds it.
+	// Eligible reports whether this box may become the holder; nil means always. A holder that
+	// becomes ineligible remains the holder while its lease lasts.
 	Eligible func() bool
 
 	cancel context.CancelFunc
@@ -44,16 +45,16 @@
 
 	mu         sync.Mutex
 	fence      uint64
-	validUntil time.Time // the holder acts until then
+	validUntil time.Time // end of the time in which the holder may act
 	lease      store.Lease
-	lastUse    time.Time // when this box last acted, under whatever fence
-	lastFence  uint64    // the fence under which it did
+	lastUse    time.Time // when this box last used a fence
+	lastFence  uint64    // the fence it used
 }
 
-// UseFence returns the fence and true if this box may make a call now. A box that
-// gets the duty back waits a term after its last call under an earlier fence, so
-// that it does not act by turns with the holder between; so does a process that
-// has just started, which does not know of calls before.
+// UseFence returns the fence and true if this box may make a call now, and records the use. A box that
+// becomes the holder again waits a term after its last call under an earlier fence, so that its calls
+// do not alternate with those of the holder in between. A process that has just started waits too,
+// because it does not know the calls of its predecessor.
 func (e *Election) UseFence() (uint64, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -68,7 +69,8 @@
 	return e.fence, true
 }
 
-// Resign gives the duty up for good under this fence: it was refused.
+// Resign gives up the duty if this box holds it under the given fence. It is called when a call with
+// that fence was refused.
 func (e *Election) Resign(fence uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -77,13 +79,13 @@
 	}
 }
 
-// Name is the name of the service.
+// Name is the name under which the kernel registers the service.
 const Name = "election"
 
 // Name returns the service's name.
 func (e *Election) Name() string { return Name }
 
-// Start begins to take part.
+// Start starts taking part in the election.
 func (e *Election) Start(context.Context, *kernel.Kernel) error {
 	c, cancel := context.WithCancel(context.Background())
 	e.cancel = cancel
@@ -91,14 +93,14 @@
 	return nil
 }
 
-// Stop gives the duty back if it is held.
+// Stop stops taking part and revokes the lease if this box is the holder.
 func (e *Election) Stop(context.Context) error {
 	e.cancel()
 	e.group.Wait()
 	return nil
 }
 
-// run takes part until c ends, then gives the duty back if it is held.
+// run takes part until c is done, and then revokes the lease if this box is the holder.
 func (e *Election) run(c context.Context) {
 	e.mu.Lock()
 	e.lastUse = boottime.Now()
@@ -119,11 +121,11 @@
 		return
 	}
 	if err := e.Store.Revoke(c, l); err != nil {
-		e.Log.Info().Str("event", "duty").Err(err).Msg("not given back; it ends by itself")
+		e.Log.Info().Str("event", "duty").Err(err).Msg("cannot revoke the lease; it expires by itself")
 	}
 }
 
-// step renews the duty or asks for it, and returns when to step again.
+// step renews the lease or tries to become the holder, and returns the time to wait until the next step.
 func (e *Election) step(c context.Context) time.Duration {
 	e.mu.Lock()
 	l, fence := e.lease, e.fence
@@ -145,14 +147,14 @@
 	if i.Revision == 0 {
 		return e.acquire(c)
 	}
-	// Whatever ends the watch, the next step looks at the key again.
+	// However the watch ends, the next step reads the key again.
 	if _, _, err := e.Store.Watch(c, e.Key, at, watchTimeout); err != nil {
 		return retryInterval
 	}
 	return 0
 }
 
-// readKey returns the key's item, and a revision from which a watch misses nothing.
+// readKey returns the key's item and the revision from which to watch it.
 func (e *Election) readKey(c context.Context) (store.Item, uint64, error) {
 	items, at, err := e.Store.Range(c, e.Key)
 	if err != nil || len(items) == 0 {
@@ -170,7 +172,7 @@
 		e.validUntil = began.Add(time.Duration((1 - stopFraction) * float64(e.Term)))
 		return e.Term / renewalsPerTerm
 	case errors.Is(err, store.ErrNoLease):
-		e.Log.Warn().Str("event", "duty lost").Uint64("fence", e.fence).Msg("the lease has ended")
+		e.Log.Warn().Str("event", "duty lost").Uint64("fence", e.fence).Msg("the lease has expired")
 		e.fence, e.lease = 0, 0
 		return retryInterval
 	default:
@@ -178,8 +180,8 @@
 	}
 }
 
-// acquire creates the key under a new lease. The revision that created it is
-// higher than that of any holder before, so it is the fence.
+// acquire creates the key under a new lease. The key's revision becomes the fence, because it is
+// higher than those of all earlier holders.
 func (e *Election) acquire(c context.Context) time.Duration {
 	began := boottime.Now()
 	l, _, err := e.Store.Grant(c, e.Term)
@@ -192,9 +194,9 @@
 	}
 	rev, err := e.Store.Commit(c, x)
 	if err != nil {
-		// The change may still be done: ending the lease takes the key with it.
+		// The change may still take effect. Revoking the lease also deletes the key.
 		if err := e.Store.Revoke(c, l); err != nil {
-			e.Log.Info().Str("event", "duty").Err(err).Msg("a lease that is of no use ends by itself")
+			e.Log.Info().Str("event", "duty").Err(err).Msg("cannot revoke the unused lease; it expires by itself")
 		}
 		return retryInterval
 	}
@@ -202,6 +204,6 @@
 	e.fence, e.lease = rev, l
 	e.validUntil = began.Add(time.Duration((1 - stopFraction) * float64(e.Term)))
 	e.mu.Unlock()
-	e.Log.Info().Str("event", "duty taken").Uint64("fence", rev).Msg("this box holds the duty")
+	e.Log.Info().Str("event", "duty taken").Uint64("fence", rev).Msg("this box is the holder of the duty")
 	return e.Term / renewalsPerTerm
 }
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -33,8 +33,7 @@
 	return n, fence
 }
 
-// The duty passes from a holder that stops to another, under a higher fence,
-// and never is with two.
+// When the holder stops, another box becomes the holder under a higher fence. There are never two.
 func TestHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
@@ -53,8 +52,8 @@
 	})
 }
 
-// A holder that the store does not answer stops acting before its lease can
-// end, by its own steady clock alone.
+// A holder that cannot reach the store stops acting before its lease can end, by its own monotonic
+// clock alone.
 func TestStopsBeforeLeaseExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
@@ -71,8 +70,8 @@
 	})
 }
 
-// A box that gets the duty back does not act until a term after its last call
-// under the earlier fence: else it and the holder between would act by turns.
+// A box that becomes the holder again does not act until a term after its last call under the earlier
+// fence. Otherwise its calls could alternate with those of the holder in between.
 func TestWaitsTermAfterReelection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
@@ -95,7 +94,7 @@
 	})
 }
 
-// A change whose answer is lost does not leave two holders, nor none for long.
+// A commit whose answer is lost leads neither to two holders nor to a long time without one.
 func TestLostCommitResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
@@ -109,8 +108,8 @@
 	})
 }
 
-// A holder that wakes from a suspension, in which the steady clock stood still, does not act
-// on the lease that it had: the store has ended it, and another may hold the duty.
+// A holder that resumes from a suspension does not act on its old lease. The monotonic clock stands
+// still while the box is suspended, but the store ends the lease and another box may be the holder.
 func TestSuspendedHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -1,5 +1,6 @@
-// Package follower keeps the operators' configuration in force on a box: the
-// highest version that the platform's service or a peer has, and never a lower.
+// Package follower keeps the operators' configuration on a box up to date. It installs the highest
+// version found in the key-value service or at a peer, and never goes back to a lower one. It also
+// writes the new versions that operators submit.
 package follower
 
 import (
@@ -26,24 +27,23 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// Name is the name of the service.
+// Name is the name under which the kernel registers the service.
 const Name = "follower"
 
-// Key is where the configuration is held.
+// Key is the key of the configuration in the key-value service.
 const Key = "config/current"
 
-// The times of the protocol.
 const (
-	watchTimeout   = 10 * time.Second
-	gossipInterval = 2 * time.Second
-	callTimeout    = time.Second
-	confirmTimeout = 3 * time.Second
-	retryInterval  = 500 * time.Millisecond
-	maxWatchers    = 2
+	watchTimeout   = 10 * time.Second       // longest wait of a watch
+	gossipInterval = 2 * time.Second        // between requests to peers
+	callTimeout    = time.Second            // of one read or of one call to a peer
+	confirmTimeout = 3 * time.Second        // for reading back a swap with an unknown outcome
+	retryInterval  = 500 * time.Millisecond // after a failed watch, and between the reads that confirm a swap
+	maxWatchers    = 2                      // boxes per data centre that watch the key-value service, and that are relays
 )
 
-// Revision is one version as it is held: the operators' text, who wrote it, and
-// a nonce by which its writer knows it again after a lost answer.
+// Revision is a stored version of the configuration: the operator's text, its editor, and a random
+// nonce by which the writer identifies its own change after a lost answer.
 type Revision struct {
 	Version uint64    `json:"version"`
 	Text    string    `json:"text"`
@@ -52,14 +52,14 @@
 	At      time.Time `json:"at"`
 }
 
-// store is what the follower needs of the key-value service.
+// store is the part of the key-value client that the follower uses.
 type store interface {
 	Get(c context.Context, key string) (kv.Entry, error)
 	Swap(c context.Context, e kv.Entry) (kv.Entry, error)
 	Watch(c context.Context, key string, after uint64, wait time.Duration) (kv.Entry, error)
 }
 
-// Follower is the service of one box.
+// Follower is the kernel service that follows the configuration.
 type Follower struct {
 	Log zerolog.Logger
 
@@ -80,7 +80,8 @@
 // Name returns the service's name.
 func (f *Follower) Name() string { return Name }
 
-// Start takes the highest version that can be had and goes on following.
+// Start installs the highest version that the key-value service and the reachable peers have, and
+// starts to follow later versions.
 func (f *Follower) Start(c context.Context, k *kernel.Kernel) error {
 	s, err := kernel.Find[*kv.Service](k, kv.Name)
 	if err != nil {
@@ -104,24 +105,25 @@
 	return nil
 }
 
-// Stop ends the following.
+// Stop stops following.
 func (f *Follower) Stop(context.Context) error {
 	f.cancel()
 	f.group.Wait()
 	return nil
 }
 
-// Current returns the document in force, or nil before there is one.
+// Current returns the installed document, or nil if there is none yet.
 func (f *Follower) Current() *config.Document { return f.current.Load() }
 
-// Revision returns the version in force as it is held.
+// Revision returns the installed version as it is stored. Its Version is 0 if there is none yet.
 func (f *Follower) Revision() Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.revision
 }
 
-// OnChange calls h with each new document, and now if there is one.
+// OnChange registers h to be called with each new document. If a document is installed already, it
+// calls h with that at once.
 func (f *Follower) OnChange(h func(*config.Document)) {
 	f.mu.Lock()
 	f.hooks = append(f.hooks, h)
@@ -131,7 +133,8 @@
 	}
 }
 
-// Install puts a version in force if it is higher than the one that is.
+// Install installs a version if it is valid and higher than the installed one, and reports whether it
+// did.
 func (f *Follower) Install(r Revision) bool {
 	d, ms := config.Parse(r.Version, []byte(r.Text))
 	f.mu.Lock()
@@ -148,7 +151,7 @@
 	f.current.Store(d)
 	hs := f.hooks
 	f.mu.Unlock()
-	f.Log.Info().Str("event", "configuration").Uint64("version", r.Version).Str("editor", r.Editor).Msg("configuration in force")
+	f.Log.Info().Str("event", "configuration").Uint64("version", r.Version).Str("editor", r.Editor).Msg("configuration installed")
 	for _, h := range hs {
 		h(d)
 	}
@@ -173,7 +176,7 @@
 	defer cancel()
 	e, err := f.store.Get(c, Key)
 	if err != nil {
-		f.Log.Warn().Err(err).Msg("configuration not read from the platform")
+		f.Log.Warn().Err(err).Msg("cannot read the configuration from the key-value service")
 		return
 	}
 	if r, err := decode(e); err == nil {
@@ -181,7 +184,7 @@
 	}
 }
 
-// readPeers asks everybody and keeps the highest version.
+// readPeers asks all other boxes for their versions and installs the highest.
 func (f *Follower) readPeers(c context.Context) {
 	var g sync.WaitGroup
 	for _, m := range f.members.Up("") {
@@ -201,15 +204,16 @@
 	}
 }
 
-// handleGet answers with the version in force if it is higher than the asker's.
-func (f *Follower) handleGet(_ context.Context, have uint64) (Revision, error) {
-	if r := f.Revision(); r.Version > have {
+// handleGet returns the installed version if it is higher than the caller's, and a zero Revision
+// otherwise.
+func (f *Follower) handleGet(_ context.Context, version uint64) (Revision, error) {
+	if r := f.Revision(); r.Version > version {
 		return r, nil
 	}
 	return Revision{}, nil
 }
 
-// offer is a box's word that it has a version.
+// offer announces that the box at Address has a version.
 type offer struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -224,12 +228,11 @@
 	return struct{}{}, nil
 }
 
-// watch waits for changes at the platform while this box is one of the two
-// watchers of its data centre.
+// watch watches the key-value service while this box is one of the watchers of its data centre.
 func (f *Follower) watch(c context.Context) {
 	var after uint64
 	for c.Err() == nil {
-		if mine, _ := f.members.Owner("config", maxWatchers); !mine {
+		if watching, _ := f.members.Owner("config", maxWatchers); !watching {
 			wait.For(c, gossipInterval)
 			continue
 		}
@@ -250,7 +253,7 @@
 	}
 }
 
-// announce offers the version in force to the data centre.
+// announce offers the installed version to the other boxes of the data centre.
 func (f *Follower) announce(c context.Context) {
 	c, cancel := context.WithTimeout(c, callTimeout)
 	defer cancel()
@@ -266,9 +269,9 @@
 	g.Wait()
 }
 
-// pollPeers asks one box at random for a higher version, so that a lost offer
-// is made good; a relay of its data centre asks one of each other too, so that
-// a data centre that was cut off has it soon after it is joined again.
+// pollPeers regularly asks a random box of the data centre for a higher version, which compensates
+// for lost offers. Relays also ask one box of every other data centre, so that a data centre catches
+// up soon after a partition. Without any version, it reads the key-value service as well.
 func (f *Follower) pollPeers(c context.Context) {
 	for c.Err() == nil {
 		wait.For(c, gossipInterval)
@@ -283,26 +286,27 @@
 	}
 }
 
-// pollTargets chooses whom to ask in one round.
+// pollTargets returns the boxes to ask in one round.
 func (f *Follower) pollTargets() []member.Member {
 	self := f.members.Self()
-	by := map[string][]member.Member{}
+	byDataCentre := map[string][]member.Member{}
 	for _, m := range f.members.Up("") {
 		if m.Box != self.Box {
-			by[m.DataCentre] = append(by[m.DataCentre], m)
+			byDataCentre[m.DataCentre] = append(byDataCentre[m.DataCentre], m)
 		}
 	}
 	relay, _ := f.members.Owner("relay", maxWatchers)
-	var ps []member.Member
-	for dc, ms := range by {
+	var targets []member.Member
+	for dc, ms := range byDataCentre {
 		if dc == self.DataCentre || relay {
-			ps = append(ps, ms[rand.IntN(len(ms))])
+			targets = append(targets, ms[rand.IntN(len(ms))])
 		}
 	}
-	return ps
+	return targets
 }
 
-// Check reads a text and reports every mistake, against the boxes there are.
+// Check parses a configuration and returns all mistakes. If the text is valid and boxes is not empty,
+// it also checks the configuration against the boxes.
 func Check(text string, boxes []fleet.Box) []iniread.Mistake {
 	d, ms := config.Parse(0, []byte(text))
 	if len(ms) == 0 && len(boxes) > 0 {
@@ -311,8 +315,9 @@
 	return ms
 }
 
-// Put replaces version base by a new one. The error is of kind ConfigInvalid,
-// ConfigConflict (naming what the editor lost to), or Unavailable.
+// Put writes version base+1 if base is still the stored version. The kind of the error is
+// ConfigInvalid, ConfigConflict (which names the version in force and its editor), Unavailable if
+// nothing was changed, or OutcomeUnknown.
 func (f *Follower) Put(c context.Context, base uint64, text, editor string, boxes []fleet.Box) (Revision, error) {
 	if ms := Check(text, boxes); len(ms) > 0 {
 		return Revision{}, errkind.New(errkind.ConfigInvalid, "%w", iniread.Join(ms))
@@ -332,8 +337,9 @@
 	return f.swap(c, e.Rev, r)
 }
 
-func conflictError(to Revision) error {
-	return errkind.New(errkind.ConfigConflict, "version %d by %s at %s is in force; read it and edit again", to.Version, to.Editor, to.At.Format(time.RFC3339))
+func conflictError(current Revision) error {
+	return errkind.New(errkind.ConfigConflict, "version %d by %s at %s is in force; read it and edit again",
+		current.Version, current.Editor, current.At.Format(time.RFC3339))
 }
 
 func (f *Follower) swap(c context.Context, rev uint64, r Revision) (Revision, error) {
@@ -355,7 +361,8 @@
 	return f.confirmSwap(c, r)
 }
 
-// resolveConflict compares what is in force with what was written.
+// resolveConflict decides by the nonce whether the stored entry is the change r, which then has
+// succeeded, or another one, which is a conflict.
 func (f *Follower) resolveConflict(e kv.Entry, r Revision) (Revision, error) {
 	now, err := decode(e)
 	if err != nil {
@@ -368,7 +375,8 @@
 	return r, nil
 }
 
-// confirmSwap reads back after a lost answer: the nonce says whose change it is.
+// confirmSwap reads the configuration back after a swap with an unknown outcome. The nonce identifies
+// the writer of the stored version.
 func (f *Follower) confirmSwap(c context.Context, r Revision) (Revision, error) {
 	c, cancel := context.WithTimeout(c, confirmTimeout)
 	defer cancel()
--- a/follower/follower_test.go
+++ b/follower/follower_test.go
@@ -12,28 +12,28 @@
 	"birchlink.dev/birchlink/follower"
 )
 
-// Whatever versions arrive, in whatever order and as often as they like, the
-// one in force never goes back, and every change of it is told once.
+// The installed version never decreases, whatever the order and number of the versions received, and
+// hooks are called once for each change.
 func TestVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := follower.New(zerolog.Nop())
-		var told []uint64
-		f.OnChange(func(d *config.Document) { told = append(told, d.Version) })
+		var notified []uint64
+		f.OnChange(func(d *config.Document) { notified = append(notified, d.Version) })
 		highest := uint64(0)
 		for _, v := range rapid.SliceOf(rapid.Uint64Range(1, 9)).Draw(t, "versions") {
-			usable := rapid.IntRange(0, 4).Draw(t, "usable") > 0
+			valid := rapid.IntRange(0, 4).Draw(t, "usable") > 0
 			text := fmt.Sprintf("[model \"m\"]\nversions = %d\n", v)
-			if !usable {
+			if !valid {
 				text = "[model \"m\"]\n"
 			}
-			require.Equal(t, usable && v > highest, f.Install(follower.Revision{Version: v, Text: text}))
-			if usable {
+			require.Equal(t, valid && v > highest, f.Install(follower.Revision{Version: v, Text: text}))
+			if valid {
 				highest = max(highest, v)
 			}
 			require.Equal(t, highest, f.Revision().Version)
 		}
-		for i := 1; i < len(told); i++ {
-			require.Greater(t, told[i], told[i-1])
+		for i := 1; i < len(notified); i++ {
+			require.Greater(t, notified[i], notified[i-1])
 		}
 	})
 }
--- a/kv/client.go
+++ b/kv/client.go
@@ -17,21 +17,22 @@
 	"birchlink.dev/birchlink/jsonhttp"
 )
 
-// callTimeout bounds one call; a watch may take its own wait on top.
+// callTimeout bounds one call. The wait of a watch is added to it.
 const callTimeout = 2 * time.Second
 
-// maxBackOff bounds how long an outage may keep the client from asking again.
+// maxBackOff bounds the pause between calls during an outage, and so the time until the client
+// notices the end of the outage.
 const maxBackOff = 5 * time.Second
 
-// The ways a call can fail. After ErrUnknown a swap may have taken effect.
+// Errors of calls. After ErrOutcomeUnknown a swap may have taken effect.
 var (
 	ErrConflict       = errors.New("the value has changed")
 	ErrOutcomeUnknown = errors.New("no answer: a change may have taken effect")
 	ErrUnavailable    = errors.New("the key-value service is away")
 )
 
-// Client calls the service within a budget of writes and reads a second. After
-// a failure it pauses with growing jitter, and calls fail at once meanwhile.
+// Client calls the key-value service within rate limits for reads and writes. After a failure it
+// backs off exponentially with jitter; calls in that period fail at once with ErrUnavailable.
 type Client struct {
 	http     *jsonhttp.Client
 	writes   *rate.Limiter
@@ -43,7 +44,8 @@
 	retryAt time.Time
 }
 
-// New returns a client with a budget of calls a second; calls are counted in m.
+// New returns a client that makes at most the given numbers of writes and reads per second, with
+// bursts of twice as many. It counts its calls in m, by operation.
 func New(address, caller string, writes, reads int, m metrics.Registry) *Client {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval, b.MaxInterval = 100*time.Millisecond, maxBackOff
@@ -54,21 +56,22 @@
 	}
 }
 
-// Get returns a key's value.
+// Get returns the entry of a key.
 func (c *Client) Get(x context.Context, key string) (Entry, error) {
 	var e Entry
 	err := c.do(x, "get", c.reads, http.MethodGet, "/kv/"+key, nil, &e, callTimeout)
 	return e, err
 }
 
-// List returns the entries whose key has a prefix.
+// List returns the entries whose keys begin with a prefix.
 func (c *Client) List(x context.Context, prefix string) ([]Entry, error) {
 	var es []Entry
 	err := c.do(x, "list", c.reads, http.MethodGet, "/list/"+prefix, nil, &es, callTimeout)
 	return es, err
 }
 
-// Watch waits until a key's revision is another than after, or for the wait.
+// Watch waits until the revision of a key differs from after, for at most wait, and returns the
+// key's entry.
 func (c *Client) Watch(x context.Context, key string, after uint64, wait time.Duration) (Entry, error) {
 	var e Entry
 	p := fmt.Sprintf("/watch/%s?%s", key, url.Values{"after": {fmt.Sprint(after)}, "wait": {wait.String()}}.Encode())
@@ -76,8 +79,8 @@
 	return e, err
 }
 
-// Swap replaces a value if its revision is still e.Rev. With ErrConflict the
-// entry returned is the one in force.
+// Swap writes e.Value if the revision of the key is still e.Rev, and returns the new entry. With
+// ErrConflict it returns the current entry instead.
 func (c *Client) Swap(x context.Context, e Entry) (Entry, error) {
 	if len(e.Value) > MaxValue {
 		return Entry{}, fmt.Errorf("value of %d bytes is over %d", len(e.Value), MaxValue)
@@ -94,7 +97,7 @@
 	return n, err
 }
 
-func (c *Client) do(x context.Context, name string, l *rate.Limiter, method, path string, in, out any, limit time.Duration) error {
+func (c *Client) do(x context.Context, name string, l *rate.Limiter, method, path string, in, out any, timeout time.Duration) error {
 	if c.isBackingOff() {
 		return ErrUnavailable
 	}
@@ -102,7 +105,7 @@
 		return fmt.Errorf("%w: the box's own budget is spent", ErrUnavailable)
 	}
 	metrics.GetOrRegisterCounter("kv."+name, c.registry).Inc(1)
-	x, cancel := context.WithTimeout(x, limit)
+	x, cancel := context.WithTimeout(x, timeout)
 	defer cancel()
 	err := c.http.Do(x, method, path, in, out)
 	var s *jsonhttp.StatusError
@@ -127,7 +130,7 @@
 	return time.Now().Before(c.retryAt)
 }
 
-// recordResult ends the pause after a success and lengthens it after a failure.
+// recordResult ends the back-off after a success and lengthens it after a failure.
 func (c *Client) recordResult(ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/kv/client_test.go
+++ b/kv/client_test.go
@@ -24,16 +24,16 @@
 	return s.Listener.Addr().String()
 }
 
-// A thousand calls in an outage ask the service a handful of times, and the
-// first call after the pause finds it again.
+// During an outage, back-off keeps 1000 calls from reaching the service more than a few times. The
+// first call after the back-off period finds the service available again.
 func TestBackOffDuringOutage(t *testing.T) {
-	var asked atomic.Int64
-	var away atomic.Bool
-	away.Store(true)
+	var calls atomic.Int64
+	var unavailable atomic.Bool
+	unavailable.Store(true)
 	store := kvstore.New(1000, 1000)
 	h := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked.Add(1)
-		if away.Load() {
+		calls.Add(1)
+		if unavailable.Load() {
 			http.Error(w, "outage", http.StatusServiceUnavailable)
 			return
 		}
@@ -44,28 +44,28 @@
 		_, err := c.Get(t.Context(), "k")
 		require.ErrorIs(t, err, kv.ErrUnavailable)
 	}
-	require.Less(t, asked.Load(), int64(50))
-	away.Store(false)
+	require.Less(t, calls.Load(), int64(50))
+	unavailable.Store(false)
 	require.Eventually(t, func() bool {
 		_, err := c.Get(t.Context(), "k")
 		return err == nil
 	}, time.Minute, 10*time.Millisecond)
 }
 
-// The box's own budget bounds its calls, whatever asks.
+// The client limits its calls to its budget, however often it is used.
 func TestCallBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var asked atomic.Int64
+		var calls atomic.Int64
 		c := kv.New("127.0.0.1:1", "box", 5, 5, metrics.NewRegistry())
 		kv.SetTransport(c, roundTripFunc(func(*http.Request) (*http.Response, error) {
-			asked.Add(1)
+			calls.Add(1)
 			return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader("{}"))}, nil
 		}))
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
 			_, err := c.Get(t.Context(), "k")
 			require.NoError(t, err)
 		}
-		require.LessOrEqual(t, asked.Load(), int64(5*10+11))
+		require.LessOrEqual(t, calls.Load(), int64(5*10+11))
 	})
 }
 
@@ -73,8 +73,8 @@
 
 func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// A swap against the present revision wins, one against an older is told what
-// is in force, and one whose answer is lost is not known to have failed.
+// A swap succeeds at the current revision and fails with the current entry at an older one. If the
+// answer is lost, the outcome is unknown, although the swap took effect.
 func TestSwap(t *testing.T) {
 	s := kvstore.New(1000, 1000)
 	c := kv.New(startServer(t, s), "box", 1000, 1000, metrics.NewRegistry())
--- a/kv/entry.go
+++ b/kv/entry.go
@@ -1,14 +1,14 @@
-// Package kv speaks the platform's key-value service's published protocol, and
-// keeps the calls of one box within a budget.
+// Package kv implements a client of the platform's key-value service. The client limits the rate of
+// a box's reads and writes and backs off while the service is unavailable.
 package kv
 
 import "time"
 
-// MaxValue is the largest value that the service holds, in bytes.
+// MaxValue is the size of the largest value that the service accepts, in bytes.
 const MaxValue = 1 << 20
 
-// Entry is one key's value. Rev is zero for a key that does not exist. With a
-// TTL the key is a lease: it vanishes unless it is written again in time.
+// Entry is a key with its value. Rev is the revision of the value, or zero if the key does not exist.
+// A key with a TTL is a lease: the service deletes it unless it is written again within the TTL.
 type Entry struct {
 	Key   string        `json:"key"`
 	Rev   uint64        `json:"rev"`
--- a/kv/service.go
+++ b/kv/service.go
@@ -6,10 +6,10 @@
 	"birchlink.dev/birchlink/kernel"
 )
 
-// Name is the name of the service.
+// Name is the name under which the kernel registers the service.
 const Name = "kv"
 
-// Service makes the client known by name.
+// Service is the kernel service of a client.
 type Service struct {
 	*Client
 }
@@ -17,10 +17,10 @@
 // Name returns the service's name.
 func (s *Service) Name() string { return Name }
 
-// Start does nothing: the client connects with its first call.
+// Start does nothing: the client connects on its first call.
 func (s *Service) Start(context.Context, *kernel.Kernel) error { return nil }
 
-// Stop ends idle connections.
+// Stop closes idle connections.
 func (s *Service) Stop(context.Context) error {
 	s.http.HTTP.CloseIdleConnections()
 	return nil
--- a/store/store.go
+++ b/store/store.go
@@ -1,5 +1,5 @@
-// Package store says what birchlink needs of a key-value service that keeps
-// what must outlive every process: conditional changes, leases and watches.
+// Package store defines the interface to the key-value service that keeps the state which must
+// outlive every process. The service has conditional changes, leases and watches.
 package store
 
 import (
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// The ways a call can fail besides an answer of the service. After ErrUnknown a
-// change may have taken effect, or may still take effect.
+// Errors of calls. After ErrOutcomeUnknown a change may have taken effect, or may still do so.
 var (
 	ErrConflict       = errors.New("a condition of the change does not hold")
-	ErrOutcomeUnknown = errors.New("no answer: a change may have taken effect")
-	ErrUnavailable    = errors.New("the store is away")
-	ErrNoLease        = errors.New("no such lease")
-	ErrCompacted      = errors.New("the history asked for is gone")
+	ErrOutcomeUnknown = errors.New("no answer: the change may have taken effect")
+	ErrUnavailable    = errors.New("the store is unavailable")
+	ErrNoLease        = errors.New("the lease does not exist")
+	ErrCompacted      = errors.New("the history after the requested revision is not available")
 )
 
-// Item is one key's value. Revision is that of its last change, and the
-// store's is raised by each change of any key. Deleted marks a key that went.
+// Item is a key with its value. Revision and Created are the revisions of the store at the last change
+// of the key and at its creation. Each change to any key increases the store's revision. Deleted is
+// set if the change deleted the key.
 type Item struct {
 	Key      string
 	Value    []byte
@@ -28,32 +28,36 @@
 	Deleted  bool
 }
 
-// Lease keeps keys alive while it is renewed; zero is none.
+// Lease is the ID of a lease. The store deletes the keys attached to a lease that is not renewed in
+// time. Zero is no lease.
 type Lease uint64
 
-// Condition holds when a key's revision is still Revision; zero means absent.
+// Condition holds if the key is at the given revision, or does not exist if that is zero.
 type Condition struct {
 	Key      string
 	Revision uint64
 }
 
-// Put writes one key.
+// Put writes a key and attaches it to Lease, if there is one.
 type Put struct {
 	Key   string
 	Value []byte
 	Lease Lease
 }
 
-// Change is done whole or not at all, and only if each condition holds.
+// Change is applied atomically, and only if all conditions in If hold.
 type Change struct {
 	If     []Condition
 	Put    []Put
 	Delete []string
 }
 
-// Store is the client of the service. Get of an absent key returns an Item with
-// Revision 0. Range and Watch also return the store's revision; Watch returns
-// once something after since changed, or with nothing after wait.
+// Store is a client of the service.
+//
+// Get returns an Item with Revision 0 if the key does not exist. Range and Watch return items under a
+// prefix and a revision from which to watch next. Watch returns the changes after the revision since
+// as soon as there are any, or nothing after wait. Commit returns the revision of the change. Grant
+// returns a new lease and its time to live.
 type Store interface {
 	Get(c context.Context, key string) (Item, error)
 	Range(c context.Context, prefix string) ([]Item, uint64, error)
