--- a/call/attempt.go
+++ b/call/attempt.go
@@ -15,10 +15,10 @@
 	Account string
 
 	// Left is how long the answer is of use.
-	Left time.Duration
+	Timeout time.Duration
 
 	// LastEvent is the last event of the stream that the caller has.
-	LastEvent string
+	LastEventID string
 
 	// Priority is the rank at the endpoint, 0 first.
 	Priority int
@@ -28,8 +28,8 @@
 // the endpoint did not and will not run the attempt; Elsewhere that another
 // incarnation has the address, which says nothing of the one that was asked.
 type Outcome struct {
-	ID        string
-	NotRun    bool
-	Elsewhere bool
+	ID               string
+	NotRun           bool
+	WrongIncarnation bool
 	endpoint.Statement
 }
--- a/call/call.go
+++ b/call/call.go
@@ -31,28 +31,28 @@
 	// Arrived is when the request was read, on this box's steady clock. Wait is
 	// how long the caller says it will wait from then on; zero when it does not say.
 	Arrived time.Time
-	Wait    time.Duration
+	Timeout time.Duration
 
 	// LastEvent is the last event of a stream that the caller already has.
-	LastEvent string
+	LastEventID string
 
 	// Parts are the pieces of the prompt in order; PromptTokens is their sum as
 	// the caller counts it, and AnswerTokens the most that may be generated.
 	// Counted is false when the caller gave no figures.
-	Model        string
-	Parts        []Part
-	PromptTokens int
-	AnswerTokens int
-	Counted      bool
+	Model          string
+	Parts          []Part
+	PromptTokens   int
+	AnswerTokens   int
+	HasTokenCounts bool
 
 	// ExpectedTokens is the caller's guess of the answer's length; zero if none.
 	ExpectedTokens int
 }
 
-// Expires returns when the answer is of no more use: the caller's wait or the
+// Deadline returns when the answer is of no more use: the caller's wait or the
 // operator's limit, whichever ends first.
-func (c *Call) Expires(limit time.Duration) time.Time {
-	w := c.Wait
+func (c *Call) Deadline(limit time.Duration) time.Time {
+	w := c.Timeout
 	if w <= 0 || limit > 0 && limit < w {
 		w = limit
 	}
--- a/claims/committer.go
+++ b/claims/committer.go
@@ -18,13 +18,13 @@
 // The bounds of a commit. A page is refused more claims when it is nearly as
 // large as the service holds.
 const (
-	commitEvery = 20 * time.Millisecond
-	commitLimit = 3 * time.Second
-	tries       = 16
-	lookAgain   = 200 * time.Millisecond
-	fullBytes   = kv.MaxValue * 9 / 10
-	retryFull   = 30 * time.Second
-	retryAway   = 3 * time.Second
+	commitInterval        = 20 * time.Millisecond
+	commitTimeout         = 3 * time.Second
+	maxCommitTries        = 16
+	rereadDelay           = 200 * time.Millisecond
+	maxPageBytes          = kv.MaxValue * 9 / 10
+	fullRetryAfter        = 30 * time.Second
+	unavailableRetryAfter = 3 * time.Second
 )
 
 // store is what a committer needs of the key-value service.
@@ -47,14 +47,14 @@
 
 // committer commits the claims of one slot, many with one swap.
 type committer struct {
-	store store
-	key   string
-	ttl   time.Duration
-	every time.Duration
+	store    store
+	key      string
+	ttl      time.Duration
+	interval time.Duration
 
 	mu      sync.Mutex
 	waiting []pending
-	busy    bool
+	running bool
 	page    *ledger.Page
 	rev     uint64
 }
@@ -65,45 +65,45 @@
 	w := pending{claim: claim, done: make(chan result, 1)}
 	m.mu.Lock()
 	m.waiting = append(m.waiting, w)
-	if !m.busy {
-		m.busy = true
-		spawn(m.work)
+	if !m.running {
+		m.running = true
+		spawn(m.commitLoop)
 	}
 	m.mu.Unlock()
 	select {
 	case r := <-w.done:
 		return r.claim, r.err
 	case <-c.Done():
-		return ledger.Claim{}, errkind.New(errkind.ClaimUnavailable, "the claim took too long").After(retryAway)
+		return ledger.Claim{}, errkind.New(errkind.ClaimUnavailable, "the claim took too long").After(unavailableRetryAfter)
 	}
 }
 
-// work commits group after group until nobody waits.
-func (m *committer) work() {
+// commitLoop commits group after group until nobody waits.
+func (m *committer) commitLoop() {
 	for {
 		m.mu.Lock()
 		ws := m.waiting
 		m.waiting = nil
 		if len(ws) == 0 {
-			m.busy = false
+			m.running = false
 			m.mu.Unlock()
 			return
 		}
 		m.mu.Unlock()
 		m.commit(ws)
-		time.Sleep(m.every)
+		time.Sleep(m.interval)
 	}
 }
 
 func (m *committer) commit(ws []pending) {
-	c, cancel := context.WithTimeout(context.Background(), commitLimit)
+	c, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
 	var rs []result
 	var err error
 	unknown := false
-	for n := 0; n < tries && c.Err() == nil; n++ {
-		if rs, err = m.try(c, ws); err == nil {
-			answer(ws, rs)
+	for n := 0; n < maxCommitTries && c.Err() == nil; n++ {
+		if rs, err = m.tryCommit(c, ws); err == nil {
+			deliver(ws, rs)
 			return
 		}
 		unknown = unknown || errors.Is(err, kv.ErrUnknown)
@@ -112,23 +112,23 @@
 		}
 		if errors.Is(err, kv.ErrAway) {
 			// The claims may stand already: look again before giving up.
-			wait.For(c, lookAgain)
+			wait.For(c, rereadDelay)
 		}
 	}
 	for _, w := range ws {
-		w.done <- result{err: errkind.New(errkind.ClaimUnavailable, "%w; use a ticket while the platform is away", err).After(retryAway)}
+		w.done <- result{err: errkind.New(errkind.ClaimUnavailable, "%w; use a ticket while the platform is away", err).After(unavailableRetryAfter)}
 	}
 }
 
-func answer(ws []pending, rs []result) {
+func deliver(ws []pending, rs []result) {
 	for i, w := range ws {
 		w.done <- rs[i]
 	}
 }
 
-// try applies the claims to the page as it is known and swaps it once. Claims
+// tryCommit applies the claims to the page as it is known and swaps it once. Claims
 // that find their key taken need no swap.
-func (m *committer) try(c context.Context, ws []pending) ([]result, error) {
+func (m *committer) tryCommit(c context.Context, ws []pending) ([]result, error) {
 	if err := m.load(c); err != nil {
 		return nil, err
 	}
@@ -157,10 +157,10 @@
 	if err != nil {
 		return err
 	}
-	return m.keep(e)
+	return m.setPage(e)
 }
 
-func (m *committer) keep(e kv.Entry) error {
+func (m *committer) setPage(e kv.Entry) error {
 	p, err := ledger.Parse(e.Value)
 	if err != nil {
 		return err
@@ -173,8 +173,8 @@
 // it is taken from the answer or read again.
 func (m *committer) swap(c context.Context) error {
 	b, err := m.page.Bytes()
-	if err == nil && len(b) > fullBytes {
-		err = errkind.New(errkind.ClaimUnavailable, "the page of claims is full").After(retryFull)
+	if err == nil && len(b) > maxPageBytes {
+		err = errkind.New(errkind.ClaimUnavailable, "the page of claims is full").After(fullRetryAfter)
 	}
 	if err != nil {
 		m.page = nil
@@ -186,7 +186,7 @@
 		m.rev = e.Rev
 		return nil
 	case errors.Is(err, kv.ErrConflict):
-		if k := m.keep(e); k != nil {
+		if k := m.setPage(e); k != nil {
 			return fmt.Errorf("%w: %w", err, k)
 		}
 		return err
--- a/claims/committer_test.go
+++ b/claims/committer_test.go
@@ -19,19 +19,19 @@
 // fakeStore is one page in memory. It takes time, and loses answers and calls
 // as its dice say.
 type fakeStore struct {
-	mu    sync.Mutex
-	entry kv.Entry
-	swaps int
-	away  bool
-	dice  *rand.Rand
-	lose  float64
+	mu          sync.Mutex
+	entry       kv.Entry
+	swaps       int
+	unavailable bool
+	rng         *rand.Rand
+	lossRate    float64
 }
 
 func (f *fakeStore) Get(context.Context, string) (kv.Entry, error) {
 	time.Sleep(time.Millisecond)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.away {
+	if f.unavailable {
 		return kv.Entry{}, kv.ErrAway
 	}
 	return f.entry, nil
@@ -42,22 +42,22 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
-	case f.away:
+	case f.unavailable:
 		return kv.Entry{}, kv.ErrAway
-	case f.dice.Float64() < f.lose:
+	case f.rng.Float64() < f.lossRate:
 		return kv.Entry{}, kv.ErrUnknown
 	case e.Rev != f.entry.Rev:
 		return f.entry, kv.ErrConflict
 	}
 	f.swaps++
 	f.entry = kv.Entry{Key: e.Key, Rev: f.entry.Rev + 1, Value: e.Value}
-	if f.dice.Float64() < f.lose {
+	if f.rng.Float64() < f.lossRate {
 		return kv.Entry{}, kv.ErrUnknown
 	}
 	return f.entry, nil
 }
 
-func claim(key, holder string, nonce uint64) ledger.Claim {
+func newClaim(key, holder string, nonce uint64) ledger.Claim {
 	k := ledger.NewKey("account", key)
 	return ledger.Claim{Key: k[:], Holder: holder, Nonce: nonce, At: time.Now().Unix()}
 }
@@ -67,9 +67,9 @@
 // the same holder.
 func TestTwoOwnersAgree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fakeStore{dice: rand.New(rand.NewPCG(1, 2)), lose: 0.25}
-		a := &committer{store: f, key: "p", ttl: time.Hour, every: commitEvery}
-		b := &committer{store: f, key: "p", ttl: time.Hour, every: commitEvery}
+		f := &fakeStore{rng: rand.New(rand.NewPCG(1, 2)), lossRate: 0.25}
+		a := &committer{store: f, key: "p", ttl: time.Hour, interval: commitInterval}
+		b := &committer{store: f, key: "p", ttl: time.Hour, interval: commitInterval}
 		var mu sync.Mutex
 		holders := map[string]map[string]bool{}
 		var g sync.WaitGroup
@@ -80,7 +80,7 @@
 			}
 			key := fmt.Sprint(n / 4)
 			g.Go(func() {
-				c, err := m.submit(t.Context(), claim(key, box, uint64(n)), func(f func()) { g.Go(f) })
+				c, err := m.submit(t.Context(), newClaim(key, box, uint64(n)), func(f func()) { g.Go(f) })
 				if err != nil {
 					return
 				}
@@ -102,12 +102,12 @@
 }
 
 // While the platform is away a claim is refused, and nothing is claimed.
-func TestAwayIsRefused(t *testing.T) {
+func TestClaimRefusedWhileUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fakeStore{dice: rand.New(rand.NewPCG(1, 2)), away: true}
-		m := &committer{store: f, key: "p", ttl: time.Hour, every: commitEvery}
+		f := &fakeStore{rng: rand.New(rand.NewPCG(1, 2)), unavailable: true}
+		m := &committer{store: f, key: "p", ttl: time.Hour, interval: commitInterval}
 		var g sync.WaitGroup
-		_, err := m.submit(t.Context(), claim("k", "a", 1), func(f func()) { g.Go(f) })
+		_, err := m.submit(t.Context(), newClaim("k", "a", 1), func(f func()) { g.Go(f) })
 		require.True(t, errkind.Is(err, errkind.ClaimUnavailable))
 		require.Positive(t, errkind.Of(err).RetryAfter)
 		g.Wait()
@@ -119,22 +119,22 @@
 // takes them again when old ones have expired.
 func TestFullPage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fakeStore{dice: rand.New(rand.NewPCG(1, 2))}
-		m := &committer{store: f, key: "p", ttl: time.Hour, every: commitEvery}
+		f := &fakeStore{rng: rand.New(rand.NewPCG(1, 2))}
+		m := &committer{store: f, key: "p", ttl: time.Hour, interval: commitInterval}
 		m.page = &ledger.Page{Claims: map[ledger.Key]ledger.Claim{}}
 		holder := "0fd6a3a4-8f3c-4d0e-b6f9-4d8c1e0b2a77"
-		for n := range fullBytes / 60 {
-			m.page.Add(claim(fmt.Sprint(n), holder, uint64(n)))
+		for n := range maxPageBytes / 60 {
+			m.page.Add(newClaim(fmt.Sprint(n), holder, uint64(n)))
 		}
 		var g sync.WaitGroup
 		spawn := func(f func()) { g.Go(f) }
-		_, err := m.submit(t.Context(), claim("more", holder, 1), spawn)
+		_, err := m.submit(t.Context(), newClaim("more", holder, 1), spawn)
 		require.True(t, errkind.Is(err, errkind.ClaimUnavailable), "%v", err)
 		g.Wait()
 		m.page = &ledger.Page{Claims: map[ledger.Key]ledger.Claim{}}
-		m.page.Add(claim("old", holder, 1))
+		m.page.Add(newClaim("old", holder, 1))
 		time.Sleep(2 * time.Hour)
-		_, err = m.submit(t.Context(), claim("new", holder, 2), spawn)
+		_, err = m.submit(t.Context(), newClaim("new", holder, 2), spawn)
 		require.NoError(t, err)
 		g.Wait()
 		p, err := ledger.Parse(f.entry.Value)
@@ -149,7 +149,7 @@
 		b.Run(fmt.Sprintf("page=%d", n), func(b *testing.B) {
 			p := &ledger.Page{Claims: map[ledger.Key]ledger.Claim{}}
 			for i := range n {
-				p.Add(claim(fmt.Sprint(i), "0fd6a3a4-8f3c-4d0e-b6f9-4d8c1e0b2a77", uint64(i)))
+				p.Add(newClaim(fmt.Sprint(i), "0fd6a3a4-8f3c-4d0e-b6f9-4d8c1e0b2a77", uint64(i)))
 			}
 			size := 0
 			for b.Loop() {
--- a/claims/service.go
+++ b/claims/service.go
@@ -18,12 +18,12 @@
 // Name is the name of the service.
 const Name = "claims"
 
-// ownerLimit is how long a slot's owner may take before a box commits by
+// ownerTimeout is how long a slot's owner may take before a box commits by
 // itself. Two who commit cost a retry and never a second claim.
-const ownerLimit = 500 * time.Millisecond
+const ownerTimeout = 500 * time.Millisecond
 
-// Claims is the service of one box.
-type Claims struct {
+// Service is the service of one box.
+type Service struct {
 	Slots int
 	TTL   time.Duration
 
@@ -36,15 +36,15 @@
 }
 
 // New returns the claims of a box: so many pages, whose claims last for ttl.
-func New(slots int, ttl time.Duration) *Claims {
-	return &Claims{Slots: slots, TTL: ttl, slots: map[int]*committer{}}
+func New(slots int, ttl time.Duration) *Service {
+	return &Service{Slots: slots, TTL: ttl, slots: map[int]*committer{}}
 }
 
 // Name returns the service's name.
-func (s *Claims) Name() string { return Name }
+func (s *Service) Name() string { return Name }
 
 // Start lets peers have their claims committed here.
-func (s *Claims) Start(_ context.Context, k *kernel.Kernel) error {
+func (s *Service) Start(_ context.Context, k *kernel.Kernel) error {
 	n, err := kernel.Find[*kv.Service](k, kv.Name)
 	if err != nil {
 		return err
@@ -61,20 +61,20 @@
 }
 
 // Stop waits for the commits that are under way.
-func (s *Claims) Stop(context.Context) error {
+func (s *Service) Stop(context.Context) error {
 	s.group.Wait()
 	return nil
 }
 
 // Claim returns the claim on a key that is in force: the one given, or an
 // earlier one. The error is of kind ClaimUnavailable.
-func (s *Claims) Claim(c context.Context, claim ledger.Claim) (ledger.Claim, error) {
+func (s *Service) Claim(c context.Context, claim ledger.Claim) (ledger.Claim, error) {
 	slot := ledger.Key(claim.Key).Slot(s.Slots)
 	_, owner := s.members.Owner(pageKey(slot), 1)
 	if owner.Address == "" || owner.Box == s.members.Self().Box {
 		return s.commit(c, claim)
 	}
-	x, cancel := context.WithTimeout(c, ownerLimit)
+	x, cancel := context.WithTimeout(c, ownerTimeout)
 	defer cancel()
 	var in ledger.Claim
 	err := s.peers.Client.Call(x, owner.Address, "claims.commit", claim, &in)
@@ -86,7 +86,7 @@
 
 func pageKey(slot int) string { return fmt.Sprintf("claims/%d", slot) }
 
-func (s *Claims) commit(c context.Context, claim ledger.Claim) (ledger.Claim, error) {
+func (s *Service) commit(c context.Context, claim ledger.Claim) (ledger.Claim, error) {
 	if len(claim.Key) != len(ledger.Key{}) {
 		return claim, errkind.New(errkind.BadRequest, "a claim's key has %d bytes", len(claim.Key))
 	}
@@ -94,7 +94,7 @@
 	s.mu.Lock()
 	m, ok := s.slots[slot]
 	if !ok {
-		m = &committer{store: s.store, key: pageKey(slot), ttl: s.TTL, every: commitEvery}
+		m = &committer{store: s.store, key: pageKey(slot), ttl: s.TTL, interval: commitInterval}
 		s.slots[slot] = m
 	}
 	s.mu.Unlock()
--- a/compare/requests.go
+++ b/compare/requests.go
@@ -215,8 +215,8 @@
 		}
 		computed := r.prompt + n
 		ss = append(ss, reclaim.Stream{
-			ID: string(rune('a'+i%26)) + r.workload, Workload: r.workload, Computed: computed, Left: r.tokens - n,
-			TokensPerSecond: r.engine.TokensPerSecond, Bytes: int64(computed) * kvBytesPerToken,
+			ID: string(rune('a'+i%26)) + r.workload, Workload: r.workload, ComputedTokens: computed, RemainingTokens: r.tokens - n,
+			TokensPerSecond: r.engine.TokensPerSecond, CacheBytes: int64(computed) * kvBytesPerToken,
 		})
 	}
 	var ds []reclaim.Destination
@@ -224,19 +224,19 @@
 	for _, e := range s.engines {
 		busy, slots = busy+e.busy, slots+e.Slots
 		if free := e.Slots - e.busy; e.DataCentre == dc && free > 0 {
-			ds = append(ds, reclaim.Destination{Box: e.Name, Workload: e.Loaded, Free: free})
+			ds = append(ds, reclaim.Destination{Box: e.Name, Workloads: e.Loaded, FreeSlots: free})
 		}
 	}
 	w := waved{streams: len(ss)}
 	for _, m := range reclaim.Plan(ss, ds, l) {
-		switch m.Act {
+		switch m.Action {
 		case reclaim.Finish:
 			w.finish++
 		case reclaim.Transfer:
 			w.transfer++
 		case reclaim.Replay:
 			w.replay++
-			w.recompute += m.Recompute
+			w.recompute += m.RecomputeTokens
 		}
 	}
 	w.load = float64(busy+w.transfer+w.replay) / float64(max(slots, 1))
--- a/content/hash.go
+++ b/content/hash.go
@@ -14,9 +14,9 @@
 // account, method, host, target and body, whatever their IDs are.
 type Hash uint64
 
-// Of returns the hash of a call by an account; the account is empty where none is
+// HashOf returns the hash of a call by an account; the account is empty where none is
 // needed.
-func Of(account string, c *call.Call) Hash {
+func HashOf(account string, c *call.Call) Hash {
 	var d xxhash.Digest
 	d.Reset()
 	for _, s := range []string{account, c.Method, c.Host, c.Target} {
--- a/content/hash_test.go
+++ b/content/hash_test.go
@@ -11,13 +11,13 @@
 
 // Only what is asked for and by whom tells two hashes apart, not what the request is
 // called or how long its caller waits.
-func TestOf(t *testing.T) {
-	base := call.Call{ID: "1", Method: "POST", Host: "h", Target: "/a?b", Body: []byte("body"), Wait: 1}
+func TestHashOf(t *testing.T) {
+	base := call.Call{ID: "1", Method: "POST", Host: "h", Target: "/a?b", Body: []byte("body"), Timeout: 1}
 	same := base
-	same.ID, same.Wait, same.LastEvent, same.Key = "2", 2, "7", "another key of the account"
-	require.Equal(t, content.Of("a", &base), content.Of("a", &same))
+	same.ID, same.Timeout, same.LastEventID, same.Key = "2", 2, "7", "another key of the account"
+	require.Equal(t, content.HashOf("a", &base), content.HashOf("a", &same))
 
-	seen := map[content.Hash]bool{content.Of("a", &base): true}
+	seen := map[content.Hash]bool{content.HashOf("a", &base): true}
 	for _, change := range []func(c *call.Call){
 		func(c *call.Call) { c.Method = "PUT" },
 		func(c *call.Call) { c.Host = "i" },
@@ -28,9 +28,9 @@
 	} {
 		other := base
 		change(&other)
-		h := content.Of("a", &other)
+		h := content.HashOf("a", &other)
 		require.False(t, seen[h])
 		seen[h] = true
 	}
-	require.False(t, seen[content.Of("b", &base)])
+	require.False(t, seen[content.HashOf("b", &base)])
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -50,8 +50,8 @@
 	records   *once.Table[Result]
 	members   *member.Service
 	peers     *peer.Node
-	claims    *claims.Claims
-	keeper    *stream.Keeper
+	claims    *claims.Service
+	keeper    *stream.Service
 	proxy     *plain.Proxy
 	admission *admission.Admission
 	decisions *decisions.Log
@@ -97,7 +97,7 @@
 	ts := make([]string, n)
 	for i := range ts {
 		t := ticket.New(d.members.Self().Incarnation).String()
-		if _, _, err := d.records.Enter(t, 0); err != nil {
+		if _, _, err := d.records.GetOrCreate(t, 0); err != nil {
 			return nil, err
 		}
 		ts[i] = t
@@ -140,7 +140,7 @@
 // start starts a call's stream, here or in another data centre.
 func (d *Dispatcher) start(q Call, abroad bool) *stream.Stream {
 	if abroad {
-		return d.keeper.RunAbroad(*q.Chat)
+		return d.keeper.RunRemote(*q.Chat)
 	}
 	return d.keeper.Run(*q.Chat)
 }
@@ -149,7 +149,7 @@
 func (d *Dispatcher) enter(q Call) (leave func(), abroad bool, err error) {
 	leave, err = d.admission.Enter(q.admission())
 	n := decisions.Decision{Subject: q.id(), Event: "admit", Choice: "accepted"}
-	if errkind.Is(err, errkind.Overloaded) && q.Chat != nil && d.keeper.Abroad() {
+	if errkind.Is(err, errkind.Overloaded) && q.Chat != nil && d.keeper.HasRemote() {
 		n.Choice, n.Reason = "abroad", err.Error()
 		leave, abroad, err = func() {}, true, nil
 	}
@@ -187,7 +187,7 @@
 	if !known {
 		return errkind.New(errkind.OutcomeUnknown, "the ticket is no longer remembered")
 	}
-	r, _, err := d.records.Enter(q.Ticket, q.digest())
+	r, _, err := d.records.GetOrCreate(q.Ticket, q.digest())
 	if err != nil {
 		return err
 	}
@@ -198,7 +198,7 @@
 func (d *Dispatcher) doKey(c context.Context, q Call, sink Sink) error {
 	k := ledger.NewKey(q.account(), q.Key)
 	name := string(k[:])
-	r, fresh, err := d.records.Enter(name, q.digest())
+	r, fresh, err := d.records.GetOrCreate(name, q.digest())
 	if err != nil {
 		return err
 	}
@@ -262,7 +262,7 @@
 	if _, known := d.records.Find(name); !known {
 		return nil, errkind.New(errkind.OutcomeUnknown, "the key or ticket is no longer remembered")
 	}
-	r, _, err := d.records.Enter(name, q.digest())
+	r, _, err := d.records.GetOrCreate(name, q.digest())
 	if err != nil {
 		return nil, err
 	}
@@ -271,10 +271,10 @@
 
 // runRecord runs a record's call if it has not run, and reads what it gave.
 func (d *Dispatcher) runRecord(c context.Context, r *once.Record[Result], q Call, sink Sink) error {
-	if r.Begin(d.TTL / 2) {
+	if r.TryBegin(d.TTL / 2) {
 		leave, abroad, err := d.enter(q)
 		if err != nil {
-			r.Settle(Result{Err: err}, false)
+			r.Finish(Result{Err: err}, false)
 			return err
 		}
 		d.group.Go(func() {
@@ -307,17 +307,17 @@
 func (d *Dispatcher) run(r *once.Record[Result], q Call, abroad bool) {
 	if q.Plain != nil {
 		a, err := d.proxy.Do(context.Background(), *q.Plain)
-		r.Settle(Result{Plain: a, Err: err}, didRun(err))
+		r.Finish(Result{Plain: a, Err: err}, didRun(err))
 		return
 	}
 	s := d.start(q, abroad)
-	r.Share(Result{Stream: s})
+	r.PublishResult(Result{Stream: s})
 	err := s.Wait(context.Background())
 	if err != nil && !didRun(err) {
-		r.Settle(Result{Err: err}, false)
+		r.Finish(Result{Err: err}, false)
 		return
 	}
-	r.Settle(Result{Stream: s}, true)
+	r.Finish(Result{Stream: s}, true)
 }
 
 // didRun reports whether a run may have happened.
--- a/dispatch/inherit.go
+++ b/dispatch/inherit.go
@@ -82,7 +82,7 @@
 
 // pack returns a record as it is given away, if it is still worth it.
 func pack(name string, r *once.Record[Result]) (bequest, bool) {
-	s, v, _ := r.Look()
+	s, v, _ := r.Snapshot()
 	b := bequest{Name: name, Nonce: r.Nonce, Digest: r.Digest, Age: r.Age(), Open: s == once.Open, Plain: v.Plain}
 	if b.Open {
 		return b, true
@@ -120,7 +120,7 @@
 		if b.Open {
 			s, v = once.Open, Result{}
 		}
-		d.records.Inherit(b.Name, once.Inherited(b.Nonce, b.Digest, b.Age, s, v))
+		d.records.TakeOver(b.Name, once.RestoreRecord(b.Nonce, b.Digest, b.Age, s, v))
 	}
 	return struct{}{}, nil
 }
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -32,7 +32,7 @@
 		rest = restRepeatable
 	}
 	e := ch.Endpoint
-	a := call.Attempt{Endpoint: e.ID, Account: r.q.AccountName(), Left: boottime.Until(r.q.Expires), LastEvent: r.last, Priority: r.priority(ch)}
+	a := call.Attempt{Endpoint: e.ID, Account: r.q.AccountName(), Timeout: boottime.Until(r.q.Expires), LastEventID: r.last, Priority: r.priority(ch)}
 	cl := r.q.Call
 	defer r.f.Meter.Begin(r.q.Service.Name, r.load(ch), boottime.Now())()
 	n := r.f.Book.Begin(e, ch, boottime.Now())
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -40,15 +40,15 @@
 
 func (codec) Head(c *call.Call, a call.Attempt) http.Header {
 	h := http.Header{"Id": {c.ID}}
-	if a.LastEvent != "" {
-		h.Set("Last-Event", a.LastEvent)
+	if a.LastEventID != "" {
+		h.Set("Last-Event", a.LastEventID)
 	}
 	return h
 }
 
 func (codec) Outcome(status int, h http.Header) call.Outcome {
-	o := call.Outcome{ID: h.Get("Id"), NotRun: h.Get("Not-Run") != "", Elsewhere: status == http.StatusMisdirectedRequest}
-	if o.Elsewhere {
+	o := call.Outcome{ID: h.Get("Id"), NotRun: h.Get("Not-Run") != "", WrongIncarnation: status == http.StatusMisdirectedRequest}
+	if o.WrongIncarnation {
 		return o
 	}
 	ms, _ := strconv.Atoi(h.Get("Rest"))
@@ -229,7 +229,7 @@
 	c := &call.Call{ID: strconv.Itoa(s.serial), Method: http.MethodPost, Host: "h", Target: "/x", Path: "/x", Body: []byte("body"), Arrived: boottime.Now()}
 	q := forward.Request{
 		Call: c, Route: &s.route, Service: &catalog.Service{Name: "s"}, Account: &catalog.Account{Name: "a"}, Expires: boottime.Now().Add(5 * time.Second),
-		Content: content.Of("a", c),
+		Content: content.HashOf("a", c),
 	}
 	if s.err = s.f.Check(q); s.err == nil {
 		_, s.err = s.f.Do(context.Background(), q, s.last)
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -122,7 +122,7 @@
 // answer. Another is of a kind of package errkind; if the sink has been given a
 // head by then, the answer must be broken off. The trace is for the log.
 func (f *Forwarder) Do(c context.Context, q Request, s Sink) (Trace, error) {
-	r := &run{f: f, q: q, sink: s, skip: map[string]bool{}, last: q.Call.LastEvent}
+	r := &run{f: f, q: q, sink: s, skip: map[string]bool{}, last: q.Call.LastEventID}
 	r.trace.Content = q.Content
 	f.Budget.CountRequest(q.Service.Name, boottime.Now())
 	c, cancel := context.WithTimeout(c, boottime.Until(q.Expires))
--- a/forward/run.go
+++ b/forward/run.go
@@ -73,7 +73,7 @@
 
 // ended is how an attempt ended.
 type ended struct {
-	breakage recovery.Break
+	breakage recovery.Interruption
 	err      error
 	done     bool // the sink has the whole answer
 	progress bool // it added events to the caller's stream
@@ -136,15 +136,15 @@
 	r.suspect(c, out, e)
 	metrics.GetOrRegisterCounter("attempts.broke."+out.name(), r.f.Metrics).Inc(1)
 	d := recovery.Decide(recovery.State{
-		Break: out.breakage, Repeatable: r.q.Route.Repeatable(), Tries: recovery.MaxTries,
-		Attempts: r.attempts() + (max(r.dials-maxDials+1, 0)+max(r.refusals-maxRefusals+1, 0))*recovery.MaxAttempts, Ran: r.ran,
-		Expired: r.expired(c), Limit: r.limit(),
-		Budget:  out.breakage == recovery.Unreachable || out.breakage == recovery.NeverSeen || r.f.Budget.Allowed(r.q.Service.Name, boottime.Now()),
-		Charged: true,
+		Interruption: out.breakage, Repeatable: r.q.Route.Repeatable(), Reattaches: recovery.MaxReattaches,
+		Attempts: r.attempts() + (max(r.dials-maxDials+1, 0)+max(r.refusals-maxRefusals+1, 0))*recovery.MaxAttempts, MayHaveRun: r.ran,
+		Expired: r.expired(c), MaxAttempts: r.limit(),
+		HasBudget:       out.breakage == recovery.Unreachable || out.breakage == recovery.NeverSeen || r.f.Budget.Allowed(r.q.Service.Name, boottime.Now()),
+		ChargesRefusals: true,
 	})
 	r.f.Log.Info().Str("event", "attempt broke").Str("request", r.q.Call.ID).Stringer("content", r.trace.Content).Str("endpoint", e.ID).Int("attempt", len(r.sent)).
 		Str("break", out.name()).Str("last_event", r.last).Bool("ran", r.ran).Err(out.err).Str("reason", d.Reason).Func(r.trace.said).Msg("decision")
-	if d.Step == recovery.Elsewhere {
+	if d.Step == recovery.Failover {
 		return false, nil
 	}
 	return r.fail(d.Kind, d.Reason+": "+errText(out.err))
--- a/forward/take.go
+++ b/forward/take.go
@@ -77,7 +77,7 @@
 		metrics.GetOrRegisterCounter("answers.says_rest", r.f.Metrics).Inc(1)
 		r.f.Log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.Born).Str("request", r.q.Call.ID).Dur("rest", o.Rest).Msg("rests")
 	}
-	if !o.Elsewhere {
+	if !o.WrongIncarnation {
 		r.hearRate(o.Statement, e)
 	}
 	if !o.Leaving {
--- a/front/front.go
+++ b/front/front.go
@@ -54,7 +54,7 @@
 	Log zerolog.Logger
 
 	dispatcher *dispatch.Dispatcher
-	keeper     *stream.Keeper
+	keeper     *stream.Service
 	proxy      *plain.Proxy
 	follower   *follower.Follower
 	server     *http.Server
--- a/gossip/before.go
+++ b/gossip/before.go
@@ -60,7 +60,7 @@
 		g.Expect(quota.Before{})
 		return
 	}
-	if s.read || late && (g.session.Lost() || g.Quota.Division().Version > 0 && !g.firstPlace()) {
+	if s.read || late && (g.session.StoreLost() || g.Quota.Division().Version > 0 && !g.firstPlace()) {
 		return
 	}
 	i, err := g.Store.Get(c, g.BeforeKey)
@@ -103,7 +103,7 @@
 	p := g.Before(others + 1)
 	refused := g.Quarantine.Refused(now)
 	sum := quarantine.Sum(refused)
-	if sum == s.refused && !s.counts(p, g.session.Silent() > stale, now) {
+	if sum == s.refused && !s.counts(p, g.session.StoreUnresponsiveFor() > stale, now) {
 		same := maps.Equal(p.Short, s.stands.Short) && now.Sub(s.wrote) < speedsEvery
 		if same || now.Sub(s.wrote) < writeEvery {
 			return
--- a/gossip/enlist.go
+++ b/gossip/enlist.go
@@ -64,7 +64,7 @@
 
 // apply takes the places from the store.
 func (g *Gossip) apply(items []store.Item, whole bool, _ uint64) {
-	unsettled := g.session.Unsettled(settle) > 0
+	unsettled := g.session.OutageGrace(settle) > 0
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	before := maps.Clone(g.seats)
@@ -92,7 +92,7 @@
 // dropLapsed gives up places that lapsed in an outage and that the boxes which had them
 // have not taken again.
 func (g *Gossip) dropLapsed() {
-	unsettled := g.session.Unsettled(settle) > 0
+	unsettled := g.session.OutageGrace(settle) > 0
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	maps.DeleteFunc(g.seats, func(_ string, s seat) bool {
@@ -172,10 +172,10 @@
 	}
 	g.vacant = false
 	g.apply(items, true, at)
-	if l == 0 || g.holds() || g.session.Unsettled(settle) > 0 || !g.mayTake() {
+	if l == 0 || g.holds() || g.session.OutageGrace(settle) > 0 || !g.mayTake() {
 		return
 	}
-	if l, err = g.session.Hold(c); err != nil {
+	if l, err = g.session.EnsureLease(c); err != nil {
 		return
 	}
 	for n := range relays {
@@ -213,7 +213,7 @@
 func (g *Gossip) keepPlace(c context.Context) {
 	l := g.session.Lease()
 	s, ok := g.formerPlace()
-	if l == 0 || !ok || g.session.Away() {
+	if l == 0 || !ok || g.session.StoreUnreachable() {
 		return
 	}
 	stands := store.Condition{Key: s.key, Revision: s.revision}
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -190,8 +190,8 @@
 	g.life, g.cancel = c, cancel
 	g.Quarantine.SendsTrials = g.tries
 	g.Quarantine.OnChange = func(s []quarantine.Suspect) { g.tellNews(news{Suspects: s}) }
-	g.watch = &mirror.Mirror{Store: g.Store, Prefix: g.Prefix, Wait: watchWait, Apply: g.apply, Log: g.log, Away: g.session.Away}
-	g.session.OnReturn(g.watch.Restart)
+	g.watch = &mirror.Mirror{Store: g.Store, Prefix: g.Prefix, Wait: watchWait, Apply: g.apply, Log: g.log, Away: g.session.StoreUnreachable}
+	g.session.OnReconnect(g.watch.Restart)
 	g.known.OnRecords(func(r known.Records) { g.pushRecords(c, r) })
 	g.known.OnRaw(func(raw []byte) {
 		g.limit() // accounts that are new are known from the first request on
@@ -290,7 +290,7 @@
 // nobody answers.
 func (g *Gossip) round(c context.Context) {
 	g.dropLapsed()
-	g.session.Fast(g.holds())
+	g.session.SetFast(g.holds())
 	if !g.holds() {
 		g.asMember(c)
 		return
--- a/gossip/member.go
+++ b/gossip/member.go
@@ -31,13 +31,13 @@
 			g.enlist(c)
 		}
 		return
-	case g.young() && !g.session.Away():
+	case g.young() && !g.session.StoreUnreachable():
 		g.enlist(c)
 	case g.reaches(c):
 		g.known.Follow(true)
 		g.enlist(c)
 	}
-	if !answered && g.session.Silent() > quiet {
+	if !answered && g.session.StoreUnresponsiveFor() > quiet {
 		g.ask(c, far)
 	}
 }
@@ -48,7 +48,7 @@
 func (g *Gossip) reaches(c context.Context) bool {
 	x, cancel := context.WithTimeout(c, callLimit)
 	defer cancel()
-	return g.session.Check(x)
+	return g.session.PingStore(x)
 }
 
 // tell tells the relay that counts this box. It reports whether it answers as one,
@@ -64,7 +64,7 @@
 		return false, false
 	}
 	g.heardWorld(w)
-	g.session.Told(w.Silent)
+	g.session.MergeReport(w.Silent)
 	g.vacant = g.vacant || w.Vacant && g.relay.dataCentre == g.DataCentre
 	g.catchUp(g.relay.address, w.Others.Version, w.Revision)
 	return true, w.Silent <= stale
--- a/gossip/places_test.go
+++ b/gossip/places_test.go
@@ -76,7 +76,7 @@
 	before := placesOf(t, m)
 	m.SetDown(true)
 	await(t, func() bool {
-		return count(bs, func(b *box) bool { return b.session.Silent() > session.TTL+time.Second }) == 9
+		return count(bs, func(b *box) bool { return b.session.StoreUnresponsiveFor() > session.TTL+time.Second }) == 9
 	})
 	m.SetDown(false)
 	require.Empty(t, placesOf(t, m))
--- a/gossip/relay.go
+++ b/gossip/relay.go
@@ -28,7 +28,7 @@
 	s.add(self)
 	s.Words = rollout.MergeProgress(nil, self.Words, 0)
 	s.Leaving = g.leaves()
-	s.Revision, s.Silent = g.known.Revision(), g.session.Silent()
+	s.Revision, s.Silent = g.known.Revision(), g.session.StoreUnresponsiveFor()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, h := range g.members {
@@ -97,7 +97,7 @@
 	if counted && !had {
 		g.log.Info().Str("event", "member").Str("other", in.Box).Uint64("version", in.Version).Msg("in touch")
 	}
-	w := World{Relay: relay, Vacant: relay && g.places() < relays, Revision: g.known.Revision(), Silent: g.session.Silent(), Now: g.Clock.Now()}
+	w := World{Relay: relay, Vacant: relay && g.places() < relays, Revision: g.known.Revision(), Silent: g.session.StoreUnresponsiveFor(), Now: g.Clock.Now()}
 	if relay {
 		g.answer(&w, in)
 	} else {
--- a/gossip/watchers.go
+++ b/gossip/watchers.go
@@ -9,7 +9,7 @@
 
 // watches reports whether this relay is one of those that watch the store for all.
 func (g *Gossip) watches() bool {
-	own := g.session.Silent() <= stale
+	own := g.session.StoreUnresponsiveFor() <= stale
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var hear []seat
--- a/gossip/watchers_test.go
+++ b/gossip/watchers_test.go
@@ -131,7 +131,7 @@
 	m.SetDown(true)
 	before := m.ranges.Load() + m.watches.Load()
 	await(t, func() bool {
-		return !slices.ContainsFunc(bs, func(b *box) bool { return b.session.Silent() < 3*time.Second })
+		return !slices.ContainsFunc(bs, func(b *box) bool { return b.session.StoreUnresponsiveFor() < 3*time.Second })
 	})
 	require.LessOrEqual(t, m.ranges.Load()+m.watches.Load()-before, int64(24))
 	m.SetDown(false)
--- a/ingress/serve.go
+++ b/ingress/serve.go
@@ -47,7 +47,7 @@
 		err = i.body(w, r, cl)
 	}
 	if err == nil {
-		q.Content = content.Of(q.AccountName(), cl)
+		q.Content = content.HashOf(q.AccountName(), cl)
 		err = i.forwarder.Check(q)
 	}
 	if err != nil {
@@ -92,7 +92,7 @@
 	if t == nil || !i.known.Ready() {
 		return q, errkind.New(errkind.NotReady, "no configuration yet").After(time.Second / 2)
 	}
-	stale := i.session.Silent() > staleAfter
+	stale := i.session.StoreUnresponsiveFor() > staleAfter
 	q.Route = t.Route(c.Host, c.Path)
 	if q.Route == nil {
 		return q, absent(errkind.UnknownService, stale, "no route for %s%s", c.Host, c.Path)
@@ -110,7 +110,7 @@
 	if limit <= 0 {
 		limit = defaultTimeout
 	}
-	q.Expires = c.Expires(limit)
+	q.Expires = c.Deadline(limit)
 	return q, nil
 }
 
@@ -193,7 +193,7 @@
 	switch {
 	case !q.Account.Tokens:
 		return 1
-	case q.Call.Counted:
+	case q.Call.HasTokenCounts:
 		return float64(q.Call.PromptTokens + q.Call.AnswerTokens)
 	default:
 		return float64(q.Account.PlainTokens)
--- a/known/known.go
+++ b/known/known.go
@@ -102,11 +102,11 @@
 		return err
 	}
 	k.mirrors = []*mirror.Mirror{
-		{Store: k.Store, Prefix: k.operatorPrefix(), Wait: watchWait, Apply: k.applyConfig, Log: k.log, Away: k.session.Away},
-		{Store: k.Store, Prefix: k.EndpointsPrefix, Wait: watchWait, Apply: k.applyEndpoints, Since: k.Revision, Log: k.log, Away: k.session.Away},
+		{Store: k.Store, Prefix: k.operatorPrefix(), Wait: watchWait, Apply: k.applyConfig, Log: k.log, Away: k.session.StoreUnreachable},
+		{Store: k.Store, Prefix: k.EndpointsPrefix, Wait: watchWait, Apply: k.applyEndpoints, Since: k.Revision, Log: k.log, Away: k.session.StoreUnreachable},
 	}
 	for _, m := range k.mirrors {
-		k.session.OnReturn(m.Restart)
+		k.session.OnReconnect(m.Restart)
 	}
 	k.life, k.end = context.WithCancel(context.Background())
 	k.Follow(!k.Told)
@@ -345,7 +345,7 @@
 		k.mu.Unlock()
 		return
 	}
-	if hold := k.session.Unsettled(lapse); hold > 0 && !e.Draining {
+	if hold := k.session.OutageGrace(lapse); hold > 0 && !e.Draining {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		if k.absent[id] == nil {
--- a/once/table.go
+++ b/once/table.go
@@ -27,18 +27,18 @@
 	Nonce  uint64
 	Digest uint64
 
-	mu      sync.Mutex
-	given   bool
-	state   State
-	result  R
-	made    time.Time
-	changed chan struct{}
+	mu        sync.Mutex
+	handedOff bool
+	state     State
+	result    R
+	createdAt time.Time
+	changed   chan struct{}
 }
 
 // Table holds the records of one process, by key or ticket.
 type Table[R any] struct {
-	Most int
-	TTL  time.Duration
+	MaxRecords int
+	TTL        time.Duration
 
 	mu      sync.Mutex
 	closed  bool
@@ -47,13 +47,13 @@
 
 // NewTable returns a table of at most so many records, each kept for ttl.
 func NewTable[R any](most int, ttl time.Duration) *Table[R] {
-	return &Table[R]{Most: most, TTL: ttl, records: map[string]*Record[R]{}}
+	return &Table[R]{MaxRecords: most, TTL: ttl, records: map[string]*Record[R]{}}
 }
 
-// Enter returns the record of a key, made now if there is none. A digest that
+// GetOrCreate returns the record of a key, made now if there is none. A digest that
 // differs from the record's is an error of kind KeyReused; a full table one of
 // kind Overloaded.
-func (t *Table[R]) Enter(key string, digest uint64) (r *Record[R], fresh bool, err error) {
+func (t *Table[R]) GetOrCreate(key string, digest uint64) (r *Record[R], fresh bool, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closed {
@@ -61,18 +61,18 @@
 	}
 	r, ok := t.records[key]
 	if ok {
-		return r, false, r.match(digest)
+		return r, false, r.bindDigest(digest)
 	}
-	if len(t.records) >= t.Most && t.expire(time.Now()) == 0 {
+	if len(t.records) >= t.MaxRecords && t.expire(time.Now()) == 0 {
 		return nil, false, errkind.New(errkind.Overloaded, "too many keys are remembered").After(time.Second)
 	}
-	r = &Record[R]{Nonce: rand.Uint64(), Digest: digest, made: time.Now(), changed: make(chan struct{})}
+	r = &Record[R]{Nonce: rand.Uint64(), Digest: digest, createdAt: time.Now(), changed: make(chan struct{})}
 	t.records[key] = r
 	return r, true, nil
 }
 
-// match binds a record without a digest to one, and refuses another.
-func (r *Record[R]) match(digest uint64) error {
+// bindDigest binds a record without a digest to one, and refuses another.
+func (r *Record[R]) bindDigest(digest uint64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.Digest == 0 {
@@ -92,15 +92,15 @@
 	t.closed = true
 	for _, r := range t.records {
 		r.mu.Lock()
-		r.given = true
+		r.handedOff = true
 		r.mu.Unlock()
 	}
 	return t.records
 }
 
-// Inherit enters a record that another process gave away, unless its key is
+// TakeOver enters a record that another process gave away, unless its key is
 // known here.
-func (t *Table[R]) Inherit(key string, r *Record[R]) {
+func (t *Table[R]) TakeOver(key string, r *Record[R]) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if _, known := t.records[key]; !known && !t.closed {
@@ -108,14 +108,14 @@
 	}
 }
 
-// Inherited returns a record as it was at another process: its age, its state,
+// RestoreRecord returns a record as it was at another process: its age, its state,
 // and its result.
-func Inherited[R any](nonce, digest uint64, age time.Duration, s State, result R) *Record[R] {
-	return &Record[R]{Nonce: nonce, Digest: digest, made: time.Now().Add(-age), state: s, result: result, changed: make(chan struct{})}
+func RestoreRecord[R any](nonce, digest uint64, age time.Duration, s State, result R) *Record[R] {
+	return &Record[R]{Nonce: nonce, Digest: digest, createdAt: time.Now().Add(-age), state: s, result: result, changed: make(chan struct{})}
 }
 
 // Age returns how long ago the record was made.
-func (r *Record[R]) Age() time.Duration { return time.Since(r.made) }
+func (r *Record[R]) Age() time.Duration { return time.Since(r.createdAt) }
 
 // Find returns the record of a key, if there is one.
 func (t *Table[R]) Find(key string) (*Record[R], bool) {
@@ -138,7 +138,7 @@
 	n := 0
 	for k, r := range t.records {
 		r.mu.Lock()
-		old := r.state != Running && now.Sub(r.made) > t.TTL
+		old := r.state != Running && now.Sub(r.createdAt) > t.TTL
 		r.mu.Unlock()
 		if old {
 			delete(t.records, k)
@@ -148,13 +148,13 @@
 	return n
 }
 
-// Begin reports whether the caller may run the request now. It does so at most
+// TryBegin reports whether the caller may run the request now. It does so at most
 // once, unless a run was taken back. After limit since the record was made it
 // does so no more, since the claim behind it may have ended.
-func (r *Record[R]) Begin(limit time.Duration) bool {
+func (r *Record[R]) TryBegin(limit time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.given || r.state != Open || time.Since(r.made) > limit {
+	if r.handedOff || r.state != Open || time.Since(r.createdAt) > limit {
 		return false
 	}
 	var none R
@@ -162,8 +162,8 @@
 	return true
 }
 
-// Settle ends a run with its result, or takes it back if it did not happen.
-func (r *Record[R]) Settle(result R, ran bool) {
+// Finish ends a run with its result, or takes it back if it did not happen.
+func (r *Record[R]) Finish(result R, ran bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.result = result
@@ -175,9 +175,9 @@
 	r.changed = make(chan struct{})
 }
 
-// Share makes the result of a run that is under way known, such as a stream
+// PublishResult makes the result of a run that is under way known, such as a stream
 // that others may read too.
-func (r *Record[R]) Share(result R) {
+func (r *Record[R]) PublishResult(result R) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.result = result
@@ -185,8 +185,8 @@
 	r.changed = make(chan struct{})
 }
 
-// Look returns the state and the result, and a channel that closes on change.
-func (r *Record[R]) Look() (State, R, <-chan struct{}) {
+// Snapshot returns the state and the result, and a channel that closes on change.
+func (r *Record[R]) Snapshot() (State, R, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state, r.result, r.changed
@@ -195,7 +195,7 @@
 // Wait returns the state and the result once they satisfy ok.
 func (r *Record[R]) Wait(c context.Context, ok func(State, R) bool) (State, R, error) {
 	for {
-		s, v, changed := r.Look()
+		s, v, changed := r.Snapshot()
 		if ok(s, v) {
 			return s, v, nil
 		}
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -77,7 +77,7 @@
 	members   *member.Service
 	view      *view.View
 	placer    *placer.Placer
-	keeper    *stream.Keeper
+	keeper    *stream.Service
 	front     *front.Front
 	decisions *decisions.Log
 	peers     *peer.Node
--- a/plain/proxy.go
+++ b/plain/proxy.go
@@ -133,7 +133,7 @@
 	defer cancel()
 	avoid := map[string]bool{}
 	h := q.content()
-	st := recovery.State{Repeatable: q.Repeatable, Tries: recovery.MaxTries}
+	st := recovery.State{Repeatable: q.Repeatable, Reattaches: recovery.MaxReattaches}
 	for st.Attempts = 1; ; st.Attempts++ {
 		s, err := p.wait(c, q, avoid, st)
 		if err != nil {
@@ -147,7 +147,7 @@
 			p.answered(h, a)
 			return a, nil
 		}
-		if b == recovery.Cut && c.Err() == nil {
+		if b == recovery.Disconnected && c.Err() == nil {
 			p.suspects.RecordFailure(c, h, s.Process(), s.Address)
 		}
 		if errkind.Is(err, errkind.AnswerTooLarge) {
@@ -162,7 +162,7 @@
 
 // content returns what a call asks for, whatever its ID is.
 func (q Request) content() content.Hash {
-	return content.Of(q.Account, &call.Call{Method: q.Method, Host: q.Service, Target: q.Path, Body: q.Body})
+	return content.HashOf(q.Account, &call.Call{Method: q.Method, Host: q.Service, Target: q.Path, Body: q.Body})
 }
 
 // answered notes a whole answer. A failure may come of a service that did not begin to run the
@@ -176,21 +176,21 @@
 // unrun returns the error of a call that goes to no further endpoint; only if none has run it may
 // that be said.
 func unrun(err error, st recovery.State) error {
-	if st.Ran {
+	if st.MayHaveRun {
 		return errkind.New(errkind.EngineFailed, "%w", err)
 	}
 	return err
 }
 
 // again returns nil if the call may go to another endpoint.
-func (p *Proxy) again(c context.Context, q Request, st *recovery.State, b recovery.Break, box string, cause error) error {
-	st.Break, st.Expired = b, c.Err() != nil
-	st.Ran = st.Ran || b != recovery.Unreachable && b != recovery.Refused
-	st.Budget = b == recovery.Unreachable || st.Attempts < maxAttempts && p.admission.Retry(q.Account)
+func (p *Proxy) again(c context.Context, q Request, st *recovery.State, b recovery.Interruption, box string, cause error) error {
+	st.Interruption, st.Expired = b, c.Err() != nil
+	st.MayHaveRun = st.MayHaveRun || b != recovery.Unreachable && b != recovery.Refused
+	st.HasBudget = b == recovery.Unreachable || st.Attempts < maxAttempts && p.admission.Retry(q.Account)
 	d := recovery.Decide(*st)
 	p.decisions.Note(decisions.Decision{Subject: q.ID, Event: "recover", Choice: box, Attempt: st.Attempts, Reason: d.Reason + ": " + cause.Error(), Workload: q.Service})
 	switch d.Step {
-	case recovery.Elsewhere:
+	case recovery.Failover:
 		return nil
 	case recovery.Stop:
 		// A plain service has no cancel, so nothing can be confirmed.
@@ -225,7 +225,7 @@
 // noneLeft is the error of a call for which no endpoint is left in time.
 func noneLeft(q Request, st recovery.State) *errkind.Error {
 	k := errkind.NoEndpoint
-	if st.Ran {
+	if st.MayHaveRun {
 		k = errkind.OutcomeUnknown
 	}
 	return errkind.New(k, "no endpoint of %s until the deadline", q.Service)
@@ -286,7 +286,7 @@
 }
 
 // attempt makes the call once and reads its whole answer.
-func (p *Proxy) attempt(c context.Context, q Request, s *view.Slot, n int) (*Response, recovery.Break, error) {
+func (p *Proxy) attempt(c context.Context, q Request, s *view.Slot, n int) (*Response, recovery.Interruption, error) {
 	s.Sent.Add(1)
 	defer s.Sent.Add(-1)
 	var wrote atomic.Bool
@@ -305,7 +305,7 @@
 	a, err := h.Do(r)
 	if err != nil {
 		if wrote.Load() {
-			return nil, recovery.Cut, fmt.Errorf("call %s: %w", s.Name, err)
+			return nil, recovery.Disconnected, fmt.Errorf("call %s: %w", s.Name, err)
 		}
 		return nil, recovery.Unreachable, fmt.Errorf("reach %s: %w", s.Name, err)
 	}
@@ -318,16 +318,16 @@
 }
 
 // whole reads an answer to its end: one that is cut is no answer.
-func whole(a *http.Response, box string) (*Response, recovery.Break, error) {
+func whole(a *http.Response, box string) (*Response, recovery.Interruption, error) {
 	b, err := io.ReadAll(io.LimitReader(a.Body, maxAnswer+1))
 	if err != nil {
-		return nil, recovery.Cut, fmt.Errorf("the answer of %s was cut: %w", box, err)
+		return nil, recovery.Disconnected, fmt.Errorf("the answer of %s was cut: %w", box, err)
 	}
 	if len(b) > maxAnswer {
-		return nil, recovery.Cut, errkind.New(errkind.AnswerTooLarge, "the answer of %s is over %d bytes", box, maxAnswer)
+		return nil, recovery.Disconnected, errkind.New(errkind.AnswerTooLarge, "the answer of %s is over %d bytes", box, maxAnswer)
 	}
 	if a.ContentLength >= 0 && int64(len(b)) != a.ContentLength && a.Request.Method != http.MethodHead {
-		return nil, recovery.Cut, errors.New("the answer of " + box + " is short")
+		return nil, recovery.Disconnected, errors.New("the answer of " + box + " is short")
 	}
 	return &Response{Status: a.StatusCode, Header: a.Header, Body: b, Box: box}, 0, nil
 }
--- a/reclaim/plan.go
+++ b/reclaim/plan.go
@@ -13,17 +13,17 @@
 type Stream struct {
 	ID              string
 	Workload        string
-	Computed        int
-	Left            int
+	ComputedTokens  int
+	RemainingTokens int
 	TokensPerSecond float64
-	Bytes           int64
+	CacheBytes      int64
 }
 
 // Destination is an endpoint with room for some streams.
 type Destination struct {
-	Box      string
-	Workload []string
-	Free     int
+	Box       string
+	Workloads []string
+	FreeSlots int
 }
 
 // Limits bound the moves. Margin is kept free before the box goes.
@@ -33,12 +33,12 @@
 	BytesPerSecond int64
 }
 
-// Act says what becomes of a stream.
-type Act int
+// Action says what becomes of a stream.
+type Action int
 
 // The acts.
 const (
-	Finish Act = iota
+	Finish Action = iota
 	Transfer
 	Replay
 )
@@ -46,11 +46,11 @@
 // Move is the decision for one stream. Recompute counts the tokens that are
 // computed again.
 type Move struct {
-	ID        string
-	Act       Act
-	To        string
-	Recompute int
-	Reason    string
+	ID              string
+	Action          Action
+	To              string
+	RecomputeTokens int
+	Reason          string
 }
 
 // Plan decides for every stream, in the order in which the moves are to begin:
@@ -61,53 +61,53 @@
 	var ms []Move
 	var move []Stream
 	for _, s := range ss {
-		if need(s) <= rest {
-			ms = append(ms, Move{ID: s.ID, Act: Finish, Reason: "ends within the notice"})
+		if timeToFinish(s) <= rest {
+			ms = append(ms, Move{ID: s.ID, Action: Finish, Reason: "ends within the notice"})
 			continue
 		}
 		move = append(move, s)
 	}
-	slices.SortStableFunc(move, byWorth)
+	slices.SortStableFunc(move, compareTransferPriority)
 	var spent time.Duration
 	for _, s := range move {
 		t := transferTime(s, l)
-		i := roomFor(free, s.Workload)
+		i := mostFree(free, s.Workload)
 		switch {
 		case i < 0:
-			ms = append(ms, Move{ID: s.ID, Act: Replay, Recompute: s.Computed, Reason: "no destination has room"})
+			ms = append(ms, Move{ID: s.ID, Action: Replay, RecomputeTokens: s.ComputedTokens, Reason: "no destination has room"})
 		case spent+t > rest:
-			free[i].Free--
-			ms = append(ms, Move{ID: s.ID, Act: Replay, To: free[i].Box, Recompute: s.Computed, Reason: "no time left for a transfer"})
+			free[i].FreeSlots--
+			ms = append(ms, Move{ID: s.ID, Action: Replay, To: free[i].Box, RecomputeTokens: s.ComputedTokens, Reason: "no time left for a transfer"})
 		default:
 			spent += t
-			free[i].Free--
-			ms = append(ms, Move{ID: s.ID, Act: Transfer, To: free[i].Box, Reason: "moves with its cache"})
+			free[i].FreeSlots--
+			ms = append(ms, Move{ID: s.ID, Action: Transfer, To: free[i].Box, Reason: "moves with its cache"})
 		}
 	}
 	return ms
 }
 
-// need is how long a stream still takes.
-func need(s Stream) time.Duration {
-	return time.Duration(float64(s.Left) / max(s.TokensPerSecond, 1) * float64(time.Second))
+// timeToFinish is how long a stream still takes.
+func timeToFinish(s Stream) time.Duration {
+	return time.Duration(float64(s.RemainingTokens) / max(s.TokensPerSecond, 1) * float64(time.Second))
 }
 
 func transferTime(s Stream, l Limits) time.Duration {
-	return time.Duration(float64(s.Bytes) / float64(max(l.BytesPerSecond, 1)) * float64(time.Second))
+	return time.Duration(float64(s.CacheBytes) / float64(max(l.BytesPerSecond, 1)) * float64(time.Second))
 }
 
-// byWorth orders streams by computed tokens per byte, then by computed tokens.
-func byWorth(a, b Stream) int {
-	x := float64(a.Computed) * float64(max(b.Bytes, 1))
-	y := float64(b.Computed) * float64(max(a.Bytes, 1))
-	return cmp.Or(cmp.Compare(y, x), cmp.Compare(b.Computed, a.Computed), cmp.Compare(a.ID, b.ID))
+// compareTransferPriority orders streams by computed tokens per byte, then by computed tokens.
+func compareTransferPriority(a, b Stream) int {
+	x := float64(a.ComputedTokens) * float64(max(b.CacheBytes, 1))
+	y := float64(b.ComputedTokens) * float64(max(a.CacheBytes, 1))
+	return cmp.Or(cmp.Compare(y, x), cmp.Compare(b.ComputedTokens, a.ComputedTokens), cmp.Compare(a.ID, b.ID))
 }
 
-// roomFor returns the destination with the most room for a workload, or -1.
-func roomFor(ds []Destination, workload string) int {
+// mostFree returns the destination with the most room for a workload, or -1.
+func mostFree(ds []Destination, workload string) int {
 	best := -1
 	for i, d := range ds {
-		if d.Free > 0 && slices.Contains(d.Workload, workload) && (best < 0 || d.Free > ds[best].Free) {
+		if d.FreeSlots > 0 && slices.Contains(d.Workloads, workload) && (best < 0 || d.FreeSlots > ds[best].FreeSlots) {
 			best = i
 		}
 	}
--- a/reclaim/plan_test.go
+++ b/reclaim/plan_test.go
@@ -13,10 +13,10 @@
 
 func ExamplePlan() {
 	ss := []reclaim.Stream{
-		{ID: "short", Workload: "m", Computed: 500, Left: 10, TokensPerSecond: 50, Bytes: 50 << 20},
-		{ID: "long", Workload: "m", Computed: 900, Left: 900, TokensPerSecond: 50, Bytes: 90 << 20},
+		{ID: "short", Workload: "m", ComputedTokens: 500, RemainingTokens: 10, TokensPerSecond: 50, CacheBytes: 50 << 20},
+		{ID: "long", Workload: "m", ComputedTokens: 900, RemainingTokens: 900, TokensPerSecond: 50, CacheBytes: 90 << 20},
 	}
-	ds := []reclaim.Destination{{Box: "other", Workload: []string{"m"}, Free: 1}}
+	ds := []reclaim.Destination{{Box: "other", Workloads: []string{"m"}, FreeSlots: 1}}
 	for _, m := range reclaim.Plan(ss, ds, reclaim.Limits{Notice: 10 * time.Second, Margin: time.Second, BytesPerSecond: 1 << 30}) {
 		fmt.Println(m.ID, m.To, m.Reason)
 	}
@@ -27,23 +27,23 @@
 
 // Every stream has one move; no destination gets more than its room; transfers
 // fit into the notice; only replays recompute.
-func TestPlanHoldsItsLimits(t *testing.T) {
+func TestPlanRespectsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(0, 60).Draw(t, "streams")
 		ss := make([]reclaim.Stream, 0, count)
 		for i := range count {
 			n := rapid.IntRange(1, 5000).Draw(t, "computed")
 			ss = append(ss, reclaim.Stream{
-				ID: fmt.Sprint(i), Workload: rapid.SampledFrom([]string{"m", "n"}).Draw(t, "workload"), Computed: n,
-				Left: rapid.IntRange(0, 2000).Draw(t, "left"), TokensPerSecond: 50, Bytes: int64(n) << 17,
+				ID: fmt.Sprint(i), Workload: rapid.SampledFrom([]string{"m", "n"}).Draw(t, "workload"), ComputedTokens: n,
+				RemainingTokens: rapid.IntRange(0, 2000).Draw(t, "left"), TokensPerSecond: 50, CacheBytes: int64(n) << 17,
 			})
 		}
 		room := map[string]int{}
 		places := rapid.IntRange(0, 5).Draw(t, "destinations")
 		ds := make([]reclaim.Destination, 0, places)
 		for i := range places {
-			d := reclaim.Destination{Box: fmt.Sprint("d", i), Workload: []string{"m"}, Free: rapid.IntRange(0, 8).Draw(t, "free")}
-			ds, room[d.Box] = append(ds, d), d.Free
+			d := reclaim.Destination{Box: fmt.Sprint("d", i), Workloads: []string{"m"}, FreeSlots: rapid.IntRange(0, 8).Draw(t, "free")}
+			ds, room[d.Box] = append(ds, d), d.FreeSlots
 		}
 		l := reclaim.Limits{Notice: time.Duration(rapid.IntRange(1, 60).Draw(t, "notice")) * time.Second, BytesPerSecond: 1 << 30}
 		l.Margin = l.Notice / 4
@@ -55,10 +55,10 @@
 				room[m.To]--
 				require.GreaterOrEqual(t, room[m.To], 0)
 			}
-			require.Equal(t, m.Act == reclaim.Replay, m.Recompute > 0)
+			require.Equal(t, m.Action == reclaim.Replay, m.RecomputeTokens > 0)
 			for _, s := range ss {
-				if s.ID == m.ID && m.Act == reclaim.Transfer {
-					bytes += s.Bytes
+				if s.ID == m.ID && m.Action == reclaim.Transfer {
+					bytes += s.CacheBytes
 				}
 			}
 		}
@@ -71,11 +71,11 @@
 		b.Run(fmt.Sprintf("streams=%d", n), func(b *testing.B) {
 			ss := make([]reclaim.Stream, n)
 			for i := range ss {
-				ss[i] = reclaim.Stream{ID: fmt.Sprint(i), Workload: "m", Computed: i * 10, Left: 500, TokensPerSecond: 50, Bytes: int64(i) << 20}
+				ss[i] = reclaim.Stream{ID: fmt.Sprint(i), Workload: "m", ComputedTokens: i * 10, RemainingTokens: 500, TokensPerSecond: 50, CacheBytes: int64(i) << 20}
 			}
 			ds := make([]reclaim.Destination, 111)
 			for i := range ds {
-				ds[i] = reclaim.Destination{Box: fmt.Sprint(i), Workload: []string{"m"}, Free: 8}
+				ds[i] = reclaim.Destination{Box: fmt.Sprint(i), Workloads: []string{"m"}, FreeSlots: 8}
 			}
 			for b.Loop() {
 				reclaim.Plan(ss, ds, reclaim.Limits{Notice: 30 * time.Second, BytesPerSecond: 1 << 30})
--- a/session/session.go
+++ b/session/session.go
@@ -26,16 +26,16 @@
 // it is noticed well within the 2 s in which a leaving endpoint must be known. A
 // store that is away is asked again after Retry.
 const (
-	TTL       = 4 * time.Second
-	Renew     = time.Second
-	RenewFast = 500 * time.Millisecond
-	Retry     = 300 * time.Millisecond
+	TTL               = 4 * time.Second
+	RenewInterval     = time.Second
+	FastRenewInterval = 500 * time.Millisecond
+	RetryDelay        = 300 * time.Millisecond
 )
 
-// toldFor is how long a box that was told by another that the store answers makes no call of its
+// reportValidity is how long a box that was told by another that the store answers makes no call of its
 // own: its lease runs out meanwhile, and is taken anew when it is needed. Most boxes need none, and
 // their renewals would be most of all calls to the store.
-const toldFor = 1500 * time.Millisecond
+const reportValidity = 1500 * time.Millisecond
 
 // Session is the service of one box.
 type Session struct {
@@ -46,14 +46,14 @@
 	cancel context.CancelFunc
 	group  sync.WaitGroup
 
-	mu       sync.Mutex
-	lease    store.Lease
-	renewed  time.Time
-	told     time.Time // when the store answered another box that this one hears
-	reached  bool
-	answered bool
-	returned time.Time // when the store could last be reached again
-	watchers []func()
+	mu            sync.Mutex
+	lease         store.Lease
+	renewedAt     time.Time
+	reportedAt    time.Time // when the store answered another box that this one hears
+	reachable     bool
+	everAnswered  bool
+	reconnectedAt time.Time // when the store could last be reached again
+	onReconnect   []func()
 }
 
 // New returns a session with a store.
@@ -86,15 +86,15 @@
 	return nil
 }
 
-// Fast says whether others rest on this box's word of the store.
-func (s *Session) Fast(on bool) { s.fast.Store(on) }
+// SetFast says whether others rest on this box's word of the store.
+func (s *Session) SetFast(on bool) { s.fast.Store(on) }
 
-// OnReturn sets what is called when the store can be reached again after it
+// OnReconnect sets what is called when the store can be reached again after it
 // could not be.
-func (s *Session) OnReturn(f func()) {
+func (s *Session) OnReconnect(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.watchers = append(s.watchers, f)
+	s.onReconnect = append(s.onReconnect, f)
 }
 
 // Lease returns the lease under which this box's own keys stand; zero for none.
@@ -104,23 +104,23 @@
 	return s.lease
 }
 
-// Told takes from another box for how long the store has not answered it.
-func (s *Session) Told(silent time.Duration) {
+// MergeReport takes from another box for how long the store has not answered it.
+func (s *Session) MergeReport(silent time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told = later(s.told, boottime.Now().Add(-silent))
+	s.reportedAt = later(s.reportedAt, boottime.Now().Add(-silent))
 }
 
-// Silent returns for how long the store has answered neither a renewal nor the box that
+// StoreUnresponsiveFor returns for how long the store has answered neither a renewal nor the box that
 // tells this one of it.
-func (s *Session) Silent() time.Duration {
+func (s *Session) StoreUnresponsiveFor() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return boottime.Since(s.heard())
+	return boottime.Since(s.lastAnswer())
 }
 
-// heard returns when the store last answered. The lock must be held.
-func (s *Session) heard() time.Time { return later(s.renewed, s.told) }
+// lastAnswer returns when the store last answered. The lock must be held.
+func (s *Session) lastAnswer() time.Time { return later(s.renewedAt, s.reportedAt) }
 
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
@@ -129,26 +129,26 @@
 	return b
 }
 
-// Lost reports whether the store has answered before and does not now.
-func (s *Session) Lost() bool {
+// StoreLost reports whether the store has answered before and does not now.
+func (s *Session) StoreLost() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.answered && !s.reached
+	return s.everAnswered && !s.reachable
 }
 
-// Away reports whether the store did not answer the last renewal, or has not answered
+// StoreUnreachable reports whether the store did not answer the last renewal, or has not answered
 // yet.
-func (s *Session) Away() bool {
+func (s *Session) StoreUnreachable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.reached
+	return !s.reachable
 }
 
-// Check reports whether the store answers this box now. It makes a call, so that a box to
+// PingStore reports whether the store answers this box now. It makes a call, so that a box to
 // which the store has just become silent does not count on it: members renew seldom.
-func (s *Session) Check(c context.Context) bool {
+func (s *Session) PingStore(c context.Context) bool {
 	s.mu.Lock()
-	l, reached := s.lease, s.reached
+	l, reached := s.lease, s.reachable
 	s.mu.Unlock()
 	if !reached || l == 0 {
 		return reached
@@ -157,111 +157,111 @@
 	if errors.Is(err, store.ErrNoLease) {
 		err = nil // it answers; the next renewal takes a lease anew
 	}
-	s.note(err)
+	s.recordResult(err)
 	return err == nil
 }
 
-// Hold returns a lease that stands, and takes one anew if that of before has run out.
-func (s *Session) Hold(c context.Context) (store.Lease, error) {
-	if err := s.step(c); err != nil {
+// EnsureLease returns a lease that stands, and takes one anew if that of before has run out.
+func (s *Session) EnsureLease(c context.Context) (store.Lease, error) {
+	if err := s.renewOrGrant(c); err != nil {
 		return 0, err
 	}
 	return s.Lease(), nil
 }
 
-// Unsettled returns for how long what vanished from the store may still be due to
+// OutageGrace returns for how long what vanished from the store may still be due to
 // an outage: within d of the store's return, and during an outage for all of d.
-func (s *Session) Unsettled(d time.Duration) time.Duration {
+func (s *Session) OutageGrace(d time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := boottime.Now()
-	if !s.reached || now.Sub(s.heard()) >= 2*Renew {
+	if !s.reachable || now.Sub(s.lastAnswer()) >= 2*RenewInterval {
 		return d
 	}
-	return max(d-now.Sub(s.returned), 0)
+	return max(d-now.Sub(s.reconnectedAt), 0)
 }
 
 func (s *Session) run(c context.Context) {
 	for c.Err() == nil {
-		err := s.step(c)
+		err := s.renewOrGrant(c)
 		if c.Err() != nil {
 			return
 		}
-		s.note(err)
+		s.recordResult(err)
 		if err != nil {
-			wait.For(c, Retry)
+			wait.For(c, RetryDelay)
 			continue
 		}
-		s.pause(c)
+		s.awaitRenewal(c)
 	}
 }
 
-// pause waits until the lease is to be renewed.
-func (s *Session) pause(c context.Context) {
+// awaitRenewal waits until the lease is to be renewed.
+func (s *Session) awaitRenewal(c context.Context) {
 	began := boottime.Now()
 	for c.Err() == nil {
-		wait.For(c, RenewFast)
-		if s.Away() || boottime.Since(began) >= s.every() {
+		wait.For(c, FastRenewInterval)
+		if s.StoreUnreachable() || boottime.Since(began) >= s.renewInterval() {
 			return
 		}
 	}
 }
 
-// every returns how often the lease is renewed now.
-func (s *Session) every() time.Duration {
+// renewInterval returns how often the lease is renewed now.
+func (s *Session) renewInterval() time.Duration {
 	s.mu.Lock()
-	told := boottime.Since(s.told) < toldFor
+	told := boottime.Since(s.reportedAt) < reportValidity
 	s.mu.Unlock()
 	switch {
 	case s.fast.Load():
-		return RenewFast
+		return FastRenewInterval
 	case told:
 		return math.MaxInt64
 	default:
-		return Renew
+		return RenewInterval
 	}
 }
 
-// step renews the lease, or takes one.
-func (s *Session) step(c context.Context) error {
+// renewOrGrant renews the lease, or takes one.
+func (s *Session) renewOrGrant(c context.Context) error {
 	l := s.Lease()
 	if l != 0 {
 		err := s.Store.Renew(c, l)
 		if !errors.Is(err, store.ErrNoLease) {
 			return err
 		}
-		s.set(0)
+		s.setLease(0)
 	}
 	l, _, err := s.Store.Grant(c, TTL)
 	if err != nil {
 		return err
 	}
-	s.set(l)
+	s.setLease(l)
 	return nil
 }
 
-func (s *Session) set(l store.Lease) {
+func (s *Session) setLease(l store.Lease) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lease = l
 }
 
-// note keeps whether the store answered, and tells of a change.
-func (s *Session) note(err error) {
+// recordResult keeps whether the store answered, and tells of a change.
+func (s *Session) recordResult(err error) {
 	s.mu.Lock()
-	was := s.reached
-	s.reached = err == nil
+	was := s.reachable
+	s.reachable = err == nil
 	if err == nil {
-		s.renewed = boottime.Now()
+		s.renewedAt = boottime.Now()
 	}
 	var call []func()
 	if err == nil && !was {
-		call = s.watchers
+		call = s.onReconnect
 		// The first answer ever is no return: nothing is known to have lapsed.
-		if s.answered {
-			s.returned = s.renewed
+		if s.everAnswered {
+			s.reconnectedAt = s.renewedAt
 		}
-		s.answered = true
+		s.everAnswered = true
 	}
 	s.mu.Unlock()
 	switch {
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -19,32 +19,32 @@
 
 // A box on whose word others rest notices a silent store soon, and does not take
 // one that answers for silent.
-func TestFast(t *testing.T) {
+func TestFastRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
 		s := session.New(m, zerolog.Nop())
-		s.Fast(true)
+		s.SetFast(true)
 		require.NoError(t, s.Start(t.Context(), nil))
 		wait.For(t.Context(), time.Second)
 		for range 100 {
 			wait.For(t.Context(), 37*time.Millisecond)
-			require.LessOrEqual(t, s.Silent(), session.RenewFast)
+			require.LessOrEqual(t, s.StoreUnresponsiveFor(), session.FastRenewInterval)
 		}
 		m.SetDown(true)
 		wait.For(t.Context(), 1200*time.Millisecond)
-		require.Greater(t, s.Silent(), 1100*time.Millisecond)
+		require.Greater(t, s.StoreUnresponsiveFor(), 1100*time.Millisecond)
 		m.SetDown(false)
 		require.NoError(t, s.Stop(context.Background()))
 	})
 }
 
 // A lease that ended is replaced, and the store's return is told once.
-func TestLeaseEnds(t *testing.T) {
+func TestExpiredLeaseIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
 		s := session.New(m, zerolog.Nop())
 		returns := 0
-		s.OnReturn(func() { returns++ })
+		s.OnReconnect(func() { returns++ })
 		require.NoError(t, s.Start(t.Context(), nil))
 		wait.For(t.Context(), time.Second)
 		first := s.Lease()
@@ -52,7 +52,7 @@
 		m.SetDown(true)
 		wait.For(t.Context(), 2*session.TTL)
 		m.SetDown(false)
-		wait.For(t.Context(), 3*session.Renew)
+		wait.For(t.Context(), 3*session.RenewInterval)
 		require.NotZero(t, s.Lease())
 		require.NotEqual(t, first, s.Lease())
 		require.Equal(t, 2, returns)
@@ -60,13 +60,13 @@
 	})
 }
 
-// counted counts renewals.
-type counted struct {
+// countingStore counts renewals.
+type countingStore struct {
 	*memstore.Memory
 	renewals atomic.Int64
 }
 
-func (c *counted) Renew(x context.Context, l store.Lease) error {
+func (c *countingStore) Renew(x context.Context, l store.Lease) error {
 	c.renewals.Add(1)
 	return c.Memory.Renew(x, l)
 }
@@ -74,18 +74,18 @@
 // A box that is told that the store answers makes no calls, knows no less of the store,
 // and renews as before once it is told nothing more: it has a lease that stands then, and when it
 // asks for one.
-func TestTold(t *testing.T) {
+func TestReportsReplaceRenewals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &counted{Memory: &memstore.Memory{}}
+		m := &countingStore{Memory: &memstore.Memory{}}
 		s := session.New(m, zerolog.Nop())
 		require.NoError(t, s.Start(t.Context(), nil))
 		for range 60 {
-			s.Told(100 * time.Millisecond)
+			s.MergeReport(100 * time.Millisecond)
 			wait.For(t.Context(), 500*time.Millisecond)
-			require.LessOrEqual(t, s.Silent(), session.Renew)
+			require.LessOrEqual(t, s.StoreUnresponsiveFor(), session.RenewInterval)
 		}
 		require.Zero(t, m.renewals.Load())
-		l, err := s.Hold(t.Context())
+		l, err := s.EnsureLease(t.Context())
 		require.NoError(t, err)
 		require.NoError(t, m.Memory.Renew(t.Context(), l))
 		before := m.renewals.Load()
@@ -98,7 +98,7 @@
 }
 
 // What another box knew of the store while it was away is no sign of its return.
-func TestToldOfAnOutage(t *testing.T) {
+func TestStaleReportsDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
 		s := session.New(m, zerolog.Nop())
@@ -107,11 +107,11 @@
 		m.SetDown(true)
 		began := time.Now()
 		for range 10 {
-			s.Told(time.Since(began) + 100*time.Millisecond)
+			s.MergeReport(time.Since(began) + 100*time.Millisecond)
 			wait.For(t.Context(), 500*time.Millisecond)
 		}
-		require.Greater(t, s.Silent(), 4*time.Second)
-		require.True(t, s.Lost())
+		require.Greater(t, s.StoreUnresponsiveFor(), 4*time.Second)
+		require.True(t, s.StoreLost())
 		m.SetDown(false)
 		require.NoError(t, s.Stop(context.Background()))
 	})
@@ -119,43 +119,43 @@
 
 // A box that renews seldom, as another tells it of the store, finds out by a check that
 // the store is silent, and that it answers again.
-func TestCheck(t *testing.T) {
+func TestPingStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
 		s := session.New(m, zerolog.Nop())
 		require.NoError(t, s.Start(t.Context(), nil))
 		wait.For(t.Context(), 100*time.Millisecond)
-		s.Told(0)
+		s.MergeReport(0)
 		wait.For(t.Context(), time.Second)
-		require.True(t, s.Check(t.Context()))
-		s.Told(0)
+		require.True(t, s.PingStore(t.Context()))
+		s.MergeReport(0)
 		m.SetDown(true)
 		wait.For(t.Context(), 600*time.Millisecond)
-		require.False(t, s.Away())
-		require.False(t, s.Check(t.Context()))
-		require.True(t, s.Away())
+		require.False(t, s.StoreUnreachable())
+		require.False(t, s.PingStore(t.Context()))
+		require.True(t, s.StoreUnreachable())
 		m.SetDown(false)
-		wait.For(t.Context(), session.RenewFast+session.Retry)
-		require.True(t, s.Check(t.Context()))
+		wait.For(t.Context(), session.FastRenewInterval+session.RetryDelay)
+		require.True(t, s.PingStore(t.Context()))
 		require.NoError(t, s.Stop(context.Background()))
 	})
 }
 
 // A box that wakes from a suspension does not take what it heard before for fresh, and has a
 // lease again soon.
-func TestSuspended(t *testing.T) {
+func TestWakeFromSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
 		s := session.New(m, zerolog.Nop())
 		require.NoError(t, s.Start(t.Context(), nil))
 		wait.For(t.Context(), 1200*time.Millisecond) // between two renewals
 		l := s.Lease()
-		s.Told(0)
+		s.MergeReport(0)
 		boottime.Skip(5 * time.Second)
 		m.EndLease(l)
-		require.GreaterOrEqual(t, s.Silent(), 5*time.Second)
-		wait.For(t.Context(), session.RenewFast)
-		require.Less(t, s.Silent(), session.RenewFast+time.Millisecond)
+		require.GreaterOrEqual(t, s.StoreUnresponsiveFor(), 5*time.Second)
+		wait.For(t.Context(), session.FastRenewInterval)
+		require.Less(t, s.StoreUnresponsiveFor(), session.FastRenewInterval+time.Millisecond)
 		require.NotEqual(t, l, s.Lease())
 		require.NoError(t, s.Stop(context.Background()))
 	})
--- a/sse/reader.go
+++ b/sse/reader.go
@@ -10,11 +10,11 @@
 	"strings"
 )
 
-// maxEvent bounds one event in bytes; events hold a few tokens.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one event in bytes; events hold a few tokens.
+const maxEventBytes = 1 << 20
 
-// ErrCut says that a stream ended inside an event.
-var ErrCut = errors.New("the stream ended inside an event")
+// ErrTruncated says that a stream ended inside an event.
+var ErrTruncated = errors.New("the stream ended inside an event")
 
 // Event is one event as it came, with the empty line that ends it. ID is empty
 // where the event has none.
@@ -39,12 +39,12 @@
 		e.Raw = append(e.Raw, line...)
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
 			if errors.Is(err, io.EOF) && len(e.Raw) > 0 {
-				return Event{}, ErrCut
+				return Event{}, ErrTruncated
 			}
 			return Event{}, err
 		}
-		if len(e.Raw) > maxEvent {
-			return Event{}, fmt.Errorf("an event is over %d bytes", maxEvent)
+		if len(e.Raw) > maxEventBytes {
+			return Event{}, fmt.Errorf("an event is over %d bytes", maxEventBytes)
 		}
 		if err != nil {
 			continue
--- a/sse/reader_test.go
+++ b/sse/reader_test.go
@@ -28,15 +28,15 @@
 	// EOF
 }
 
-func TestCutInsideAnEvent(t *testing.T) {
+func TestTruncatedEvent(t *testing.T) {
 	r := sse.NewReader(strings.NewReader("id: 1\ndata: a\n\nid: 2\nda"))
 	_, err := r.Next()
 	require.NoError(t, err)
 	_, err = r.Next()
-	require.ErrorIs(t, err, sse.ErrCut)
+	require.ErrorIs(t, err, sse.ErrTruncated)
 }
 
-func TestLongLinesAndReturns(t *testing.T) {
+func TestLongLinesAndCRLF(t *testing.T) {
 	long := strings.Repeat("x", 20000)
 	r := sse.NewReader(strings.NewReader("x-versions: 3\r\nid: 7\r\ndata: " + long + "\r\n\r\n"))
 	e, err := r.Next()
@@ -47,7 +47,7 @@
 	require.True(t, errors.Is(err, io.EOF))
 }
 
-func TestEndless(t *testing.T) {
+func TestOversizedEvent(t *testing.T) {
 	r := sse.NewReader(strings.NewReader(strings.Repeat("data: x\n", 1<<18)))
 	_, err := r.Next()
 	require.ErrorContains(t, err, "over")
--- a/stream/choose.go
+++ b/stream/choose.go
@@ -19,14 +19,14 @@
 	"birchlink.dev/birchlink/view"
 )
 
-// maxFigures bounds the candidates that a log line names.
-const maxFigures = 4
+// maxLoggedCandidates bounds the candidates that a log line names.
+const maxLoggedCandidates = 4
 
 // The bounds of a request for which there is no room here: so many boxes of
 // other data centres are asked, and then its caller is told to come back.
 const (
-	maxAbroad   = 2
-	abroadRetry = 2 * time.Second
+	maxRemoteAttempts = 2
+	remoteRetryAfter  = 2 * time.Second
 )
 
 // candidate is an endpoint that may run a workload, and how well it meets the
@@ -36,23 +36,23 @@
 	preference float64
 }
 
-// index remembers which endpoints may run each workload, as one snapshot and
+// endpointIndex remembers which endpoints may run each workload, as one snapshot and
 // one document have it: selectors are read once for both, not for each request.
-type index struct {
+type endpointIndex struct {
 	snapshot *view.Snapshot
 	document *config.Document
 	dc       string
 
-	mu sync.Mutex
-	by map[string][]candidate
+	mu         sync.Mutex
+	byWorkload map[string][]candidate
 }
 
-// of returns the endpoints that may run a workload: live, loaded, allowed and
+// eligible returns the endpoints that may run a workload: live, loaded, allowed and
 // in this data centre.
-func (x *index) of(workload string) []candidate {
+func (x *endpointIndex) eligible(workload string) []candidate {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	cs, known := x.by[workload]
+	cs, known := x.byWorkload[workload]
 	if known {
 		return cs
 	}
@@ -64,20 +64,20 @@
 			cs = append(cs, candidate{s, x.document.Preference(workload, s.Box)})
 		}
 	}
-	if x.by == nil {
-		x.by = make(map[string][]candidate)
+	if x.byWorkload == nil {
+		x.byWorkload = make(map[string][]candidate)
 	}
-	x.by[workload] = cs
+	x.byWorkload[workload] = cs
 	return cs
 }
 
-// indexOf returns the index of the present snapshot and document.
-func (k *Keeper) indexOf(d *config.Document) *index {
+// currentIndex returns the index of the present snapshot and document.
+func (k *Service) currentIndex(d *config.Document) *endpointIndex {
 	n := k.view.Snapshot()
-	x := k.index.Load()
+	x := k.endpointIndex.Load()
 	if x == nil || x.snapshot != n || x.document != d {
-		x = &index{snapshot: n, document: d, dc: k.dc}
-		k.index.Store(x)
+		x = &endpointIndex{snapshot: n, document: d, dc: k.dc}
+		k.endpointIndex.Store(x)
 	}
 	return x
 }
@@ -113,36 +113,36 @@
 	if d == nil {
 		return errkind.New(errkind.NotReady, "no configuration yet")
 	}
-	if r.s.abroad && !r.ran {
+	if r.s.remoteOnly && !r.mayHaveRun {
 		return r.overflow()
 	}
-	if err := r.k.suspects.Check(r.content); err != nil {
+	if err := r.k.suspects.Check(r.contentHash); err != nil {
 		return err
 	}
-	r.k.fresh.Ensure(c)
+	r.k.viewObserver.Ensure(c)
 	b := r.k.buffers.Get().(*candidates)
 	defer r.k.buffers.Put(b)
 	prefix := engine.Prefix(r.s.Workload, r.s.Prompt)
 	held, _ := r.k.prefixes.Get(prefix)
-	cs := r.k.indexOf(d).of(r.s.Workload)
+	cs := r.k.currentIndex(d).eligible(r.s.Workload)
 	b.gather(cs, held, r.avoid, &r.k.view.Rests)
 	q := router.Query{
 		Prefix: prefix, PromptTokens: engine.PromptTokens(r.s.Prompt), AnswerTokens: r.s.MaxTokens - r.splice.Next,
 		Urgent: r.s.Kind.Urgent(), Deadline: time.Until(r.s.Deadline),
 	}
 	ch := r.pick(b, q)
-	r.k.noteRoute(r, b, ch)
+	r.k.logRoute(r, b, ch)
 	if ch.Index < 0 {
-		return r.restsOver(cs, r.overflow())
+		return r.withRetryAfter(cs, r.overflow())
 	}
 	s := b.slots[ch.Index]
-	r.aim(target{box: s.Name, incarnation: s.Incarnation, address: s.Address, slot: s})
+	r.setTarget(target{box: s.Name, incarnation: s.Incarnation, address: s.Address, slot: s})
 	return nil
 }
 
-// restsOver tells who is refused for want of an endpoint when the first one's rest is over, if
+// withRetryAfter tells who is refused for want of an endpoint when the first one's rest is over, if
 // all that there are have asked for one.
-func (r *run) restsOver(cs []candidate, err error) error {
+func (r *run) withRetryAfter(cs []candidate, err error) error {
 	var e *errkind.Error
 	if !errors.As(err, &e) || e.Kind != errkind.NoEndpoint {
 		return err
@@ -153,8 +153,8 @@
 
 // pick takes the endpoint that a reclaim plan named, or asks the policy.
 func (r *run) pick(b *candidates, q router.Query) router.Choice {
-	p := r.prefer
-	r.prefer = ""
+	p := r.preferredBox
+	r.preferredBox = ""
 	for i := range b.targets {
 		if b.targets[i].Box == p {
 			return router.Choice{Index: i, Reason: "the reclaim plan's destination"}
@@ -172,25 +172,25 @@
 			ms = append(ms, m)
 		}
 	}
-	if r.s.abroad && (len(ms) == 0 || r.attempt >= maxAbroad) {
-		return errkind.New(errkind.Overloaded, "no room for kind %s, here or in %d other boxes that were asked", r.s.Kind, r.attempt).After(abroadRetry)
+	if r.s.remoteOnly && (len(ms) == 0 || r.attempt >= maxRemoteAttempts) {
+		return errkind.New(errkind.Overloaded, "no room for kind %s, here or in %d other boxes that were asked", r.s.Kind, r.attempt).After(remoteRetryAfter)
 	}
 	if len(ms) == 0 || r.s.relayed {
 		return errkind.New(errkind.NoEndpoint, "no endpoint is live, allowed and loaded with %s", r.s.Workload)
 	}
 	m := ms[rand.IntN(len(ms))]
-	r.aim(target{box: m.Box, incarnation: m.Incarnation, address: m.Address})
-	r.note("overflow", "nothing here, data centre "+m.DataCentre+" is asked")
+	r.setTarget(target{box: m.Box, incarnation: m.Incarnation, address: m.Address})
+	r.logDecision("overflow", "nothing here, data centre "+m.DataCentre+" is asked")
 	return nil
 }
 
-func (k *Keeper) noteRoute(r *run, b *candidates, ch router.Choice) {
+func (k *Service) logRoute(r *run, b *candidates, ch router.Choice) {
 	d := decisions.Decision{Subject: r.s.ID, Event: "route", Reason: ch.Reason, Attempt: r.attempt + 1, Workload: r.s.Workload}
 	for i := range b.targets {
 		if i == ch.Index {
 			d.Choice = b.targets[i].Box
 		}
-		if i == ch.Index || len(d.Figures) < maxFigures {
+		if i == ch.Index || len(d.Figures) < maxLoggedCandidates {
 			t := b.targets[i]
 			d.Figures = append(d.Figures, decisions.Figure{Box: t.Box, Score: float64(t.Busy) / float64(max(t.Slots, 1))})
 		}
@@ -198,9 +198,9 @@
 	k.decisions.Note(d)
 }
 
-// destinations are the endpoints that can take streams from a box that leaves,
+// destinationEndpoints are the endpoints that can take streams from a box that leaves,
 // with this box's part of their free slots.
-func (k *Keeper) destinations() map[string]fleet.Endpoint {
+func (k *Service) destinationEndpoints() map[string]fleet.Endpoint {
 	m := map[string]fleet.Endpoint{}
 	for _, s := range k.view.Slots() {
 		if s.DataCentre == k.dc && s.Usable() && s.Role == fleet.EngineRole {
--- a/stream/choose_test.go
+++ b/stream/choose_test.go
@@ -18,8 +18,8 @@
 	"birchlink.dev/birchlink/view"
 )
 
-// document has ten models, each with a selector that asks and prefers.
-func document(tb testing.TB) *config.Document {
+// parseDocument has ten models, each with a selector that asks and prefers.
+func parseDocument(tb testing.TB) *config.Document {
 	var b strings.Builder
 	for i := range 10 {
 		fmt.Fprintf(&b, "[model \"m%d\"]\nversions = 1, 2\n[selector \"s%d\"]\nworkloads = m%d*\nrequire = class=new|old\nprefer = generation=g2, supply=reclaimable\n", i, i, i)
@@ -29,7 +29,7 @@
 	return d
 }
 
-func slots(n int) []*view.Slot {
+func makeSlots(n int) []*view.Slot {
 	ss := make([]*view.Slot, n)
 	for i := range ss {
 		e := fleet.Endpoint{
@@ -46,7 +46,7 @@
 func TestGather(t *testing.T) {
 	d, ms := config.Parse(1, []byte("[model \"m\"]\nversions = 1\n[selector \"s\"]\nworkloads = m*\nrequire = class=new\n"))
 	require.Empty(t, ms)
-	ss := slots(7)
+	ss := makeSlots(7)
 	for i := range ss {
 		ss[i].Loaded = []string{"m@1"}
 	}
@@ -56,13 +56,13 @@
 	ss[4].DataCentre = "b"
 	ss[6].Incarnation = ""
 	var c candidates
-	x := &index{snapshot: &view.Snapshot{Slots: ss}, document: d, dc: "a"}
+	x := &endpointIndex{snapshot: &view.Snapshot{Slots: ss}, document: d, dc: "a"}
 	var rests rest.BackOffs
-	c.gather(x.of("m@1"), "", map[string]bool{"box-5": true}, &rests)
+	c.gather(x.eligible("m@1"), "", map[string]bool{"box-5": true}, &rests)
 	require.Len(t, c.targets, 1)
 	require.Equal(t, "box-0", c.targets[0].Box)
 	rests.Extend(ss[0].Process(), time.Minute, boottime.Now())
-	c.gather(x.of("m@1"), "", nil, &rests)
+	c.gather(x.eligible("m@1"), "", nil, &rests)
 	require.Len(t, c.targets, 1)
 	require.Equal(t, "box-5", c.targets[0].Box)
 }
@@ -70,15 +70,15 @@
 // BenchmarkRoute is the whole routing decision but for its log line: gathering
 // the candidates and choosing one.
 func BenchmarkRoute(b *testing.B) {
-	d := document(b)
+	d := parseDocument(b)
 	for _, n := range []int{9, 37, 111, 333} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
-			x := &index{snapshot: &view.Snapshot{Slots: slots(n)}, document: d, dc: "a"}
+			x := &endpointIndex{snapshot: &view.Snapshot{Slots: makeSlots(n)}, document: d, dc: "a"}
 			var c candidates
 			p := router.Affinity{LoadBound: 1.25, RecomputeWeight: 0.2}
 			b.ReportAllocs()
 			for b.Loop() {
-				c.gather(x.of("m1@2"), "", nil, &rest.BackOffs{})
+				c.gather(x.eligible("m1@2"), "", nil, &rest.BackOffs{})
 				p.Pick(c.targets, router.Query{Prefix: 7, PromptTokens: 500, AnswerTokens: 128})
 			}
 		})
--- a/stream/keeper.go
+++ b/stream/keeper.go
@@ -35,38 +35,38 @@
 
 // The times and bounds of the keeper.
 const (
-	sweepEvery     = time.Second
-	abandonedAfter = 15 * time.Second
-	heldFor        = 2 * time.Minute
-	prefixesKept   = 8192
-	replanEvery    = time.Second
-	transferRate   = 1 << 30
-	marginPart     = 4
+	sweepInterval          = time.Second
+	abandonTimeout         = 15 * time.Second
+	finishedRetention      = 2 * time.Minute
+	maxPrefixes            = 8192
+	replanInterval         = time.Second
+	transferBytesPerSecond = 1 << 30
+	marginDivisor          = 4
 )
 
-// Keeper is the service of one box.
-type Keeper struct {
-	PolicyName string
-	MaxHeld    int
-	Log        zerolog.Logger
+// Service is the service of one box.
+type Service struct {
+	PolicyName  string
+	MaxFinished int
+	Log         zerolog.Logger
 
-	dc        string
-	view      *view.View
-	members   *member.Service
-	peers     *peer.Node
-	decisions *decisions.Log
-	follower  *follower.Follower
-	admission *admission.Admission
-	fresh     *observer.Observer
-	suspects  *suspects.Service
-	engines   *engine.Client
-	prefixes  *lru.Cache[uint64, string]
-	buffers   sync.Pool
-	chosen    atomic.Value
-	index     atomic.Pointer[index]
+	dc            string
+	view          *view.View
+	members       *member.Service
+	peers         *peer.Node
+	decisions     *decisions.Log
+	follower      *follower.Follower
+	admission     *admission.Admission
+	viewObserver  *observer.Observer
+	suspects      *suspects.Service
+	engines       *engine.Client
+	prefixes      *lru.Cache[uint64, string]
+	buffers       sync.Pool
+	currentPolicy atomic.Value
+	endpointIndex atomic.Pointer[endpointIndex]
 
 	recomputed  metrics.Counter
-	moved       metrics.Counter
+	replayed    metrics.Counter
 	transferred metrics.Counter
 
 	mu       sync.Mutex
@@ -77,19 +77,19 @@
 	group    sync.WaitGroup
 }
 
-// holder keeps a policy in an atomic value, whatever its type.
-type holder struct{ router.Policy }
+// policyHolder keeps a policy in an atomic value, whatever its type.
+type policyHolder struct{ router.Policy }
 
 // New returns the keeper of a box. Finished answers are held up to a number.
-func New(policy string, held int, m metrics.Registry, log zerolog.Logger) *Keeper {
-	p, err := lru.New[uint64, string](prefixesKept)
+func New(policy string, held int, m metrics.Registry, log zerolog.Logger) *Service {
+	p, err := lru.New[uint64, string](maxPrefixes)
 	if err != nil {
 		panic(err) // the size is a constant above zero
 	}
-	k := &Keeper{
-		PolicyName: policy, MaxHeld: held, Log: log, prefixes: p, streams: map[string]*Stream{},
+	k := &Service{
+		PolicyName: policy, MaxFinished: held, Log: log, prefixes: p, streams: map[string]*Stream{},
 		recomputed:  metrics.GetOrRegisterCounter("stream.recomputed_tokens", m),
-		moved:       metrics.GetOrRegisterCounter("stream.replayed", m),
+		replayed:    metrics.GetOrRegisterCounter("stream.replayed", m),
 		transferred: metrics.GetOrRegisterCounter("stream.transferred", m),
 	}
 	k.buffers.New = func() any { return new(candidates) }
@@ -97,10 +97,10 @@
 }
 
 // Name returns the service's name.
-func (k *Keeper) Name() string { return Name }
+func (k *Service) Name() string { return Name }
 
 // Start finds the services that the streams need.
-func (k *Keeper) Start(_ context.Context, n *kernel.Kernel) error {
+func (k *Service) Start(_ context.Context, n *kernel.Kernel) error {
 	if err := errors.Join(
 		kernel.Bind(n, view.Name, &k.view),
 		kernel.Bind(n, member.Name, &k.members),
@@ -108,7 +108,7 @@
 		kernel.Bind(n, decisions.Name, &k.decisions),
 		kernel.Bind(n, follower.Name, &k.follower),
 		kernel.Bind(n, admission.Name, &k.admission),
-		kernel.Bind(n, observer.Name, &k.fresh),
+		kernel.Bind(n, observer.Name, &k.viewObserver),
 		kernel.Bind(n, suspects.Name, &k.suspects),
 	); err != nil {
 		return err
@@ -117,56 +117,56 @@
 	k.engines = engine.NewClient(k.members.Self().Box)
 	k.base, k.cancel = context.WithCancel(context.Background())
 	k.follower.OnChange(k.configure)
-	k.view.OnLeaving(func(box string, d time.Time) { k.group.Go(func() { k.clear(box, d) }) })
-	k.handlePeers()
-	k.group.Go(k.sweepAll)
+	k.view.OnLeaving(func(box string, d time.Time) { k.group.Go(func() { k.evacuate(box, d) }) })
+	k.registerHandlers()
+	k.group.Go(k.sweepLoop)
 	return nil
 }
 
 // Stop ends whatever still runs. A planned stop drains the keeper before.
-func (k *Keeper) Stop(context.Context) error {
+func (k *Service) Stop(context.Context) error {
 	k.cancel()
 	k.group.Wait()
 	k.engines.Close()
 	return nil
 }
 
-func (k *Keeper) configure(d *config.Document) {
+func (k *Service) configure(d *config.Document) {
 	p, err := router.New(k.PolicyName, d.Targets.LoadBound, d.Targets.RecomputeWeight)
 	if err != nil {
 		k.Log.Error().Err(err).Msg("routing policy kept")
 		return
 	}
-	k.chosen.Store(holder{p})
+	k.currentPolicy.Store(policyHolder{p})
 }
 
-func (k *Keeper) policy() router.Policy { return k.chosen.Load().(holder).Policy }
+func (k *Service) policy() router.Policy { return k.currentPolicy.Load().(policyHolder).Policy }
 
-func (k *Keeper) retry(account string) bool { return k.admission.Retry(account) }
+func (k *Service) allowRetry(account string) bool { return k.admission.Retry(account) }
 
 // Run starts the stream of an accepted request.
-func (k *Keeper) Run(q Request) *Stream {
+func (k *Service) Run(q Request) *Stream {
 	s := newStream(q)
-	k.launch(s, func(c context.Context) { newRun(k, s).begin(c) })
+	k.launch(s, func(c context.Context) { newRun(k, s).start(c) })
 	return s
 }
 
-// RunAbroad starts the stream of a request for which this data centre has no
+// RunRemote starts the stream of a request for which this data centre has no
 // room: another one takes it, or it is refused.
-func (k *Keeper) RunAbroad(q Request) *Stream {
+func (k *Service) RunRemote(q Request) *Stream {
 	s := newStream(q)
-	s.abroad = true
-	k.launch(s, func(c context.Context) { newRun(k, s).begin(c) })
+	s.remoteOnly = true
+	k.launch(s, func(c context.Context) { newRun(k, s).start(c) })
 	return s
 }
 
-// Abroad reports whether there are other data centres to ask.
-func (k *Keeper) Abroad() bool {
+// HasRemote reports whether there are other data centres to ask.
+func (k *Service) HasRemote() bool {
 	return slices.ContainsFunc(k.members.Up(""), func(m member.Member) bool { return m.DataCentre != k.dc })
 }
 
 // launch enters a stream and runs it until its deadline.
-func (k *Keeper) launch(s *Stream, f func(context.Context)) {
+func (k *Service) launch(s *Stream, f func(context.Context)) {
 	c, cancel := context.WithDeadline(k.base, s.Deadline)
 	s.cancel = cancel
 	k.mu.Lock()
@@ -179,7 +179,7 @@
 }
 
 // Find returns a stream that this box has or held a little ago.
-func (k *Keeper) Find(id string) (*Stream, error) {
+func (k *Service) Find(id string) (*Stream, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s, ok := k.streams[id]
@@ -189,8 +189,8 @@
 	return s, nil
 }
 
-// count notes own work at an endpoint and returns how to end it.
-func (k *Keeper) count(t target) func() {
+// trackSent notes own work at an endpoint and returns how to end it.
+func (k *Service) trackSent(t target) func() {
 	if t.slot == nil {
 		return func() {}
 	}
@@ -198,14 +198,14 @@
 	return func() { t.slot.Sent.Add(-1) }
 }
 
-// gone reports whether a box was taken.
-func (k *Keeper) gone(box string) bool {
+// isGone reports whether a box was taken.
+func (k *Service) isGone(box string) bool {
 	s := k.view.Slot(box)
 	return s == nil || s.State == fleet.Gone || s.State == fleet.Leaving && time.Now().After(s.Deadline)
 }
 
 // live returns the streams that have not ended.
-func (k *Keeper) live() []*Stream {
+func (k *Service) live() []*Stream {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var ss []*Stream
@@ -218,10 +218,10 @@
 }
 
 // Live returns how many streams have not ended.
-func (k *Keeper) Live() int { return len(k.live()) }
+func (k *Service) Live() int { return len(k.live()) }
 
-func (k *Keeper) sweepAll() {
-	t := time.NewTicker(sweepEvery)
+func (k *Service) sweepLoop() {
+	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -234,41 +234,41 @@
 }
 
 // sweep cancels what nobody reads any more and forgets old answers.
-func (k *Keeper) sweep(now time.Time) {
+func (k *Service) sweep(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var ended []*Stream
 	for id, s := range k.streams {
 		s.mu.Lock()
-		done, at := s.done, s.ended
+		done, at := s.done, s.endedAt
 		s.mu.Unlock()
 		switch {
-		case done && now.Sub(at) > heldFor:
+		case done && now.Sub(at) > finishedRetention:
 			delete(k.streams, id)
 		case done:
 			ended = append(ended, s)
-		case s.abandoned(now) > abandonedAfter && s.Repeatable:
+		case s.unreadFor(now) > abandonTimeout && s.Repeatable:
 			s.cancel()
 		}
 	}
-	if over := len(ended) - k.MaxHeld; over > 0 {
-		slices.SortFunc(ended, func(a, b *Stream) int { return a.ended.Compare(b.ended) })
+	if over := len(ended) - k.MaxFinished; over > 0 {
+		slices.SortFunc(ended, func(a, b *Stream) int { return a.endedAt.Compare(b.endedAt) })
 		for _, s := range ended[:over] {
 			delete(k.streams, s.ID)
 		}
 	}
 }
 
-// clear takes the streams off a box that leaves, and looks again until it is
+// evacuate takes the streams off a box that leaves, and looks again until it is
 // gone.
-func (k *Keeper) clear(box string, deadline time.Time) {
+func (k *Service) evacuate(box string, deadline time.Time) {
 	for k.base.Err() == nil && time.Now().Before(deadline) {
-		k.clearOnce(box, time.Until(deadline))
-		wait.For(k.base, replanEvery)
+		k.evacuateOnce(box, time.Until(deadline))
+		wait.For(k.base, replanInterval)
 	}
 }
 
-func (k *Keeper) clearOnce(box string, notice time.Duration) {
+func (k *Service) evacuateOnce(box string, notice time.Duration) {
 	var ss []reclaim.Stream
 	by := map[string]*Stream{}
 	rate := 1.0
@@ -277,33 +277,33 @@
 	}
 	for _, s := range k.live() {
 		if s.Stats().Box == box {
-			ss = append(ss, planned(s, rate))
+			ss = append(ss, reclaimInput(s, rate))
 			by[s.ID] = s
 		}
 	}
 	if len(ss) == 0 {
 		return
 	}
-	l := reclaim.Limits{Notice: notice, Margin: notice / marginPart, BytesPerSecond: transferRate}
-	for _, m := range reclaim.Plan(ss, k.rooms(), l) {
+	l := reclaim.Limits{Notice: notice, Margin: notice / marginDivisor, BytesPerSecond: transferBytesPerSecond}
+	for _, m := range reclaim.Plan(ss, k.freeDestinations(), l) {
 		k.decisions.Note(decisions.Decision{Subject: m.ID, Event: "reclaim", Choice: m.To, Reason: m.Reason, Workload: by[m.ID].Workload})
-		if m.Act == reclaim.Finish {
+		if m.Action == reclaim.Finish {
 			continue
 		}
 		select {
-		case by[m.ID].signals <- signal{box: box, move: m}:
+		case by[m.ID].moveRequests <- moveRequest{box: box, move: m}:
 		default: // told already
 		}
 	}
 }
 
-// rooms is this box's part of the free slots of the other endpoints.
-func (k *Keeper) rooms() []reclaim.Destination {
+// freeDestinations is this box's part of the free slots of the other endpoints.
+func (k *Service) freeDestinations() []reclaim.Destination {
 	n := max(len(k.members.Names()), 1)
 	var ds []reclaim.Destination
-	for _, e := range k.destinations() {
+	for _, e := range k.destinationEndpoints() {
 		if free := (e.Slots - e.Running - e.Waiting + n - 1) / n; free > 0 {
-			ds = append(ds, reclaim.Destination{Box: e.Name, Workload: e.Loaded, Free: free})
+			ds = append(ds, reclaim.Destination{Box: e.Name, Workloads: e.Loaded, FreeSlots: free})
 		}
 	}
 	slices.SortFunc(ds, func(a, b reclaim.Destination) int { return compare(a.Box, b.Box) })
--- a/stream/leave.go
+++ b/stream/leave.go
@@ -11,90 +11,90 @@
 	"birchlink.dev/birchlink/view"
 )
 
-// leave takes the stream away from its endpoint as the reclaim plan says, or
+// moveAway takes the stream away from its endpoint as the reclaim plan says, or
 // from this box.
-func (r *run) leave(c context.Context) (end, recovery.Break) {
-	if r.signal.peer.Address != "" {
-		return r.handOver(c, r.signal.peer)
+func (r *run) moveAway(c context.Context) (outcome, recovery.Interruption) {
+	if r.pending.peer.Address != "" {
+		return r.handOver(c, r.pending.peer)
 	}
-	m := r.signal.move
-	r.note("move", m.Reason)
-	if m.Act == reclaim.Transfer {
+	m := r.pending.move
+	r.logDecision("move", m.Reason)
+	if m.Action == reclaim.Transfer {
 		if e, b, ok := r.transfer(c, m.To); ok {
 			return e, b
 		}
-		r.note("move", "the transfer failed, the rest is computed again")
+		r.logDecision("move", "the transfer failed, the rest is computed again")
 	}
-	e, b := r.stopWithin(c)
-	if e != broken || b != recovery.Halted && b != recovery.NeverSeen {
+	e, b := r.stopWithTimeout(c)
+	if e != interrupted || b != recovery.Halted && b != recovery.NeverSeen {
 		return e, b
 	}
-	r.prefer = m.To
-	r.k.moved.Inc(1)
-	return r.elsewhere(c, b)
+	r.preferredBox = m.To
+	r.k.replayed.Inc(1)
+	return r.failOver(c, b)
 }
 
-// stopWithin stops the attempt, but not for longer than it takes to see that
+// stopWithTimeout stops the attempt, but not for longer than it takes to see that
 // the endpoint does not answer.
-func (r *run) stopWithin(c context.Context) (end, recovery.Break) {
-	x, cancel := context.WithTimeout(c, settleIn)
+func (r *run) stopWithTimeout(c context.Context) (outcome, recovery.Interruption) {
+	x, cancel := context.WithTimeout(c, settleTimeout)
 	defer cancel()
-	e, b := r.stop(x)
-	if e == moving {
-		return broken, recovery.Stalled
+	e, b := r.stopAttempt(x)
+	if e == moveRequested {
+		return interrupted, recovery.Stalled
 	}
 	return e, b
 }
 
-// maxLandings is how many endpoints are tried for an exported cache.
-const maxLandings = 3
+// maxImportTargets is how many endpoints are tried for an exported cache.
+const maxImportTargets = 3
 
 // transfer moves the KV cache to another endpoint and goes on there. It reports
 // false if nothing was exported; otherwise the attempt here has stopped.
-func (r *run) transfer(c context.Context, to string) (end, recovery.Break, bool) {
+func (r *run) transfer(c context.Context, to string) (outcome, recovery.Interruption, bool) {
 	if r.target.slot == nil {
-		return broken, 0, false
+		return interrupted, 0, false
 	}
-	x, cancel := context.WithTimeout(c, settleIn)
+	x, cancel := context.WithTimeout(c, settleTimeout)
 	defer cancel()
 	f, err := r.k.engines.Export(x, r.target.address, r.s.attempt(r.attempt, r.target.incarnation, 0))
 	if err != nil {
-		return broken, 0, false
+		return interrupted, 0, false
 	}
-	e, b := r.rest(x)
-	if e != broken || b != recovery.Halted && b != recovery.NeverSeen {
-		return e, b, e == whole
+	e, b := r.readRemaining(x)
+	if e != interrupted || b != recovery.Halted && b != recovery.NeverSeen {
+		return e, b, e == answerComplete
 	}
-	e, b = r.land(c, f, to)
+	e, b = r.importAndResume(c, f, to)
 	return e, b, true
 }
 
-// land goes on at the first endpoint that takes the exported cache and the
+// importAndResume goes on at the first endpoint that takes the exported cache and the
 // attempt: what this box knows of the planned one may be old.
-func (r *run) land(c context.Context, f engine.Export, to string) (end, recovery.Break) {
-	for _, d := range r.landings(to) {
-		x, cancel := context.WithTimeout(c, settleIn)
+func (r *run) importAndResume(c context.Context, f engine.Export, to string) (outcome, recovery.Interruption) {
+	for _, d := range r.importTargets(to) {
+		x, cancel := context.WithTimeout(c, settleTimeout)
 		err := r.k.engines.Import(x, d.Address, f)
 		cancel()
 		if err != nil {
-			r.note("move", d.Name+" did not import: "+err.Error())
+			r.logDecision("move", d.Name+" did not import: "+err.Error())
 			continue
 		}
-		r.kv = f.Handle
-		r.aim(target{box: d.Name, incarnation: d.Incarnation, address: d.Address, slot: d})
+		r.kvHandle = f.Handle
+		r.setTarget(target{box: d.Name, incarnation: d.Incarnation, address: d.Address, slot: d})
 		e, b := r.generate(c)
-		if e != broken || b != recovery.Refused && b != recovery.Unreachable {
+		if e != interrupted || b != recovery.Refused && b != recovery.Unreachable {
 			r.k.transferred.Inc(1)
 			return e, b
 		}
-		r.note("move", "refused the attempt")
+		r.logDecision("move", "refused the attempt")
 	}
 	// No endpoint runs the stream now, and the last that did confirmed its stop.
-	return broken, recovery.Halted
+	return interrupted, recovery.Halted
 }
 
-// landings are the planned destination and others that may do as well.
-func (r *run) landings(to string) []*view.Slot {
+// importTargets are the planned destination and others that may do as well.
+func (r *run) importTargets(to string) []*view.Slot {
 	d := r.k.follower.Current()
 	var ss []*view.Slot
 	for _, s := range r.k.view.Slots() {
@@ -105,36 +105,36 @@
 		ss = append(ss, s)
 	}
 	slices.SortStableFunc(ss, func(a, b *view.Slot) int {
-		return cmp.Or(first(a, to)-first(b, to), cmp.Compare(a.Busy(), b.Busy()))
+		return cmp.Or(plannedFirst(a, to)-plannedFirst(b, to), cmp.Compare(a.Busy(), b.Busy()))
 	})
-	return ss[:min(len(ss), maxLandings)]
+	return ss[:min(len(ss), maxImportTargets)]
 }
 
-// first orders the endpoint on a box before the others.
-func first(s *view.Slot, box string) int {
+// plannedFirst orders the endpoint on a box before the others.
+func plannedFirst(s *view.Slot, box string) int {
 	if s.Name == box {
 		return 0
 	}
 	return 1
 }
 
-// aim makes an endpoint the target of the next attempt.
-func (r *run) aim(t target) {
+// setTarget makes an endpoint the target of the next attempt.
+func (r *run) setTarget(t target) {
 	r.target = t
 	if t.slot != nil {
-		r.place = engineAt{client: r.k.engines, address: t.address}
+		r.executor = engineExecutor{client: r.k.engines, address: t.address}
 		return
 	}
-	r.place = peerAt{client: r.k.peers.Client, address: t.address, stream: r.s}
+	r.executor = peerExecutor{client: r.k.peers.Client, address: t.address, stream: r.s}
 }
 
-// planned is a stream as the reclaim plan sees it.
-func planned(s *Stream, rate float64) reclaim.Stream {
+// reclaimInput is a stream as the reclaim plan sees it.
+func reclaimInput(s *Stream, rate float64) reclaim.Stream {
 	n := s.Len()
 	computed := engine.PromptTokens(s.Prompt) + n
 	return reclaim.Stream{
-		ID: s.ID, Workload: s.Workload, Computed: computed, Left: s.MaxTokens - n,
-		TokensPerSecond: rate, Bytes: int64(computed) * kvBytesPerToken,
+		ID: s.ID, Workload: s.Workload, ComputedTokens: computed, RemainingTokens: s.MaxTokens - n,
+		TokensPerSecond: rate, CacheBytes: int64(computed) * kvBytesPerToken,
 	}
 }
 
--- a/stream/relay.go
+++ b/stream/relay.go
@@ -25,9 +25,9 @@
 
 func compare(a, b string) int { return cmp.Compare(a, b) }
 
-// relayCall asks a peer in another data centre to go on with a request after
+// relayRequest asks a peer in another data centre to go on with a request after
 // some tokens, or with Resume to read on what it has.
-type relayCall struct {
+type relayRequest struct {
 	Request Request
 	Tokens  []string
 	Attempt int
@@ -35,8 +35,8 @@
 	Resume  bool
 }
 
-// handover is a stream that a peer goes on with, from the same attempt.
-type handover struct {
+// handoverRequest is a stream that a peer goes on with, from the same attempt.
+type handoverRequest struct {
 	Request     Request
 	Tokens      []string
 	Attempt     int
@@ -46,8 +46,8 @@
 	Address     string
 }
 
-// readCall asks for the tokens of a stream from an index on.
-type readCall struct {
+// readRequest asks for the tokens of a stream from an index on.
+type readRequest struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
 	ID      string
@@ -55,18 +55,18 @@
 	From    int
 }
 
-// item is one token of a stream on its way to a peer.
-type item struct {
+// indexedToken is one token of a stream on its way to a peer.
+type indexedToken struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Index int
 	Token string
 }
 
-func (k *Keeper) handlePeers() {
+func (k *Service) registerHandlers() {
 	s := k.peers.Server
-	s.Handle("stream.relay", k.answerRelay)
-	s.Handle("stream.read", k.answerRead)
+	s.Handle("stream.relay", k.serveRelay)
+	s.Handle("stream.read", k.serveRead)
 	peer.Handle(s, "stream.adopt", k.adopt)
 	peer.Handle(s, "stream.has", func(_ context.Context, id string) (bool, error) {
 		_, err := k.Find(id)
@@ -74,20 +74,20 @@
 	})
 }
 
-// answerRelay runs or reads a request for another data centre.
-func (k *Keeper) answerRelay(c context.Context, body []byte, send func(any) error) (any, error) {
-	var q relayCall
+// serveRelay runs or reads a request for another data centre.
+func (k *Service) serveRelay(c context.Context, body []byte, send func(any) error) (any, error) {
+	var q relayRequest
 	if err := msgpack.Unmarshal(body, &q); err != nil {
 		return nil, errkind.New(errkind.BadRequest, "decode relay: %w", err)
 	}
-	s, err := k.relayed(q)
+	s, err := k.startRelayed(q)
 	if err != nil {
 		return nil, err
 	}
-	return nil, s.Read(c, q.From, func(i int, t string) error { return send(item{Index: i, Token: t}) })
+	return nil, s.Read(c, q.From, func(i int, t string) error { return send(indexedToken{Index: i, Token: t}) })
 }
 
-func (k *Keeper) relayed(q relayCall) (*Stream, error) {
+func (k *Service) startRelayed(q relayRequest) (*Stream, error) {
 	id := relayID(q.Request.ID, q.Attempt)
 	if q.Resume {
 		return k.Find(id)
@@ -102,7 +102,7 @@
 		defer leave()
 		r := newRun(k, s)
 		r.attempt = q.Attempt * attemptsPerRelay
-		r.begin(c)
+		r.start(c)
 	})
 	return s, nil
 }
@@ -110,20 +110,20 @@
 // relayID names a request at the peer that carries it for another data centre.
 func relayID(id string, attempt int) string { return fmt.Sprintf("%s.%d", id, attempt) }
 
-func (k *Keeper) answerRead(c context.Context, body []byte, send func(any) error) (any, error) {
-	var q readCall
+func (k *Service) serveRead(c context.Context, body []byte, send func(any) error) (any, error) {
+	var q readRequest
 	if err := msgpack.Unmarshal(body, &q); err != nil {
 		return nil, errkind.New(errkind.BadRequest, "decode read: %w", err)
 	}
-	s, err := k.of(q.ID, q.Account)
+	s, err := k.findOwned(q.ID, q.Account)
 	if err != nil {
 		return nil, err
 	}
-	return nil, s.Read(c, q.From, func(i int, t string) error { return send(item{Index: i, Token: t}) })
+	return nil, s.Read(c, q.From, func(i int, t string) error { return send(indexedToken{Index: i, Token: t}) })
 }
 
-// of returns a stream if it is the account's.
-func (k *Keeper) of(id, account string) (*Stream, error) {
+// findOwned returns a stream if it is the account's.
+func (k *Service) findOwned(id, account string) (*Stream, error) {
 	s, err := k.Find(id)
 	if err == nil && s.Account != account {
 		return nil, errkind.New(errkind.UnknownRequest, "no request %s here", id)
@@ -133,8 +133,8 @@
 
 // ReadAnywhere reads an account's request from an index on, wherever in the
 // data centre, or else in another, it is.
-func (k *Keeper) ReadAnywhere(c context.Context, id, account string, from int, each func(int, string) error) error {
-	if s, err := k.of(id, account); err == nil && !handedOn(s) {
+func (k *Service) ReadAnywhere(c context.Context, id, account string, from int, each func(int, string) error) error {
+	if s, err := k.findOwned(id, account); err == nil && !isHandedOver(s) {
 		return s.Read(c, from, each)
 	}
 	for _, m := range k.members.Up("") {
@@ -142,8 +142,8 @@
 		if m.Box == k.members.Self().Box || k.peers.Client.Call(c, m.Address, "stream.has", id, &has) != nil || !has {
 			continue
 		}
-		return k.peers.Client.Stream(c, m.Address, "stream.read", readCall{ID: id, Account: account, From: from}, nil, func(b []byte) error {
-			var i item
+		return k.peers.Client.Stream(c, m.Address, "stream.read", readRequest{ID: id, Account: account, From: from}, nil, func(b []byte) error {
+			var i indexedToken
 			if err := msgpack.Unmarshal(b, &i); err != nil {
 				return fmt.Errorf("decode token: %w", err)
 			}
@@ -153,15 +153,15 @@
 	return errkind.New(errkind.UnknownRequest, "no box that can be reached has request %s", id)
 }
 
-func handedOn(s *Stream) bool {
-	_, done, _, err := s.view(0)
+func isHandedOver(s *Stream) bool {
+	_, done, _, err := s.snapshot(0)
 	var m *MovedError
 	return done && errors.As(err, &m)
 }
 
 // HandOver gives every live stream to peers of the data centre, and returns how
 // many it told to go.
-func (k *Keeper) HandOver() int {
+func (k *Service) HandOver() int {
 	var ms []member.Member
 	for _, m := range k.members.Up(k.dc) {
 		if m.Box != k.members.Self().Box && m.State == member.Alive {
@@ -174,7 +174,7 @@
 	ss := k.live()
 	for i, s := range ss {
 		select {
-		case s.signals <- signal{peer: ms[i%len(ms)]}:
+		case s.moveRequests <- moveRequest{peer: ms[i%len(ms)]}:
 		default:
 		}
 	}
@@ -183,32 +183,32 @@
 
 // handOver gives this stream to a peer. If it is not certain that the peer did
 // not take it, this box only reads on and starts nothing more.
-func (r *run) handOver(c context.Context, to member.Member) (end, recovery.Break) {
+func (r *run) handOver(c context.Context, to member.Member) (outcome, recovery.Interruption) {
 	if r.target.slot == nil {
 		return r.reattach(c)
 	}
-	ts, _, _, _ := r.s.view(0)
-	h := handover{
-		Request: r.s.Request, Tokens: ts, Attempt: r.attempt, Ran: r.ran,
+	ts, _, _, _ := r.s.snapshot(0)
+	h := handoverRequest{
+		Request: r.s.Request, Tokens: ts, Attempt: r.attempt, Ran: r.mayHaveRun,
 		Box: r.target.box, Incarnation: r.target.incarnation, Address: r.target.address,
 	}
-	x, cancel := context.WithTimeout(c, settleIn)
+	x, cancel := context.WithTimeout(c, settleTimeout)
 	defer cancel()
 	err := r.k.peers.Client.Call(x, to.Address, "stream.adopt", h, nil)
 	if err == nil {
-		r.note("hand over", "this box stops, "+to.Box+" goes on")
+		r.logDecision("hand over", "this box stops, "+to.Box+" goes on")
 		r.s.finish(&MovedError{To: to.Box})
-		return handed, 0
+		return runDone, 0
 	}
 	if k := errkind.Of(err).Kind; k == errkind.Unavailable || k == errkind.DeadlinePassed || k == errkind.Internal {
-		r.shared = true
+		r.maybeAdopted = true
 	}
-	r.note("hand over", "not taken: "+err.Error())
+	r.logDecision("hand over", "not taken: "+err.Error())
 	return r.reattach(c)
 }
 
 // adopt goes on with a stream of a peer that stops.
-func (k *Keeper) adopt(_ context.Context, h handover) (struct{}, error) {
+func (k *Service) adopt(_ context.Context, h handoverRequest) (struct{}, error) {
 	if k.base.Err() != nil || k.draining.Load() {
 		return struct{}{}, errkind.New(errkind.Stopping, "this box stops too")
 	}
@@ -220,10 +220,10 @@
 	s.tokens = h.Tokens
 	k.launch(s, func(c context.Context) {
 		r := newRun(k, s)
-		r.attempt, r.ran = h.Attempt, h.Ran
+		r.attempt, r.mayHaveRun = h.Attempt, h.Ran
 		r.splice.Begin(h.Attempt)
-		r.aim(target{box: h.Box, incarnation: h.Incarnation, address: h.Address, slot: slot})
-		s.set(func() { s.stats.Attempts, s.stats.Box = h.Attempt, h.Box })
+		r.setTarget(target{box: h.Box, incarnation: h.Incarnation, address: h.Address, slot: slot})
+		s.update(func() { s.stats.Attempts, s.stats.Box = h.Attempt, h.Box })
 		e, b := r.reattach(c)
 		r.drive(c, e, b)
 	})
@@ -231,58 +231,58 @@
 }
 
 // Drain makes the keeper refuse streams of others that stop.
-func (k *Keeper) Drain() { k.draining.Store(true) }
+func (k *Service) Drain() { k.draining.Store(true) }
 
-// peerAt is the place of an entry box in another data centre.
-type peerAt struct {
+// peerExecutor is the place of an entry box in another data centre.
+type peerExecutor struct {
 	client  *peer.Client
 	address string
 	stream  *Stream
 }
 
 // Generate has the peer run the request from the next token on.
-func (p peerAt) Generate(c context.Context, q engine.Request) (lines, error) {
-	ts, _, _, _ := p.stream.view(0)
-	return p.open(c, relayCall{Request: p.stream.Request, Tokens: ts[:q.From], Attempt: q.Attempt, From: q.From})
+func (p peerExecutor) Generate(c context.Context, q engine.Request) (lineStream, error) {
+	ts, _, _, _ := p.stream.snapshot(0)
+	return p.open(c, relayRequest{Request: p.stream.Request, Tokens: ts[:q.From], Attempt: q.Attempt, From: q.From})
 }
 
 // Resume reads on what the peer has.
-func (p peerAt) Resume(c context.Context, a engine.Attempt) (lines, error) {
-	return p.open(c, relayCall{Request: p.stream.Request, Attempt: a.Attempt, From: a.From, Resume: true})
+func (p peerExecutor) Resume(c context.Context, a engine.Attempt) (lineStream, error) {
+	return p.open(c, relayRequest{Request: p.stream.Request, Attempt: a.Attempt, From: a.From, Resume: true})
 }
 
 // Cancel is not confirmed by peers: they stop a stream that nobody reads.
-func (p peerAt) Cancel(context.Context, engine.Attempt) (engine.Cancelled, error) {
+func (p peerExecutor) Cancel(context.Context, engine.Attempt) (engine.Cancelled, error) {
 	return engine.Cancelled{}, errkind.New(errkind.Unavailable, "a peer does not confirm a cancel")
 }
 
-// peerLines are the lines of an attempt that a peer carries.
-type peerLines struct {
+// peerLineStream are the lines of an attempt that a peer carries.
+type peerLineStream struct {
 	lines chan engine.Line
 	stop  context.CancelFunc
 }
 
 // open waits for the first token or the refusal, so that a refusal is known as
 // such.
-func (p peerAt) open(c context.Context, q relayCall) (lines, error) {
+func (p peerExecutor) open(c context.Context, q relayRequest) (lineStream, error) {
 	x, stop := context.WithCancel(c)
-	l := &peerLines{lines: make(chan engine.Line, lineBuffer), stop: stop}
+	l := &peerLineStream{lines: make(chan engine.Line, lineBufferSize), stop: stop}
 	started := make(chan error, 1)
-	go p.carry(x, q, l, started)
+	go p.receive(x, q, l, started)
 	if err := <-started; err != nil {
 		stop()
-		return nil, relayError(err)
+		return nil, engineError(err)
 	}
 	return l, nil
 }
 
-// carry reads the peer's items into lines, and says how it started.
-func (p peerAt) carry(c context.Context, q relayCall, l *peerLines, started chan<- error) {
+// receive reads the peer's items into lines, and says how it started.
+func (p peerExecutor) receive(c context.Context, q relayRequest, l *peerLineStream, started chan<- error) {
 	defer close(l.lines)
 	first := sync.OnceFunc(func() { started <- nil })
 	n := engine.Line{RequestID: q.Request.ID, Attempt: q.Attempt, Index: q.From}
 	err := p.client.Stream(c, p.address, "stream.relay", q, nil, func(b []byte) error {
-		var i item
+		var i indexedToken
 		if err := msgpack.Unmarshal(b, &i); err != nil {
 			return fmt.Errorf("decode token: %w", err)
 		}
@@ -290,7 +290,7 @@
 		t := n
 		t.Index, t.Token = i.Index, i.Token
 		n.Index = i.Index + 1
-		return l.put(c, t)
+		return l.send(c, t)
 	})
 	if err != nil {
 		select {
@@ -301,10 +301,10 @@
 	}
 	first()
 	n.End, n.Reason = true, "stop"
-	_ = l.put(c, n)
+	_ = l.send(c, n)
 }
 
-func (l *peerLines) put(c context.Context, n engine.Line) error {
+func (l *peerLineStream) send(c context.Context, n engine.Line) error {
 	select {
 	case l.lines <- n:
 		return nil
@@ -314,7 +314,7 @@
 }
 
 // Next returns the next line.
-func (l *peerLines) Next() (engine.Line, error) {
+func (l *peerLineStream) Next() (engine.Line, error) {
 	n, ok := <-l.lines
 	if !ok {
 		return n, io.EOF
@@ -323,13 +323,13 @@
 }
 
 // Close ends the reading.
-func (l *peerLines) Close() error {
+func (l *peerLineStream) Close() error {
 	l.stop()
 	return nil
 }
 
-// relayError says with the engine's errors what a peer's refusal means.
-func relayError(err error) error {
+// engineError says with the engine's errors what a peer's refusal means.
+func engineError(err error) error {
 	e := errkind.Of(err)
 	switch {
 	case e.Kind.Answer().Run == errkind.NotRun:
@@ -342,8 +342,8 @@
 	}
 }
 
-// Drained waits until no stream is left, or the context ends.
-func (k *Keeper) Drained(c context.Context) bool {
+// WaitDrained waits until no stream is left, or the context ends.
+func (k *Service) WaitDrained(c context.Context) bool {
 	const look = 50 * time.Millisecond
 	for k.Live() > 0 {
 		if c.Err() != nil {
--- a/stream/run.go
+++ b/stream/run.go
@@ -21,27 +21,27 @@
 // The times of a run. A stream without a token for stallFirst or stallNext is
 // taken to be stuck.
 const (
-	stallFirst = 10 * time.Second
-	stallLeast = 2 * time.Second
-	stallNext  = 2 * time.Second
-	reattachIn = 50 * time.Millisecond
-	stopEvery  = 250 * time.Millisecond
-	settleIn   = 2 * time.Second
+	maxFirstTokenTimeout = 10 * time.Second
+	minFirstTokenTimeout = 2 * time.Second
+	nextTokenTimeout     = 2 * time.Second
+	reattachBackOff      = 50 * time.Millisecond
+	retryInterval        = 250 * time.Millisecond
+	settleTimeout        = 2 * time.Second
 )
 
-// end is how a pump of lines ended.
-type end int
+// outcome is how a pump of lines ended.
+type outcome int
 
 const (
-	broken end = iota // recovery decides
-	whole             // the answer is whole
-	moving            // the stream leaves its endpoint
-	handed            // nothing is left to do here
+	interrupted    outcome = iota // recovery decides
+	answerComplete                // the answer is whole
+	moveRequested                 // the stream leaves its endpoint
+	runDone                       // nothing is left to do here
 )
 
-// signal tells a run to leave the endpoint on a box, or to go to the peer at an
+// moveRequest tells a run to leave the endpoint on a box, or to go to the peer at an
 // address.
-type signal struct {
+type moveRequest struct {
 	box  string
 	move reclaim.Move
 	peer member.Member
@@ -49,20 +49,20 @@
 
 // run is one stream on its way through its attempts.
 type run struct {
-	k       *Keeper
-	s       *Stream
-	splice  splice.Splicer
-	place   place
-	target  target
-	attempt int
-	tries   int
-	ran     bool
-	shared  bool
-	kv      string
-	prefer  string
-	avoid   map[string]bool
-	signal  signal
-	content content.Hash // what the stream asks for
+	k            *Service
+	s            *Stream
+	splice       splice.Splicer
+	executor     executor
+	target       target
+	attempt      int
+	reattaches   int
+	mayHaveRun   bool
+	maybeAdopted bool
+	kvHandle     string
+	preferredBox string
+	avoid        map[string]bool
+	pending      moveRequest
+	contentHash  content.Hash // what the stream asks for
 }
 
 // target is the endpoint, or the peer in another data centre, of an attempt.
@@ -73,15 +73,15 @@
 	slot        *view.Slot
 }
 
-func newRun(k *Keeper, s *Stream) *run {
+func newRun(k *Service, s *Stream) *run {
 	return &run{
-		k: k, s: s, avoid: map[string]bool{}, content: s.content(),
+		k: k, s: s, avoid: map[string]bool{}, contentHash: s.contentHash(),
 		splice: splice.Splicer{RequestID: s.ID, Max: s.MaxTokens, Next: s.Len()},
 	}
 }
 
-// begin chooses an endpoint and drives the stream to its end.
-func (r *run) begin(c context.Context) {
+// start chooses an endpoint and drives the stream to its end.
+func (r *run) start(c context.Context) {
 	if err := r.choose(c); err != nil {
 		r.s.finish(err)
 		return
@@ -91,31 +91,31 @@
 }
 
 // drive goes on from the end of a pump until the stream is finished.
-func (r *run) drive(c context.Context, e end, b recovery.Break) {
+func (r *run) drive(c context.Context, e outcome, b recovery.Interruption) {
 	for {
 		switch e {
-		case whole:
-			r.k.suspects.RecordAnswer(r.content)
+		case answerComplete:
+			r.k.suspects.RecordAnswer(r.contentHash)
 			r.s.finish(nil)
 			return
-		case handed:
+		case runDone:
 			return
-		case moving:
-			e, b = r.leave(c)
+		case moveRequested:
+			e, b = r.moveAway(c)
 			continue
 		}
 		d := r.decide(c, b)
 		switch d.Step {
 		case recovery.Reattach:
-			r.tries++
-			wait.For(c, reattachIn<<r.tries)
+			r.reattaches++
+			wait.For(c, reattachBackOff<<r.reattaches)
 			e, b = r.reattach(c)
 		case recovery.Stop:
-			e, b = r.stop(c)
-		case recovery.Elsewhere:
-			e, b = r.elsewhere(c, b)
+			e, b = r.stopAttempt(c)
+		case recovery.Failover:
+			e, b = r.failOver(c, b)
 		default:
-			r.abandon()
+			r.cancelAttempt()
 			r.s.finish(errkind.New(d.Kind, "%s", d.Reason))
 			return
 		}
@@ -123,112 +123,112 @@
 }
 
 // decide asks recovery, and notes what it says.
-func (r *run) decide(c context.Context, b recovery.Break) recovery.Decision {
-	if b == recovery.Cut && r.target.slot != nil && c.Err() == nil {
-		r.k.suspects.RecordFailure(c, r.content, r.target.slot.Process(), r.target.address)
+func (r *run) decide(c context.Context, b recovery.Interruption) recovery.Decision {
+	if b == recovery.Disconnected && r.target.slot != nil && c.Err() == nil {
+		r.k.suspects.RecordFailure(c, r.contentHash, r.target.slot.Process(), r.target.address)
 	}
 	if b != recovery.Refused && b != recovery.Unreachable && b != recovery.NeverSeen {
-		r.ran = true
+		r.mayHaveRun = true
 	}
 	st := recovery.State{
-		Break: b, Repeatable: r.s.Repeatable, Tries: r.tries, Attempts: r.attempt, Ran: r.ran,
-		Expired: c.Err() != nil, Budget: true,
+		Interruption: b, Repeatable: r.s.Repeatable, Reattaches: r.reattaches, Attempts: r.attempt, MayHaveRun: r.mayHaveRun,
+		Expired: c.Err() != nil, HasBudget: true,
 	}
 	d := recovery.Decide(st)
-	if d.Step == recovery.Elsewhere && b != recovery.Halted {
-		st.Budget = r.k.retry(r.s.Account)
+	if d.Step == recovery.Failover && b != recovery.Halted {
+		st.HasBudget = r.k.allowRetry(r.s.Account)
 		d = recovery.Decide(st)
 	}
-	if r.shared && d.Step != recovery.Reattach {
+	if r.maybeAdopted && d.Step != recovery.Reattach {
 		d = recovery.Decision{Step: recovery.Fail, Kind: errkind.OutcomeUnknown, Reason: "a peer may have taken the stream over"}
 	}
-	r.note("recover", d.Reason)
+	r.logDecision("recover", d.Reason)
 	return d
 }
 
-func (r *run) note(event, reason string) {
+func (r *run) logDecision(event, reason string) {
 	r.k.decisions.Note(decisions.Decision{
 		Subject: r.s.ID, Event: event, Choice: r.target.box, Reason: reason, Attempt: r.attempt, Workload: r.s.Workload,
 	})
 }
 
 // generate begins a new attempt at the target.
-func (r *run) generate(c context.Context) (end, recovery.Break) {
+func (r *run) generate(c context.Context) (outcome, recovery.Interruption) {
 	r.attempt++
-	r.tries = 0
+	r.reattaches = 0
 	r.splice.Begin(r.attempt)
-	r.s.set(func() { r.s.stats.Attempts, r.s.stats.Box = r.attempt, r.target.box })
+	r.s.update(func() { r.s.stats.Attempts, r.s.stats.Box = r.attempt, r.target.box })
 	p, _ := r.s.Kind.Priority()
 	q := engine.Request{
 		RequestID: r.s.ID, Attempt: r.attempt, Incarnation: r.target.incarnation, Model: r.s.Workload,
-		Prompt: r.s.Prompt, From: r.splice.Next, MaxTokens: r.s.MaxTokens, Priority: p, KV: r.kv,
+		Prompt: r.s.Prompt, From: r.splice.Next, MaxTokens: r.s.MaxTokens, Priority: p, KV: r.kvHandle,
 	}
-	r.kv = ""
-	return r.follow(c, func(x context.Context) (lines, error) { return r.place.Generate(x, q) }, false)
+	r.kvHandle = ""
+	return r.readAttempt(c, func(x context.Context) (lineStream, error) { return r.executor.Generate(x, q) }, false)
 }
 
 // reattach reads on from the attempt that there is.
-func (r *run) reattach(c context.Context) (end, recovery.Break) {
-	return r.follow(c, func(x context.Context) (lines, error) {
-		return r.place.Resume(x, r.s.attempt(r.attempt, r.target.incarnation, r.splice.Next))
+func (r *run) reattach(c context.Context) (outcome, recovery.Interruption) {
+	return r.readAttempt(c, func(x context.Context) (lineStream, error) {
+		return r.executor.Resume(x, r.s.attempt(r.attempt, r.target.incarnation, r.splice.Next))
 	}, true)
 }
 
-// follow opens a stream of lines and reads it until it ends in some way.
-func (r *run) follow(c context.Context, open func(context.Context) (lines, error), resumed bool) (end, recovery.Break) {
-	done := r.k.count(r.target)
+// readAttempt opens a stream of lines and reads it until it ends in some way.
+func (r *run) readAttempt(c context.Context, open func(context.Context) (lineStream, error), resumed bool) (outcome, recovery.Interruption) {
+	done := r.k.trackSent(r.target)
 	defer done()
 	x, cancel := context.WithCancel(c)
 	defer cancel()
-	l, late, err := r.open(x, cancel, open)
+	l, late, err := r.openWithTimeout(x, cancel, open)
 	if late {
-		return broken, recovery.Stalled
+		return interrupted, recovery.Stalled
 	}
 	if err != nil {
-		r.noteRest(err)
-		return broken, breakOf(err, resumed)
+		r.recordBackOff(err)
+		return interrupted, classifyOpenError(err, resumed)
 	}
-	ch := pump(x, l)
-	t := time.NewTimer(r.patience(c))
+	ch := readLines(x, l)
+	t := time.NewTimer(r.firstTokenTimeout(c))
 	defer t.Stop()
 	for {
 		select {
 		case n, ok := <-ch:
 			if !ok {
-				return broken, r.cutOrGone()
+				return interrupted, r.classifyDisconnect()
 			}
-			if e, b, ended := r.take(n); ended {
+			if e, b, ended := r.handleLine(n); ended {
 				return e, b
 			}
 			if r.splice.Next > 0 {
-				t.Reset(stallNext)
+				t.Reset(nextTokenTimeout)
 			}
 		case <-t.C:
-			return broken, recovery.Stalled
-		case g := <-r.s.signals:
+			return interrupted, recovery.Stalled
+		case g := <-r.s.moveRequests:
 			if g.peer.Address != "" || g.box == r.target.box {
-				r.signal = g
-				return moving, 0
+				r.pending = g
+				return moveRequested, 0
 			}
 		case <-c.Done():
-			return broken, recovery.Stalled
+			return interrupted, recovery.Stalled
 		}
 	}
 }
 
-// noteRest keeps for how long an engine that refused wants nothing: it has the most free slots,
+// recordBackOff keeps for how long an engine that refused wants nothing: it has the most free slots,
 // and would get every stream.
-func (r *run) noteRest(err error) {
+func (r *run) recordBackOff(err error) {
 	var e *engine.RestError
 	if r.target.slot != nil && errors.As(err, &e) {
 		r.k.view.Rests.Extend(r.target.slot.Process(), e.For, boottime.Now())
 	}
 }
 
-// open bounds how long an endpoint may take to answer at all, and reports
+// openWithTimeout bounds how long an endpoint may take to answer at all, and reports
 // whether it took longer.
-func (r *run) open(x context.Context, cancel context.CancelFunc, open func(context.Context) (lines, error)) (l lines, late bool, err error) {
-	t := time.AfterFunc(r.patience(x), cancel)
+func (r *run) openWithTimeout(x context.Context, cancel context.CancelFunc, open func(context.Context) (lineStream, error)) (l lineStream, late bool, err error) {
+	t := time.AfterFunc(r.firstTokenTimeout(x), cancel)
 	l, err = open(x)
 	if t.Stop() {
 		return l, false, err
@@ -239,68 +239,68 @@
 	return nil, true, err
 }
 
-// patience is how long a run waits for its first token: a third of the time
+// firstTokenTimeout is how long a run waits for its first token: a third of the time
 // that its caller has left, within bounds.
-func (r *run) patience(c context.Context) time.Duration {
+func (r *run) firstTokenTimeout(c context.Context) time.Duration {
 	d, ok := c.Deadline()
 	if !ok {
-		return stallFirst
+		return maxFirstTokenTimeout
 	}
-	return min(max(time.Until(d)/3, stallLeast), stallFirst)
+	return min(max(time.Until(d)/3, minFirstTokenTimeout), maxFirstTokenTimeout)
 }
 
-// take gives a line to the splicer. The last result says that the pump ends.
-func (r *run) take(l engine.Line) (end, recovery.Break, bool) {
+// handleLine gives a line to the splicer. The last result says that the pump ends.
+func (r *run) handleLine(l engine.Line) (outcome, recovery.Interruption, bool) {
 	switch r.splice.Take(l) {
 	case splice.Accepted:
-		r.ran = true
-		r.tries = 0
-		r.account(l)
-		r.s.add(l.Token)
+		r.mayHaveRun = true
+		r.reattaches = 0
+		r.recordLine(l)
+		r.s.addToken(l.Token)
 	case splice.Ended:
-		return whole, 0, true
+		return answerComplete, 0, true
 	case splice.Halted:
-		return broken, recovery.Halted, true
+		return interrupted, recovery.Halted, true
 	case splice.Gap:
-		return broken, recovery.Cut, true
+		return interrupted, recovery.Disconnected, true
 	}
-	return broken, 0, false
+	return interrupted, 0, false
 }
 
-// account adds what the attempt computed again, and learns where the prompt's
+// recordLine adds what the attempt computed again, and learns where the prompt's
 // prefix is cached.
-func (r *run) account(l engine.Line) {
+func (r *run) recordLine(l engine.Line) {
 	if r.target.slot != nil {
 		r.k.prefixes.Add(engine.Prefix(r.s.Workload, r.s.Prompt), r.target.box)
 	}
 	if r.attempt > 1 && l.Prefill > 0 {
-		r.s.set(func() { r.s.stats.Recomputed += l.Prefill })
+		r.s.update(func() { r.s.stats.Recomputed += l.Prefill })
 		r.k.recomputed.Inc(int64(l.Prefill))
 	}
 }
 
-func (r *run) cutOrGone() recovery.Break {
-	if r.gone() {
+func (r *run) classifyDisconnect() recovery.Interruption {
+	if r.isGone() {
 		return recovery.Gone
 	}
-	return recovery.Cut
+	return recovery.Disconnected
 }
 
-// gone reports whether the endpoint's box was taken, or the peer that carries
+// isGone reports whether the endpoint's box was taken, or the peer that carries
 // the stream has ended.
-func (r *run) gone() bool {
+func (r *run) isGone() bool {
 	if r.target.slot != nil {
-		return r.k.gone(r.target.box)
+		return r.k.isGone(r.target.box)
 	}
 	m, up := r.k.members.Answering(r.target.incarnation)
 	return !up || m.Box != r.target.box
 }
 
-// elsewhere goes on at another endpoint. The attempt that broke is told to
+// failOver goes on at another endpoint. The attempt that broke is told to
 // stop, where that was not confirmed.
-func (r *run) elsewhere(c context.Context, b recovery.Break) (end, recovery.Break) {
-	if b == recovery.Cut || b == recovery.Stalled {
-		r.abandon()
+func (r *run) failOver(c context.Context, b recovery.Interruption) (outcome, recovery.Interruption) {
+	if b == recovery.Disconnected || b == recovery.Stalled {
+		r.cancelAttempt()
 	}
 	r.avoid[r.target.box] = true
 	err := r.choose(c)
@@ -308,98 +308,98 @@
 	case err == nil:
 		return r.generate(c)
 	case errkind.Is(err, errkind.Quarantined):
-		if r.ran {
+		if r.mayHaveRun {
 			err = errkind.New(errkind.EngineFailed, "%w", err)
 		}
 		r.s.finish(err)
-		return handed, 0
-	case r.s.abroad && !r.ran:
+		return runDone, 0
+	case r.s.remoteOnly && !r.mayHaveRun:
 		// Nobody accepted it, so it is refused at once.
 		r.s.finish(err)
-		return handed, 0
+		return runDone, 0
 	default:
-		return r.noChoice(c, err)
+		return r.awaitEndpoint(c, err)
 	}
 }
 
-// noChoice waits a little for an endpoint, since the request was accepted.
-func (r *run) noChoice(c context.Context, err error) (end, recovery.Break) {
+// awaitEndpoint waits a little for an endpoint, since the request was accepted.
+func (r *run) awaitEndpoint(c context.Context, err error) (outcome, recovery.Interruption) {
 	clear(r.avoid)
 	for c.Err() == nil {
-		wait.For(c, stopEvery)
+		wait.For(c, retryInterval)
 		if r.choose(c) == nil {
 			return r.generate(c)
 		}
 	}
-	r.note("recover", "no endpoint until the deadline: "+err.Error())
-	return broken, recovery.Unreachable
+	r.logDecision("recover", "no endpoint until the deadline: "+err.Error())
+	return interrupted, recovery.Unreachable
 }
 
-// abandon asks the endpoint to stop the attempt and does not wait for it.
-func (r *run) abandon() {
-	p, a := r.place, r.s.attempt(r.attempt, r.target.incarnation, 0)
+// cancelAttempt asks the endpoint to stop the attempt and does not wait for it.
+func (r *run) cancelAttempt() {
+	p, a := r.executor, r.s.attempt(r.attempt, r.target.incarnation, 0)
 	if p == nil {
 		return
 	}
 	r.k.group.Go(func() {
-		c, cancel := context.WithTimeout(context.Background(), settleIn)
+		c, cancel := context.WithTimeout(context.Background(), settleTimeout)
 		defer cancel()
 		_, _ = p.Cancel(c, a)
 	})
 }
 
-// stop asks the endpoint to stop the attempt until it confirms, and takes the
+// stopAttempt asks the endpoint to stop the attempt until it confirms, and takes the
 // tokens that came before.
-func (r *run) stop(c context.Context) (end, recovery.Break) {
+func (r *run) stopAttempt(c context.Context) (outcome, recovery.Interruption) {
 	if r.target.slot == nil {
-		return r.readOn(c)
+		return r.awaitPeer(c)
 	}
 	ended := 0
 	for c.Err() == nil {
-		st, err := r.place.Cancel(c, r.s.attempt(r.attempt, r.target.incarnation, 0))
+		st, err := r.executor.Cancel(c, r.s.attempt(r.attempt, r.target.incarnation, 0))
 		switch {
 		case err == nil && st.State == engine.NotStarted:
-			return broken, recovery.NeverSeen
+			return interrupted, recovery.NeverSeen
 		case err == nil:
-			return r.rest(c)
+			return r.readRemaining(c)
 		case errors.Is(err, engine.ErrRestarted):
-			return broken, recovery.Restarted
-		case errors.Is(err, engine.ErrEnded) && ended >= recovery.MaxTries:
-			return broken, recovery.Gone
+			return interrupted, recovery.Restarted
+		case errors.Is(err, engine.ErrEnded) && ended >= recovery.MaxReattaches:
+			return interrupted, recovery.Gone
 		case errors.Is(err, engine.ErrEnded):
 			ended++
-		case r.gone():
-			return broken, recovery.Gone
+		case r.isGone():
+			return interrupted, recovery.Gone
 		}
-		wait.For(c, stopEvery)
+		wait.For(c, retryInterval)
 	}
-	return broken, recovery.Stalled
+	return interrupted, recovery.Stalled
 }
 
-// readOn waits for a peer that carries the stream to be reached again: it goes
+// awaitPeer waits for a peer that carries the stream to be reached again: it goes
 // on with it meanwhile. A peer that has ended leaves the outcome unknown.
-func (r *run) readOn(c context.Context) (end, recovery.Break) {
+func (r *run) awaitPeer(c context.Context) (outcome, recovery.Interruption) {
 	for c.Err() == nil {
-		if r.gone() {
-			return broken, recovery.Gone
+		if r.isGone() {
+			return interrupted, recovery.Gone
 		}
 		e, b := r.reattach(c)
-		if e != broken || b != recovery.Cut && b != recovery.Stalled {
+		if e != interrupted || b != recovery.Disconnected && b != recovery.Stalled {
 			return e, b
 		}
-		wait.For(c, stopEvery)
+		wait.For(c, retryInterval)
 	}
-	return broken, recovery.Stalled
+	return interrupted, recovery.Stalled
 }
 
-// rest reads what a stopped attempt still has, up to its end mark.
-func (r *run) rest(c context.Context) (end, recovery.Break) {
-	for range recovery.MaxTries {
+// readRemaining reads what a stopped attempt still has, up to its end mark.
+func (r *run) readRemaining(c context.Context) (outcome, recovery.Interruption) {
+	for range recovery.MaxReattaches {
 		e, b := r.reattach(c)
-		if e != broken || b != recovery.Cut && b != recovery.Stalled {
+		if e != interrupted || b != recovery.Disconnected && b != recovery.Stalled {
 			return e, b
 		}
-		wait.For(c, reattachIn)
+		wait.For(c, reattachBackOff)
 	}
-	return broken, recovery.Restarted
+	return interrupted, recovery.Restarted
 }
--- a/stream/source.go
+++ b/stream/source.go
@@ -8,51 +8,51 @@
 	"birchlink.dev/birchlink/recovery"
 )
 
-// lineBuffer is how many lines may wait between the connection and the run.
-const lineBuffer = 32
+// lineBufferSize is how many lines may wait between the connection and the run.
+const lineBufferSize = 32
 
-// lines is an open stream of lines, from an engine or a peer.
-type lines interface {
+// lineStream is an open stream of lines, from an engine or a peer.
+type lineStream interface {
 	Next() (engine.Line, error)
 	Close() error
 }
 
-// place is where an attempt runs: an engine, or the entry boxes of another data
+// executor is where an attempt runs: an engine, or the entry boxes of another data
 // centre.
-type place interface {
-	Generate(c context.Context, q engine.Request) (lines, error)
-	Resume(c context.Context, a engine.Attempt) (lines, error)
+type executor interface {
+	Generate(c context.Context, q engine.Request) (lineStream, error)
+	Resume(c context.Context, a engine.Attempt) (lineStream, error)
 	Cancel(c context.Context, a engine.Attempt) (engine.Cancelled, error)
 }
 
-// engineAt is the place of one engine.
-type engineAt struct {
+// engineExecutor is the place of one engine.
+type engineExecutor struct {
 	client  *engine.Client
 	address string
 }
 
-func (e engineAt) Generate(c context.Context, q engine.Request) (lines, error) {
-	return opened(e.client.Generate(c, e.address, q))
+func (e engineExecutor) Generate(c context.Context, q engine.Request) (lineStream, error) {
+	return asLineStream(e.client.Generate(c, e.address, q))
 }
 
-func (e engineAt) Resume(c context.Context, a engine.Attempt) (lines, error) {
-	return opened(e.client.Resume(c, e.address, a))
+func (e engineExecutor) Resume(c context.Context, a engine.Attempt) (lineStream, error) {
+	return asLineStream(e.client.Resume(c, e.address, a))
 }
 
-func (e engineAt) Cancel(c context.Context, a engine.Attempt) (engine.Cancelled, error) {
+func (e engineExecutor) Cancel(c context.Context, a engine.Attempt) (engine.Cancelled, error) {
 	return e.client.Cancel(c, e.address, a)
 }
 
-// opened keeps a nil *engine.Stream from becoming a non-nil lines.
-func opened(s *engine.Stream, err error) (lines, error) {
+// asLineStream keeps a nil *engine.Stream from becoming a non-nil lines.
+func asLineStream(s *engine.Stream, err error) (lineStream, error) {
 	if err != nil {
 		return nil, err
 	}
 	return s, nil
 }
 
-// breakOf says how an attempt broke from the error of opening its stream.
-func breakOf(err error, resumed bool) recovery.Break {
+// classifyOpenError says how an attempt broke from the error of opening its stream.
+func classifyOpenError(err error, resumed bool) recovery.Interruption {
 	switch {
 	case errors.Is(err, engine.ErrNotRun) && resumed:
 		return recovery.NeverSeen
@@ -63,13 +63,13 @@
 	case errors.Is(err, engine.ErrUnreachable) && !resumed:
 		return recovery.Unreachable
 	default:
-		return recovery.Cut
+		return recovery.Disconnected
 	}
 }
 
-// pump reads lines into a channel until the stream or the context ends.
-func pump(c context.Context, l lines) <-chan engine.Line {
-	ch := make(chan engine.Line, lineBuffer)
+// readLines reads lines into a channel until the stream or the context ends.
+func readLines(c context.Context, l lineStream) <-chan engine.Line {
+	ch := make(chan engine.Line, lineBufferSize)
 	go func() {
 		defer close(ch)
 		defer func() { _ = l.Close() }()
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -37,9 +37,9 @@
 	return admission.Request{Account: q.Account, Member: q.Member, Match: q.Match, Kind: q.Kind, Weight: q.Weight, Rate: q.Rate, Workload: q.Workload}
 }
 
-// content returns what the request asks for, whatever its ID is.
-func (q Request) content() content.Hash {
-	return content.Of(q.Account, &call.Call{Host: q.Workload, Target: strconv.Itoa(q.MaxTokens), Body: []byte(q.Prompt)})
+// contentHash returns what the request asks for, whatever its ID is.
+func (q Request) contentHash() content.Hash {
+	return content.HashOf(q.Account, &call.Call{Host: q.Workload, Target: strconv.Itoa(q.MaxTokens), Body: []byte(q.Prompt)})
 }
 
 // MovedError is the error that ends a stream here because a peer goes on with it.
@@ -61,29 +61,29 @@
 type Stream struct {
 	Request
 
-	mu      sync.Mutex
-	tokens  []string
-	done    bool
-	err     error
-	stats   Stats
-	changed chan struct{}
-	relayed bool
-	abroad  bool
-	readers int
-	left    time.Time
-	ended   time.Time
+	mu         sync.Mutex
+	tokens     []string
+	done       bool
+	err        error
+	stats      Stats
+	changed    chan struct{}
+	relayed    bool
+	remoteOnly bool
+	readers    int
+	idleSince  time.Time
+	endedAt    time.Time
 
-	signals chan signal
-	cancel  context.CancelFunc
+	moveRequests chan moveRequest
+	cancel       context.CancelFunc
 }
 
 // newStream returns a stream without tokens.
 func newStream(q Request) *Stream {
-	return &Stream{Request: q, changed: make(chan struct{}), signals: make(chan signal, 1), left: time.Now()}
+	return &Stream{Request: q, changed: make(chan struct{}), moveRequests: make(chan moveRequest, 1), idleSince: time.Now()}
 }
 
-// set changes the stream under its lock and wakes the readers.
-func (s *Stream) set(f func()) {
+// update changes the stream under its lock and wakes the readers.
+func (s *Stream) update(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
@@ -91,19 +91,19 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *Stream) add(t string) { s.set(func() { s.tokens = append(s.tokens, t) }) }
+func (s *Stream) addToken(t string) { s.update(func() { s.tokens = append(s.tokens, t) }) }
 
 func (s *Stream) finish(err error) {
-	s.set(func() {
+	s.update(func() {
 		if !s.done {
-			s.done, s.err, s.ended = true, err, time.Now()
+			s.done, s.err, s.endedAt = true, err, time.Now()
 		}
 	})
 }
 
-// view returns the tokens from an index on, whether and how the stream ended,
+// snapshot returns the tokens from an index on, whether and how the stream ended,
 // and a channel that closes on change.
-func (s *Stream) view(from int) (ts []string, done bool, changed <-chan struct{}, err error) {
+func (s *Stream) snapshot(from int) (ts []string, done bool, changed <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if from < len(s.tokens) {
@@ -115,7 +115,7 @@
 // Tokens returns the tokens so far, whether they are the whole answer, and how
 // the stream ended otherwise.
 func (s *Stream) Tokens() (ts []string, whole bool, err error) {
-	ts, done, _, err := s.view(0)
+	ts, done, _, err := s.snapshot(0)
 	return ts, done && err == nil, err
 }
 
@@ -140,34 +140,34 @@
 	return s.done
 }
 
-// attach counts readers, so that a stream without any can be told.
-func (s *Stream) attach(n int) {
+// addReaders counts readers, so that a stream without any can be told.
+func (s *Stream) addReaders(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.readers += n
-	s.left = time.Now()
+	s.idleSince = time.Now()
 }
 
-// abandoned reports for how long nobody has read the stream.
-func (s *Stream) abandoned(now time.Time) time.Duration {
+// unreadFor reports for how long nobody has read the stream.
+func (s *Stream) unreadFor(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.readers > 0 || s.done {
 		return 0
 	}
-	return now.Sub(s.left)
+	return now.Sub(s.idleSince)
 }
 
 // Read hands the tokens from an index on to each until the answer is whole. The
 // error is a *MovedError if a peer goes on, an *errkind.Error if the request failed.
 func (s *Stream) Read(c context.Context, from int, each func(index int, token string) error) error {
-	s.attach(1)
-	defer s.attach(-1)
+	s.addReaders(1)
+	defer s.addReaders(-1)
 	if from < 0 || from > s.MaxTokens {
 		return errkind.New(errkind.HeaderRange, "no token %d in an answer of at most %d", from, s.MaxTokens)
 	}
 	for {
-		ts, done, changed, err := s.view(from)
+		ts, done, changed, err := s.snapshot(from)
 		for _, t := range ts {
 			if err := each(from, t); err != nil {
 				return err
@@ -193,7 +193,7 @@
 // Wait returns once the stream has ended here, with its error.
 func (s *Stream) Wait(c context.Context) error {
 	for {
-		_, done, changed, err := s.view(0)
+		_, done, changed, err := s.snapshot(0)
 		if done {
 			return err
 		}
