--- a/call/attempt.go
+++ b/call/attempt.go
@@ -6,27 +6,27 @@
 	"birchlink.dev/birchlink/endpoint"
 )
 
-// Attempt is one sending of a call to an endpoint.
+// Attempt is one attempt to send a call to an endpoint.
 type Attempt struct {
-	// Endpoint is the incarnation that alone may run it.
+	// Endpoint is the incarnation of the endpoint. No other incarnation may run the attempt.
 	Endpoint string
 
-	// Account is who calls; empty where calls need no key.
+	// Account is the caller's account, or empty if calls need no key.
 	Account string
 
-	// Left is how long the answer is of use.
+	// Timeout is the time left until the answer is of no use any more.
 	Timeout time.Duration
 
-	// LastEvent is the last event of the stream that the caller has.
+	// LastEventID is the ID of the last event of the stream that the caller has received.
 	LastEventID string
 
-	// Priority is the rank at the endpoint, 0 first.
+	// Priority is the call's rank at the endpoint. Rank 0 is served first.
 	Priority int
 }
 
-// Outcome is what an answer says besides its status. NotRun is a promise that
-// the endpoint did not and will not run the attempt; Elsewhere that another
-// incarnation has the address, which says nothing of the one that was asked.
+// Outcome is what an answer reports besides its status. With NotRun set, the endpoint guarantees that
+// it did not and will not run the attempt. With WrongIncarnation set, another incarnation has the
+// address, and nothing is known of the one that was called.
 type Outcome struct {
 	ID               string
 	NotRun           bool
--- a/call/call.go
+++ b/call/call.go
@@ -1,5 +1,5 @@
-// Package call holds one request of a caller as the forwarding of calls sees
-// it, whatever the interface was that it came through.
+// Package call represents callers' requests to the forwarding code, independent of the interface
+// that a request came through.
 package call
 
 import (
@@ -7,50 +7,50 @@
 	"time"
 )
 
-// Part is one piece of a prompt. Parts with the same ID hold the same tokens,
-// whoever sends them.
+// Part is one part of a prompt. Parts with the same ID consist of the same tokens, whoever the
+// caller is.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Call is one request. Header holds only what is passed on; what birchlink
-// decodes from it stands in the other fields as well.
+// Call is one request. Header holds only the headers that are forwarded. Values that birchlink
+// decodes from headers are in the other fields too.
 type Call struct {
 	ID     string
 	Method string
 	Host   string
-	Target string // path and query, as they came
+	Target string // path and query as received
 	Path   string
 	Header http.Header
 	Body   []byte
 
-	// Key is the caller's secret; it never leaves this box.
+	// Key is the caller's secret. It is never sent to other boxes.
 	Key string
 
-	// Arrived is when the request was read, on this box's steady clock. Wait is
-	// how long the caller says it will wait from then on; zero when it does not say.
+	// Arrived is when the request was read, on this box's monotonic clock. Timeout is how long the
+	// caller waits from then on, or zero if the caller gave no time.
 	Arrived time.Time
 	Timeout time.Duration
 
-	// LastEvent is the last event of a stream that the caller already has.
+	// LastEventID is the ID of the last event of a stream that the caller has received.
 	LastEventID string
 
-	// Parts are the pieces of the prompt in order; PromptTokens is their sum as
-	// the caller counts it, and AnswerTokens the most that may be generated.
-	// Counted is false when the caller gave no figures.
+	// Parts are the parts of the prompt in order. PromptTokens is the number of their tokens as
+	// counted by the caller, AnswerTokens the most that may be generated. HasTokenCounts is false if
+	// the caller gave no counts.
 	Model          string
 	Parts          []Part
 	PromptTokens   int
 	AnswerTokens   int
 	HasTokenCounts bool
 
-	// ExpectedTokens is the caller's guess of the answer's length; zero if none.
+	// ExpectedTokens is the caller's estimate of the answer's length, or zero if there is none.
 	ExpectedTokens int
 }
 
-// Deadline returns when the answer is of no more use: the caller's wait or the
-// operator's limit, whichever ends first.
+// Deadline returns the time after which the answer is of no use: after the caller's timeout or the
+// operator's limit, whichever is shorter.
 func (c *Call) Deadline(limit time.Duration) time.Time {
 	w := c.Timeout
 	if w <= 0 || limit > 0 && limit < w {
--- a/claims/committer.go
+++ b/claims/committer.go
@@ -1,5 +1,6 @@
-// Package claims has keys claimed in the platform's service: each slot's soft
-// owner in the data centre commits the claims of many boxes together.
+// Package claims commits claims on keys to the platform's key-value service. The owner of each slot
+// in the data centre commits the claims of many boxes together. Ownership is advisory: two owners
+// of a slot cost retries and never grant a key twice.
 package claims
 
 import (
@@ -15,37 +16,35 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// The bounds of a commit. A page is refused more claims when it is nearly as
-// large as the service holds.
 const (
-	commitInterval        = 20 * time.Millisecond
-	commitTimeout         = 3 * time.Second
+	commitInterval        = 20 * time.Millisecond // pause between two groups of claims
+	commitTimeout         = 3 * time.Second       // for all tries of a group
 	maxCommitTries        = 16
-	rereadDelay           = 200 * time.Millisecond
-	maxPageBytes          = kv.MaxValue * 9 / 10
-	fullRetryAfter        = 30 * time.Second
-	unavailableRetryAfter = 3 * time.Second
+	rereadDelay           = 200 * time.Millisecond // before the page is read again from an unreachable service
+	maxPageBytes          = kv.MaxValue * 9 / 10   // larger pages accept no claims
+	fullRetryAfter        = 30 * time.Second       // for the caller of a claim that the full page refused
+	unavailableRetryAfter = 3 * time.Second        // for the caller of a claim that could not be committed
 )
 
-// store is what a committer needs of the key-value service.
+// store is the part of the key-value service that a committer uses.
 type store interface {
 	Get(c context.Context, key string) (kv.Entry, error)
 	Swap(c context.Context, e kv.Entry) (kv.Entry, error)
 }
 
-// result is the claim in force, or why there is none.
+// result is the claim in force, or the reason why there is none.
 type result struct {
 	claim ledger.Claim
 	err   error
 }
 
-// pending is one claim on its way.
+// pending is a claim that waits to be committed.
 type pending struct {
 	claim ledger.Claim
 	done  chan result
 }
 
-// committer commits the claims of one slot, many with one swap.
+// committer commits the claims of one slot, many with each swap of the slot's page.
 type committer struct {
 	store    store
 	key      string
@@ -59,8 +58,7 @@
 	rev     uint64
 }
 
-// submit enters a claim and waits for the claim in force. The commit goes on
-// when the waiter leaves.
+// submit queues a claim and waits for the claim in force. The commit continues if c ends first.
 func (m *committer) submit(c context.Context, claim ledger.Claim, spawn func(func())) (ledger.Claim, error) {
 	w := pending{claim: claim, done: make(chan result, 1)}
 	m.mu.Lock()
@@ -78,7 +76,7 @@
 	}
 }
 
-// commitLoop commits group after group until nobody waits.
+// commitLoop commits the queued claims in groups until the queue is empty.
 func (m *committer) commitLoop() {
 	for {
 		m.mu.Lock()
@@ -111,7 +109,7 @@
 			break
 		}
 		if errors.Is(err, kv.ErrAway) {
-			// The claims may stand already: look again before giving up.
+			// A swap with an unknown result may have committed the claims: read the page again.
 			wait.For(c, rereadDelay)
 		}
 	}
@@ -126,8 +124,8 @@
 	}
 }
 
-// tryCommit applies the claims to the page as it is known and swaps it once. Claims
-// that find their key taken need no swap.
+// tryCommit adds the claims to the page as this box knows it, and swaps the page once. No swap is
+// needed if all keys are claimed already.
 func (m *committer) tryCommit(c context.Context, ws []pending) ([]result, error) {
 	if err := m.load(c); err != nil {
 		return nil, err
@@ -136,8 +134,8 @@
 	rs := make([]result, len(ws))
 	added := 0
 	for i, w := range ws {
-		in, fresh := m.page.Add(w.claim)
-		rs[i] = result{claim: in}
+		current, fresh := m.page.Add(w.claim)
+		rs[i] = result{claim: current}
 		if fresh {
 			added++
 		}
@@ -169,8 +167,8 @@
 	return nil
 }
 
-// swap writes the page. After any failure what the page holds is not known, so
-// it is taken from the answer or read again.
+// swap writes the page. After a failure the page's content is unknown: it is taken from the
+// conflict's answer or read again.
 func (m *committer) swap(c context.Context) error {
 	b, err := m.page.Bytes()
 	if err == nil && len(b) > maxPageBytes {
--- a/claims/committer_test.go
+++ b/claims/committer_test.go
@@ -16,8 +16,8 @@
 	"birchlink.dev/birchlink/ledger"
 )
 
-// fakeStore is one page in memory. It takes time, and loses answers and calls
-// as its dice say.
+// fakeStore holds one page in memory. Each call takes 1 ms. A swap fails with an unknown result with
+// probability lossRate before it takes effect, and with the same probability after it.
 type fakeStore struct {
 	mu          sync.Mutex
 	entry       kv.Entry
@@ -62,9 +62,9 @@
 	return ledger.Claim{Key: k[:], Holder: holder, Nonce: nonce, At: time.Now().Unix()}
 }
 
-// Two owners of a slot commit the same keys at once, and a quarter of all calls
-// is lost, before or after it took effect. For each key both tell every asker
-// the same holder.
+// Two owners of a slot commit the same keys at the same time, while a quarter of the swaps are lost
+// before they take effect, and a quarter of the answers after that. All callers that get an answer
+// for a key get the same holder.
 func TestTwoOwnersAgree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeStore{rng: rand.New(rand.NewPCG(1, 2)), lossRate: 0.25}
@@ -101,7 +101,7 @@
 	})
 }
 
-// While the platform is away a claim is refused, and nothing is claimed.
+// A claim is refused, and the page unchanged, while the platform is unreachable.
 func TestClaimRefusedWhileUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeStore{rng: rand.New(rand.NewPCG(1, 2)), unavailable: true}
@@ -115,8 +115,8 @@
 	})
 }
 
-// A page that is nearly as large as the service holds takes no more claims, and
-// takes them again when old ones have expired.
+// A page that is nearly as large as the service's limit refuses claims, and accepts them again when
+// old ones have expired.
 func TestFullPage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeStore{rng: rand.New(rand.NewPCG(1, 2))}
@@ -143,7 +143,7 @@
 	})
 }
 
-// BenchmarkCommit measures a group of claims on a page of a size.
+// BenchmarkCommit measures expiring and encoding a page by its number of claims.
 func BenchmarkCommit(b *testing.B) {
 	for _, n := range []int{100, 1000, 8000} {
 		b.Run(fmt.Sprintf("page=%d", n), func(b *testing.B) {
--- a/claims/service.go
+++ b/claims/service.go
@@ -18,11 +18,11 @@
 // Name is the name of the service.
 const Name = "claims"
 
-// ownerTimeout is how long a slot's owner may take before a box commits by
-// itself. Two who commit cost a retry and never a second claim.
+// ownerTimeout is how long a box waits for a slot's owner before it commits the claim by itself. Two
+// committers of a slot cost a retry, and never a second claim.
 const ownerTimeout = 500 * time.Millisecond
 
-// Service is the service of one box.
+// Service is the claim service of one box.
 type Service struct {
 	Slots int
 	TTL   time.Duration
@@ -35,7 +35,8 @@
 	group   sync.WaitGroup
 }
 
-// New returns the claims of a box: so many pages, whose claims last for ttl.
+// New returns the claim service of a box. Claims are kept in the given number of slots, with one
+// page each, and last for ttl.
 func New(slots int, ttl time.Duration) *Service {
 	return &Service{Slots: slots, TTL: ttl, slots: map[int]*committer{}}
 }
@@ -43,7 +44,7 @@
 // Name returns the service's name.
 func (s *Service) Name() string { return Name }
 
-// Start lets peers have their claims committed here.
+// Start looks up the services that claims depend on, and accepts claims of peers.
 func (s *Service) Start(_ context.Context, k *kernel.Kernel) error {
 	n, err := kernel.Find[*kv.Service](k, kv.Name)
 	if err != nil {
@@ -60,14 +61,14 @@
 	return nil
 }
 
-// Stop waits for the commits that are under way.
+// Stop waits for the commits in progress.
 func (s *Service) Stop(context.Context) error {
 	s.group.Wait()
 	return nil
 }
 
-// Claim returns the claim on a key that is in force: the one given, or an
-// earlier one. The error is of kind ClaimUnavailable.
+// Claim returns the claim on a key that is in force: the given one, or an earlier one.
+// The error is of kind ClaimUnavailable if the claim can't be committed.
 func (s *Service) Claim(c context.Context, claim ledger.Claim) (ledger.Claim, error) {
 	slot := ledger.Key(claim.Key).Slot(s.Slots)
 	_, owner := s.members.Owner(pageKey(slot), 1)
@@ -76,10 +77,10 @@
 	}
 	x, cancel := context.WithTimeout(c, ownerTimeout)
 	defer cancel()
-	var in ledger.Claim
-	err := s.peers.Client.Call(x, owner.Address, "claims.commit", claim, &in)
+	var current ledger.Claim
+	err := s.peers.Client.Call(x, owner.Address, "claims.commit", claim, &current)
 	if err == nil || errkind.Is(err, errkind.ClaimUnavailable) {
-		return in, err
+		return current, err
 	}
 	return s.commit(c, claim)
 }
--- a/content/hash.go
+++ b/content/hash.go
@@ -1,4 +1,4 @@
-// Package content tells requests by what they ask for.
+// Package content identifies requests by what they ask for.
 package content
 
 import (
@@ -10,18 +10,17 @@
 	"birchlink.dev/birchlink/call"
 )
 
-// Hash stands for what a request asks for: two requests with one hash have the same
-// account, method, host, target and body, whatever their IDs are.
+// Hash is a hash of what a request asks for. It covers the account, the method, the host, the target
+// and the body, and not the request's ID.
 type Hash uint64
 
-// HashOf returns the hash of a call by an account; the account is empty where none is
-// needed.
+// HashOf returns the hash of a call by an account. The account is empty if calls need no key.
 func HashOf(account string, c *call.Call) Hash {
 	var d xxhash.Digest
 	d.Reset()
 	for _, s := range []string{account, c.Method, c.Host, c.Target} {
-		writeLength(&d, len(s)) // so that no two lists of fields read alike
-		_, _ = d.WriteString(s) // a hash takes whatever it is given
+		writeLength(&d, len(s)) // fields with the same concatenation must not collide
+		_, _ = d.WriteString(s) // never returns an error
 	}
 	_, _ = d.Write(c.Body)
 	return Hash(d.Sum64())
@@ -33,5 +32,5 @@
 	_, _ = d.Write(b[:])
 }
 
-// String returns the hash as logs show it.
+// String returns the hash in hexadecimal with 16 digits, as in logs.
 func (h Hash) String() string { return fmt.Sprintf("%016x", uint64(h)) }
--- a/content/hash_test.go
+++ b/content/hash_test.go
@@ -9,8 +9,8 @@
 	"birchlink.dev/birchlink/content"
 )
 
-// Only what is asked for and by whom tells two hashes apart, not what the request is
-// called or how long its caller waits.
+// The hash depends on what is asked for and by which account, and not on the request's ID, the
+// caller's timeout, the last event or the key.
 func TestHashOf(t *testing.T) {
 	base := call.Call{ID: "1", Method: "POST", Host: "h", Target: "/a?b", Body: []byte("body"), Timeout: 1}
 	same := base
--- a/once/table.go
+++ b/once/table.go
@@ -1,5 +1,5 @@
-// Package once is the memory of one process of what it has run for keys and
-// tickets: the arbiter that lets each run at most once.
+// Package once records what one process has run for idempotency keys and tickets, so that each is
+// run at most once.
 package once
 
 import (
@@ -11,18 +11,18 @@
 	"birchlink.dev/birchlink/errkind"
 )
 
-// State is how far a record is.
+// State is the progress of a record.
 type State int
 
-// The states of a record. From Open it may begin to run, from Running it never
-// goes back unless the run says that it did not happen.
+// The states of a record. An Open record may begin to run. A Running one becomes Open again only if
+// Finish says that the request did not run.
 const (
 	Open State = iota
 	Running
 	Done
 )
 
-// Record is what is known of one key or ticket. R is the kind of the result.
+// Record is the state of one key or ticket. R is the type of the result.
 type Record[R any] struct {
 	Nonce  uint64
 	Digest uint64
@@ -35,7 +35,7 @@
 	changed   chan struct{}
 }
 
-// Table holds the records of one process, by key or ticket.
+// Table holds the records of one process by key or ticket.
 type Table[R any] struct {
 	MaxRecords int
 	TTL        time.Duration
@@ -45,14 +45,14 @@
 	records map[string]*Record[R]
 }
 
-// NewTable returns a table of at most so many records, each kept for ttl.
-func NewTable[R any](most int, ttl time.Duration) *Table[R] {
-	return &Table[R]{MaxRecords: most, TTL: ttl, records: map[string]*Record[R]{}}
+// NewTable returns a table of at most maxRecords records, each kept for ttl.
+func NewTable[R any](maxRecords int, ttl time.Duration) *Table[R] {
+	return &Table[R]{MaxRecords: maxRecords, TTL: ttl, records: map[string]*Record[R]{}}
 }
 
-// GetOrCreate returns the record of a key, made now if there is none. A digest that
-// differs from the record's is an error of kind KeyReused; a full table one of
-// kind Overloaded.
+// GetOrCreate returns the record of a key, and reports whether it was created by this call. The
+// error is of kind KeyReused if the record has another digest, Overloaded if the table is full, and
+// Unavailable if it is closed.
 func (t *Table[R]) GetOrCreate(key string, digest uint64) (r *Record[R], fresh bool, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -71,7 +71,8 @@
 	return r, true, nil
 }
 
-// bindDigest binds a record without a digest to one, and refuses another.
+// bindDigest sets the digest of a record that has none, and returns an error of kind KeyReused if
+// the record's digest differs. A digest of zero stands for none.
 func (r *Record[R]) bindDigest(digest uint64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,8 +85,8 @@
 	return nil
 }
 
-// Close ends the table and returns its records, which no longer begin to run
-// here: another process may answer for them from now on.
+// Close closes the table and returns its records. They can't begin to run in this process any more,
+// since another process may take them over.
 func (t *Table[R]) Close() map[string]*Record[R] {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -98,8 +99,8 @@
 	return t.records
 }
 
-// TakeOver enters a record that another process gave away, unless its key is
-// known here.
+// TakeOver adds a record that another process handed off, unless the table has the key or is
+// closed.
 func (t *Table[R]) TakeOver(key string, r *Record[R]) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -108,13 +109,13 @@
 	}
 }
 
-// RestoreRecord returns a record as it was at another process: its age, its state,
-// and its result.
+// RestoreRecord returns a record with the state, the result and the age that it had in another
+// process.
 func RestoreRecord[R any](nonce, digest uint64, age time.Duration, s State, result R) *Record[R] {
 	return &Record[R]{Nonce: nonce, Digest: digest, createdAt: time.Now().Add(-age), state: s, result: result, changed: make(chan struct{})}
 }
 
-// Age returns how long ago the record was made.
+// Age returns the time since the record was created.
 func (r *Record[R]) Age() time.Duration { return time.Since(r.createdAt) }
 
 // Find returns the record of a key, if there is one.
@@ -125,15 +126,15 @@
 	return r, ok
 }
 
-// Drop forgets a record that this process does not answer for.
+// Drop removes the record of a key.
 func (t *Table[R]) Drop(key string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.records, key)
 }
 
-// expire drops old records that are not running, and returns how many. The
-// caller holds the lock.
+// expire drops records that are older than the TTL and not running, and returns their number. The
+// caller must hold the lock.
 func (t *Table[R]) expire(now time.Time) int {
 	n := 0
 	for k, r := range t.records {
@@ -148,9 +149,9 @@
 	return n
 }
 
-// TryBegin reports whether the caller may run the request now. It does so at most
-// once, unless a run was taken back. After limit since the record was made it
-// does so no more, since the claim behind it may have ended.
+// TryBegin reports whether the caller may run the request now. It returns true at most once, or
+// again after Finish with ran false. It returns false once the record is older than limit, since
+// the claim behind the record may have expired.
 func (r *Record[R]) TryBegin(limit time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -162,7 +163,7 @@
 	return true
 }
 
-// Finish ends a run with its result, or takes it back if it did not happen.
+// Finish ends a run with its result. If ran is false the request did not run, and may begin again.
 func (r *Record[R]) Finish(result R, ran bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -175,8 +176,7 @@
 	r.changed = make(chan struct{})
 }
 
-// PublishResult makes the result of a run that is under way known, such as a stream
-// that others may read too.
+// PublishResult sets the result of a run in progress, such as a stream that other callers may read.
 func (r *Record[R]) PublishResult(result R) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -185,14 +185,14 @@
 	r.changed = make(chan struct{})
 }
 
-// Snapshot returns the state and the result, and a channel that closes on change.
+// Snapshot returns the state and the result, and a channel that is closed at the next change.
 func (r *Record[R]) Snapshot() (State, R, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state, r.result, r.changed
 }
 
-// Wait returns the state and the result once they satisfy ok.
+// Wait returns the state and the result once ok accepts them.
 func (r *Record[R]) Wait(c context.Context, ok func(State, R) bool) (State, R, error) {
 	for {
 		s, v, changed := r.Snapshot()
--- a/reclaim/plan_test.go
+++ b/reclaim/plan_test.go
@@ -25,8 +25,8 @@
 	// long other moves with its cache
 }
 
-// Every stream has one move; no destination gets more than its room; transfers
-// fit into the notice; only replays recompute.
+// Every stream has one move, no destination gets more streams than it has free slots, the transfers
+// fit into the notice, and only replays compute tokens again.
 func TestPlanRespectsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(0, 60).Draw(t, "streams")
@@ -38,12 +38,12 @@
 				RemainingTokens: rapid.IntRange(0, 2000).Draw(t, "left"), TokensPerSecond: 50, CacheBytes: int64(n) << 17,
 			})
 		}
-		room := map[string]int{}
-		places := rapid.IntRange(0, 5).Draw(t, "destinations")
-		ds := make([]reclaim.Destination, 0, places)
-		for i := range places {
+		free := map[string]int{}
+		destinations := rapid.IntRange(0, 5).Draw(t, "destinations")
+		ds := make([]reclaim.Destination, 0, destinations)
+		for i := range destinations {
 			d := reclaim.Destination{Box: fmt.Sprint("d", i), Workloads: []string{"m"}, FreeSlots: rapid.IntRange(0, 8).Draw(t, "free")}
-			ds, room[d.Box] = append(ds, d), d.FreeSlots
+			ds, free[d.Box] = append(ds, d), d.FreeSlots
 		}
 		l := reclaim.Limits{Notice: time.Duration(rapid.IntRange(1, 60).Draw(t, "notice")) * time.Second, BytesPerSecond: 1 << 30}
 		l.Margin = l.Notice / 4
@@ -52,8 +52,8 @@
 		var bytes int64
 		for _, m := range ms {
 			if m.To != "" {
-				room[m.To]--
-				require.GreaterOrEqual(t, room[m.To], 0)
+				free[m.To]--
+				require.GreaterOrEqual(t, free[m.To], 0)
 			}
 			require.Equal(t, m.Action == reclaim.Replay, m.RecomputeTokens > 0)
 			for _, s := range ss {
--- a/recovery/decide.go
+++ b/recovery/decide.go
@@ -1,73 +1,74 @@
-// Package recovery decides what becomes of a request when its attempt breaks.
+// Package recovery decides how a request continues after its attempt was interrupted.
 package recovery
 
 import "birchlink.dev/birchlink/errkind"
 
-// Interruption is how an attempt ended before its answer was whole.
+// Interruption is how an attempt ended before its answer was complete.
 type Interruption int
 
-// The ways an attempt breaks.
+// The kinds of interruptions.
 const (
-	Refused      Interruption = iota // the endpoint said that it did not run
-	Unreachable                      // no connection came about: nothing was sent
+	Refused      Interruption = iota // the endpoint reports that the attempt did not run
+	Unreachable                      // no connection could be made: nothing was sent
 	Disconnected                     // the connection ended after the request was sent
-	Stalled                          // no token for too long
-	Restarted                        // the endpoint is another process now
-	NeverSeen                        // the endpoint never saw the attempt and will refuse it
-	Gone                             // the box was taken
-	Halted                           // the endpoint confirms that it stopped the attempt
+	Stalled                          // no token arrived within the timeout
+	Restarted                        // another process has the endpoint's address now
+	NeverSeen                        // the endpoint never received the attempt and will refuse it
+	Gone                             // the box was reclaimed
+	Halted                           // the endpoint confirms that the attempt was stopped
 )
 
-// String returns the word for a break in logs and metrics.
+// String returns the name of the interruption in logs and metrics.
 func (b Interruption) String() string {
 	return [...]string{"refused", "unreachable", "cut", "stalled", "restarted", "never_seen", "gone", "halted"}[b]
 }
 
-// Step is what to do next.
+// Step is what a request does next.
 type Step int
 
-// The steps.
+// The steps after an interruption.
 const (
-	Reattach Step = iota // read on from the same attempt
-	Stop                 // ask the endpoint to stop the attempt, then decide again
-	Failover             // go on at another endpoint from the next token
-	Fail                 // give up
+	Reattach Step = iota // continue to read the same attempt
+	Stop                 // ask the endpoint to stop the attempt and decide again
+	Failover             // start an attempt at another endpoint, from the next token
+	Fail                 // end the request with an error
 )
 
-// State is what the decision rests on. Tries counts reattachments of the
-// attempt since its last token, Attempts the attempts so far. Ran says that an
-// attempt, this one or an earlier, may have run.
+// State is the input of a decision.
 type State struct {
 	Interruption Interruption
 	Repeatable   bool
-	Reattaches   int
-	Attempts     int
-	MayHaveRun   bool
-	Expired      bool
-	HasBudget    bool
-
-	// Limit is the number of attempts allowed; zero is MaxAttempts. Charged says
-	// that the budget also pays for another attempt after a confirmed refusal.
-	MaxAttempts     int
+	Reattaches   int  // since the last token of the attempt
+	Attempts     int  // so far
+	MayHaveRun   bool // this attempt or an earlier one may have run
+	Expired      bool // the deadline has passed
+	HasBudget    bool // the retry budget allows another attempt
+
+	// MaxAttempts bounds the attempts; zero stands for the constant MaxAttempts.
+	MaxAttempts int
+
+	// ChargesRefusals requires budget for another attempt even if the last is confirmed not to run.
 	ChargesRefusals bool
 }
 
-// The bounds of the decision.
 const (
+	// MaxReattaches bounds the connections to one attempt without a new token.
 	MaxReattaches = 3
-	MaxAttempts   = 6
+
+	// MaxAttempts bounds the attempts of a request unless its State sets another bound.
+	MaxAttempts = 6
 )
 
-// Decision is a step; Kind says why for Fail.
+// Decision is the next step and the reason for it. Kind is the kind of error if the step is Fail.
 type Decision struct {
 	Step   Step
 	Kind   errkind.Kind
 	Reason string
 }
 
-// Decide returns the next step. It never lets two attempts of a request that is
-// not repeatable run at once: another attempt follows only on a confirmation
-// that the last did not run or has stopped.
+// Decide returns the next step. Two attempts of a request that is not repeatable never run at the
+// same time: another attempt follows only when the last one is confirmed not to have run or to have
+// stopped.
 func Decide(s State) Decision {
 	notRun := s.Interruption == Refused || s.Interruption == Unreachable || s.Interruption == NeverSeen
 	confirmed := notRun || s.Interruption == Halted
@@ -96,7 +97,7 @@
 	return MaxAttempts
 }
 
-// decideUnconfirmed decides for a request that is not repeatable and may still run.
+// decideUnconfirmed decides for a request that is not repeatable and whose attempt may still run.
 func decideUnconfirmed(s State) Decision {
 	switch s.Interruption {
 	case Restarted, Gone:
--- a/recovery/decide_test.go
+++ b/recovery/decide_test.go
@@ -33,8 +33,8 @@
 	return s
 }
 
-// A request that may not be repeated goes elsewhere only when its attempt is
-// confirmed not to run, and "not run" is only said of one that did not.
+// A request that is not repeatable fails over only if its attempt is confirmed not to run, and a
+// request that may have run is never reported as not run.
 func TestDecideInvariants(t *testing.T) {
 	confirmed := map[recovery.Interruption]bool{
 		recovery.Refused: true, recovery.Unreachable: true, recovery.NeverSeen: true, recovery.Halted: true,
@@ -54,8 +54,7 @@
 	})
 }
 
-// However an attempt breaks, a request without end of trouble is given up after
-// a bounded number of steps.
+// A repeatable request that is interrupted again and again fails after a bounded number of steps.
 func TestRecoveryIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := recovery.State{Repeatable: true, Attempts: 1, HasBudget: true}
@@ -71,6 +70,6 @@
 				return
 			}
 		}
-		t.Fatal("it does not end")
+		t.Fatal("recovery does not end")
 	})
 }
--- a/session/session.go
+++ b/session/session.go
@@ -1,5 +1,5 @@
-// Package session keeps a box's lease in the store. Renewing it is the cheapest
-// call that the store takes, so it also tells whether the store can be reached.
+// Package session keeps a box's lease in the store. Renewing the lease is the cheapest call of the
+// store, so its result also shows whether the store can be reached.
 package session
 
 import (
@@ -21,10 +21,10 @@
 // Name is the name of the service.
 const Name = "session"
 
-// The times of the lease. Three renewals may be lost before it ends. A box on
-// whose word others rest renews each RenewFast, so that a store that is silent to
-// it is noticed well within the 2 s in which a leaving endpoint must be known. A
-// store that is away is asked again after Retry.
+// The times of the lease. Three renewals may fail before it expires. A box whose reports other
+// boxes rely on renews every FastRenewInterval, so that it notices an unresponsive store well
+// within the 2 s in which a leaving endpoint must be known. A failed call is retried after
+// RetryDelay.
 const (
 	TTL               = 4 * time.Second
 	RenewInterval     = time.Second
@@ -32,9 +32,9 @@
 	RetryDelay        = 300 * time.Millisecond
 )
 
-// reportValidity is how long a box that was told by another that the store answers makes no call of its
-// own: its lease runs out meanwhile, and is taken anew when it is needed. Most boxes need none, and
-// their renewals would be most of all calls to the store.
+// reportValidity is how long a box makes no renewals after another box reported that the store
+// answers. The lease expires meanwhile, and a new one is taken when it is needed. Most boxes need
+// no lease, and their renewals would be most of the calls to the store.
 const reportValidity = 1500 * time.Millisecond
 
 // Session is the service of one box.
@@ -49,10 +49,10 @@
 	mu            sync.Mutex
 	lease         store.Lease
 	renewedAt     time.Time
-	reportedAt    time.Time // when the store answered another box that this one hears
+	reportedAt    time.Time // when the store last answered a box that reports to this one
 	reachable     bool
 	everAnswered  bool
-	reconnectedAt time.Time // when the store could last be reached again
+	reconnectedAt time.Time // when the store last became reachable again
 	onReconnect   []func()
 }
 
@@ -62,7 +62,7 @@
 // Name returns the service's name.
 func (s *Session) Name() string { return Name }
 
-// Start begins to keep the lease.
+// Start starts to renew the lease.
 func (s *Session) Start(context.Context, *kernel.Kernel) error {
 	c, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// Stop gives the lease back, so that others learn at once that the box left.
+// Stop revokes the lease, so that other boxes see at once that this box has left.
 func (s *Session) Stop(c context.Context) error {
 	s.cancel()
 	s.group.Wait()
@@ -81,45 +81,46 @@
 		return nil
 	}
 	if err := s.Store.Revoke(c, l); err != nil {
-		s.log.Info().Str("event", "lease").Err(err).Msg("not given back; it ends by itself")
+		s.log.Info().Str("event", "lease").Err(err).Msg("lease not revoked; it will expire")
 	}
 	return nil
 }
 
-// SetFast says whether others rest on this box's word of the store.
+// SetFast sets whether other boxes rely on this box's reports on the store. The lease is then
+// renewed every FastRenewInterval.
 func (s *Session) SetFast(on bool) { s.fast.Store(on) }
 
-// OnReconnect sets what is called when the store can be reached again after it
-// could not be.
+// OnReconnect registers f to be called when the store answers for the first time and whenever it
+// becomes reachable again.
 func (s *Session) OnReconnect(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.onReconnect = append(s.onReconnect, f)
 }
 
-// Lease returns the lease under which this box's own keys stand; zero for none.
+// Lease returns the lease that this box's own keys are bound to, or zero if there is none.
 func (s *Session) Lease() store.Lease {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lease
 }
 
-// MergeReport takes from another box for how long the store has not answered it.
+// MergeReport records a report of another box: the time since the store last answered that box.
 func (s *Session) MergeReport(silent time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reportedAt = later(s.reportedAt, boottime.Now().Add(-silent))
 }
 
-// StoreUnresponsiveFor returns for how long the store has answered neither a renewal nor the box that
-// tells this one of it.
+// StoreUnresponsiveFor returns the time since the store last answered a renewal or the box that
+// reports to this one.
 func (s *Session) StoreUnresponsiveFor() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return boottime.Since(s.lastAnswer())
 }
 
-// lastAnswer returns when the store last answered. The lock must be held.
+// lastAnswer returns when the store last answered. The caller must hold the lock.
 func (s *Session) lastAnswer() time.Time { return later(s.renewedAt, s.reportedAt) }
 
 func later(a, b time.Time) time.Time {
@@ -129,23 +130,23 @@
 	return b
 }
 
-// StoreLost reports whether the store has answered before and does not now.
+// StoreLost reports whether the store has answered before and did not answer the last call.
 func (s *Session) StoreLost() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.everAnswered && !s.reachable
 }
 
-// StoreUnreachable reports whether the store did not answer the last renewal, or has not answered
-// yet.
+// StoreUnreachable reports whether the store did not answer the last call, or has never answered.
 func (s *Session) StoreUnreachable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.reachable
 }
 
-// PingStore reports whether the store answers this box now. It makes a call, so that a box to
-// which the store has just become silent does not count on it: members renew seldom.
+// PingStore reports whether the store answers this box now. It makes a call, since a box renews
+// seldom while others report on the store, and may not have noticed yet that the store is
+// unresponsive.
 func (s *Session) PingStore(c context.Context) bool {
 	s.mu.Lock()
 	l, reached := s.lease, s.reachable
@@ -155,13 +156,13 @@
 	}
 	err := s.Store.Renew(c, l)
 	if errors.Is(err, store.ErrNoLease) {
-		err = nil // it answers; the next renewal takes a lease anew
+		err = nil // the store answers; the next renewal takes a new lease
 	}
 	s.recordResult(err)
 	return err == nil
 }
 
-// EnsureLease returns a lease that stands, and takes one anew if that of before has run out.
+// EnsureLease renews the lease, or takes a new one if the lease has expired, and returns it.
 func (s *Session) EnsureLease(c context.Context) (store.Lease, error) {
 	if err := s.renewOrGrant(c); err != nil {
 		return 0, err
@@ -169,8 +170,8 @@
 	return s.Lease(), nil
 }
 
-// OutageGrace returns for how long what vanished from the store may still be due to
-// an outage: within d of the store's return, and during an outage for all of d.
+// OutageGrace returns for how much longer the absence of a key may be the effect of an outage: d
+// while the store is unresponsive, and what is left of d after the store became reachable again.
 func (s *Session) OutageGrace(d time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -196,7 +197,7 @@
 	}
 }
 
-// awaitRenewal waits until the lease is to be renewed.
+// awaitRenewal waits until the lease is due for renewal or the store is unreachable.
 func (s *Session) awaitRenewal(c context.Context) {
 	began := boottime.Now()
 	for c.Err() == nil {
@@ -207,22 +208,22 @@
 	}
 }
 
-// renewInterval returns how often the lease is renewed now.
+// renewInterval returns the current interval between renewals.
 func (s *Session) renewInterval() time.Duration {
 	s.mu.Lock()
-	told := boottime.Since(s.reportedAt) < reportValidity
+	reported := boottime.Since(s.reportedAt) < reportValidity
 	s.mu.Unlock()
 	switch {
 	case s.fast.Load():
 		return FastRenewInterval
-	case told:
+	case reported:
 		return math.MaxInt64
 	default:
 		return RenewInterval
 	}
 }
 
-// renewOrGrant renews the lease, or takes one.
+// renewOrGrant renews the lease, or takes a new one if there is none or it has expired.
 func (s *Session) renewOrGrant(c context.Context) error {
 	l := s.Lease()
 	if l != 0 {
@@ -246,7 +247,7 @@
 	s.lease = l
 }
 
-// recordResult keeps whether the store answered, and tells of a change.
+// recordResult records whether the store answered, and logs and reports a change.
 func (s *Session) recordResult(err error) {
 	s.mu.Lock()
 	was := s.reachable
@@ -257,7 +258,7 @@
 	var call []func()
 	if err == nil && !was {
 		call = s.onReconnect
-		// The first answer ever is no return: nothing is known to have lapsed.
+		// The first answer of all ends no outage: no key is known to have lapsed.
 		if s.everAnswered {
 			s.reconnectedAt = s.renewedAt
 		}
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -17,8 +17,8 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// A box on whose word others rest notices a silent store soon, and does not take
-// one that answers for silent.
+// A box whose reports others rely on notices an unresponsive store soon, and never takes
+// one that answers for unresponsive.
 func TestFastRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
@@ -38,7 +38,8 @@
 	})
 }
 
-// A lease that ended is replaced, and the store's return is told once.
+// An expired lease is replaced, and OnReconnect's functions are called once for the first answer
+// and once for the store's return.
 func TestExpiredLeaseIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
@@ -71,9 +72,9 @@
 	return c.Memory.Renew(x, l)
 }
 
-// A box that is told that the store answers makes no calls, knows no less of the store,
-// and renews as before once it is told nothing more: it has a lease that stands then, and when it
-// asks for one.
+// A box makes no renewals while another box reports that the store answers, and its own figure
+// stays as current. EnsureLease returns a valid lease meanwhile. When the reports stop, the box
+// renews as usual and keeps that lease.
 func TestReportsReplaceRenewals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &countingStore{Memory: &memstore.Memory{}}
@@ -97,7 +98,7 @@
 	})
 }
 
-// What another box knew of the store while it was away is no sign of its return.
+// Reports of answers from before an outage don't count as the store's return.
 func TestStaleReportsDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
@@ -117,8 +118,8 @@
 	})
 }
 
-// A box that renews seldom, as another tells it of the store, finds out by a check that
-// the store is silent, and that it answers again.
+// A box that renews seldom because of another's reports learns by PingStore that the store is
+// unresponsive, and that it answers again.
 func TestPingStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
@@ -141,8 +142,8 @@
 	})
 }
 
-// A box that wakes from a suspension does not take what it heard before for fresh, and has a
-// lease again soon.
+// A box that wakes from a suspension doesn't take answers from before it for recent, and has a new
+// lease soon.
 func TestWakeFromSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
--- a/sse/reader.go
+++ b/sse/reader.go
@@ -1,4 +1,4 @@
-// Package sse reads a stream of server-sent events, whole events only.
+// Package sse reads streams of server-sent events and returns only complete events.
 package sse
 
 import (
@@ -10,28 +10,29 @@
 	"strings"
 )
 
-// maxEventBytes bounds one event in bytes; events hold a few tokens.
+// maxEventBytes bounds one event. Events hold a few tokens.
 const maxEventBytes = 1 << 20
 
-// ErrTruncated says that a stream ended inside an event.
+// ErrTruncated is returned by Next if the stream ends inside an event.
 var ErrTruncated = errors.New("the stream ended inside an event")
 
-// Event is one event as it came, with the empty line that ends it. ID is empty
-// where the event has none.
+// Event is one event. Raw holds the event as received, with the empty line that ends it. ID is empty
+// if the event has no ID.
 type Event struct {
 	ID  string
 	Raw []byte
 }
 
-// Reader reads events.
+// Reader reads events from a stream.
 type Reader struct {
 	r *bufio.Reader
 }
 
-// NewReader returns a reader of a body.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader { return &Reader{r: bufio.NewReader(r)} }
 
-// Next returns the next whole event, or io.EOF at the end of the stream.
+// Next returns the next complete event. The error is io.EOF at the end of the stream, and
+// ErrTruncated if the stream ends inside an event.
 func (r *Reader) Next() (Event, error) {
 	var e Event
 	for {
--- a/stream/choose.go
+++ b/stream/choose.go
@@ -19,25 +19,25 @@
 	"birchlink.dev/birchlink/view"
 )
 
-// maxLoggedCandidates bounds the candidates that a log line names.
+// maxLoggedCandidates bounds the candidates listed in one routing decision of the log.
 const maxLoggedCandidates = 4
 
-// The bounds of a request for which there is no room here: so many boxes of
-// other data centres are asked, and then its caller is told to come back.
+// A request that this data centre can't admit is offered to at most maxRemoteAttempts boxes of
+// other data centres. Its caller is then told to retry after remoteRetryAfter.
 const (
 	maxRemoteAttempts = 2
 	remoteRetryAfter  = 2 * time.Second
 )
 
-// candidate is an endpoint that may run a workload, and how well it meets the
-// selectors' preferences.
+// candidate is an endpoint that may run a workload, with the share of the selectors' preferences
+// that it meets.
 type candidate struct {
 	*view.Slot
 	preference float64
 }
 
-// endpointIndex remembers which endpoints may run each workload, as one snapshot and
-// one document have it: selectors are read once for both, not for each request.
+// endpointIndex caches the endpoints that may run each workload, for one snapshot of the fleet and
+// one configuration. Selectors are evaluated once for the pair and not for each request.
 type endpointIndex struct {
 	snapshot *view.Snapshot
 	document *config.Document
@@ -47,8 +47,8 @@
 	byWorkload map[string][]candidate
 }
 
-// eligible returns the endpoints that may run a workload: live, loaded, allowed and
-// in this data centre.
+// eligible returns the endpoints that may run a workload: usable, with the workload loaded, allowed
+// by the selectors and in this data centre.
 func (x *endpointIndex) eligible(workload string) []candidate {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -71,7 +71,7 @@
 	return cs
 }
 
-// currentIndex returns the index of the present snapshot and document.
+// currentIndex returns the index of the current snapshot and configuration.
 func (k *Service) currentIndex(d *config.Document) *endpointIndex {
 	n := k.view.Snapshot()
 	x := k.endpointIndex.Load()
@@ -82,32 +82,32 @@
 	return x
 }
 
-// candidates holds the targets of one decision and the slots behind them, kept
-// between decisions so that a decision does not allocate with the fleet's size.
+// candidates holds the targets of one decision and the slots behind them. It is reused between
+// decisions, so that a decision allocates nothing that grows with the fleet.
 type candidates struct {
 	targets []router.Target
 	slots   []*view.Slot
 }
 
-// gather fills the candidates, but for those to be avoided and those that rest.
-func (c *candidates) gather(cs []candidate, held string, avoid map[string]bool, rests *rest.BackOffs) {
+// gather fills c with the endpoints of cs that are neither in avoid nor backing off.
+func (c *candidates) gather(cs []candidate, cachedOn string, avoid map[string]bool, backOffs *rest.BackOffs) {
 	c.targets, c.slots = c.targets[:0], c.slots[:0]
 	now := boottime.Now()
-	none := rests.IsEmpty(now)
+	noneBackingOff := backOffs.IsEmpty(now)
 	for _, s := range cs {
-		if avoid[s.Name] || !none && rests.Remaining(s.Process(), now) > 0 {
+		if avoid[s.Name] || !noneBackingOff && backOffs.Remaining(s.Process(), now) > 0 {
 			continue
 		}
 		c.slots = append(c.slots, s.Slot)
 		c.targets = append(c.targets, router.Target{
 			Box: s.Name, Hash: s.Hash, Busy: s.Busy(), Slots: s.Slots, TokensPerSecond: s.TokensPerSecond,
-			Preference: s.preference, PrefixCached: s.Name == held,
+			Preference: s.preference, PrefixCached: s.Name == cachedOn,
 		})
 	}
 }
 
-// choose picks the endpoint of the next attempt, or a peer in another data
-// centre when there is none here.
+// choose picks the endpoint of the next attempt, or a box in another data centre if there is none
+// in this one.
 func (r *run) choose(c context.Context) error {
 	d := r.k.follower.Current()
 	if d == nil {
@@ -123,9 +123,9 @@
 	b := r.k.buffers.Get().(*candidates)
 	defer r.k.buffers.Put(b)
 	prefix := engine.Prefix(r.s.Workload, r.s.Prompt)
-	held, _ := r.k.prefixes.Get(prefix)
+	cachedOn, _ := r.k.prefixes.Get(prefix)
 	cs := r.k.currentIndex(d).eligible(r.s.Workload)
-	b.gather(cs, held, r.avoid, &r.k.view.Rests)
+	b.gather(cs, cachedOn, r.avoid, &r.k.view.Rests)
 	q := router.Query{
 		Prefix: prefix, PromptTokens: engine.PromptTokens(r.s.Prompt), AnswerTokens: r.s.MaxTokens - r.splice.Next,
 		Urgent: r.s.Kind.Urgent(), Deadline: time.Until(r.s.Deadline),
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// withRetryAfter tells who is refused for want of an endpoint when the first one's rest is over, if
-// all that there are have asked for one.
+// withRetryAfter adds a Retry-After to a NoEndpoint error: the time until the first endpoint's
+// back-off period is over, if all of them are backing off.
 func (r *run) withRetryAfter(cs []candidate, err error) error {
 	var e *errkind.Error
 	if !errors.As(err, &e) || e.Kind != errkind.NoEndpoint {
@@ -151,7 +151,8 @@
 	return e.After(left)
 }
 
-// pick takes the endpoint that a reclaim plan named, or asks the policy.
+// pick returns the destination that a reclaim plan named, if it is a target, and asks the routing
+// policy otherwise.
 func (r *run) pick(b *candidates, q router.Query) router.Choice {
 	p := r.preferredBox
 	r.preferredBox = ""
@@ -163,8 +164,8 @@
 	return r.k.policy().Pick(b.targets, q)
 }
 
-// overflow sends the request to the entry boxes of another data centre. One
-// that came from there already is not sent on.
+// overflow sends the request to an entry box of another data centre. A request that came from
+// another data centre is not sent on.
 func (r *run) overflow() error {
 	var ms []member.Member
 	for _, m := range r.k.members.Up("") {
@@ -198,8 +199,7 @@
 	k.decisions.Note(d)
 }
 
-// destinationEndpoints are the endpoints that can take streams from a box that leaves,
-// with this box's part of their free slots.
+// destinationEndpoints returns the usable engines of this data centre by name.
 func (k *Service) destinationEndpoints() map[string]fleet.Endpoint {
 	m := map[string]fleet.Endpoint{}
 	for _, s := range k.view.Slots() {
--- a/stream/choose_test.go
+++ b/stream/choose_test.go
@@ -18,7 +18,8 @@
 	"birchlink.dev/birchlink/view"
 )
 
-// parseDocument has ten models, each with a selector that asks and prefers.
+// parseDocument returns a configuration of ten models, each with a selector that has requirements
+// and preferences.
 func parseDocument(tb testing.TB) *config.Document {
 	var b strings.Builder
 	for i := range 10 {
@@ -41,8 +42,8 @@
 	return ss
 }
 
-// Only endpoints that are live, loaded, allowed, near and not to be avoided are
-// candidates.
+// The candidates are the endpoints that are live, loaded, allowed, in the box's own data centre, not
+// to be avoided and not backing off.
 func TestGather(t *testing.T) {
 	d, ms := config.Parse(1, []byte("[model \"m\"]\nversions = 1\n[selector \"s\"]\nworkloads = m*\nrequire = class=new\n"))
 	require.Empty(t, ms)
@@ -57,18 +58,18 @@
 	ss[6].Incarnation = ""
 	var c candidates
 	x := &endpointIndex{snapshot: &view.Snapshot{Slots: ss}, document: d, dc: "a"}
-	var rests rest.BackOffs
-	c.gather(x.eligible("m@1"), "", map[string]bool{"box-5": true}, &rests)
+	var backOffs rest.BackOffs
+	c.gather(x.eligible("m@1"), "", map[string]bool{"box-5": true}, &backOffs)
 	require.Len(t, c.targets, 1)
 	require.Equal(t, "box-0", c.targets[0].Box)
-	rests.Extend(ss[0].Process(), time.Minute, boottime.Now())
-	c.gather(x.eligible("m@1"), "", nil, &rests)
+	backOffs.Extend(ss[0].Process(), time.Minute, boottime.Now())
+	c.gather(x.eligible("m@1"), "", nil, &backOffs)
 	require.Len(t, c.targets, 1)
 	require.Equal(t, "box-5", c.targets[0].Box)
 }
 
-// BenchmarkRoute is the whole routing decision but for its log line: gathering
-// the candidates and choosing one.
+// BenchmarkRoute measures a routing decision without its log line: gathering the candidates and
+// choosing one.
 func BenchmarkRoute(b *testing.B) {
 	d := parseDocument(b)
 	for _, n := range []int{9, 37, 111, 333} {
--- a/stream/leave.go
+++ b/stream/leave.go
@@ -11,8 +11,7 @@
 	"birchlink.dev/birchlink/view"
 )
 
-// moveAway takes the stream away from its endpoint as the reclaim plan says, or
-// from this box.
+// moveAway moves the stream off its endpoint as the reclaim plan says, or hands it over to a peer.
 func (r *run) moveAway(c context.Context) (outcome, recovery.Interruption) {
 	if r.pending.peer.Address != "" {
 		return r.handOver(c, r.pending.peer)
@@ -34,8 +33,8 @@
 	return r.failOver(c, b)
 }
 
-// stopWithTimeout stops the attempt, but not for longer than it takes to see that
-// the endpoint does not answer.
+// stopWithTimeout stops the attempt, and gives up after settleTimeout if the endpoint doesn't
+// answer.
 func (r *run) stopWithTimeout(c context.Context) (outcome, recovery.Interruption) {
 	x, cancel := context.WithTimeout(c, settleTimeout)
 	defer cancel()
@@ -46,11 +45,11 @@
 	return e, b
 }
 
-// maxImportTargets is how many endpoints are tried for an exported cache.
+// maxImportTargets bounds the endpoints that an exported cache is offered to.
 const maxImportTargets = 3
 
-// transfer moves the KV cache to another endpoint and goes on there. It reports
-// false if nothing was exported; otherwise the attempt here has stopped.
+// transfer moves the stream's KV cache to another endpoint and continues there. The last result is
+// false if the cache was not exported or the exporting attempt is not known to have stopped.
 func (r *run) transfer(c context.Context, to string) (outcome, recovery.Interruption, bool) {
 	if r.target.slot == nil {
 		return interrupted, 0, false
@@ -69,8 +68,8 @@
 	return e, b, true
 }
 
-// importAndResume goes on at the first endpoint that takes the exported cache and the
-// attempt: what this box knows of the planned one may be old.
+// importAndResume continues at the first endpoint that imports the cache and accepts the attempt.
+// The planned endpoint may refuse, since this box's information on it may be stale.
 func (r *run) importAndResume(c context.Context, f engine.Export, to string) (outcome, recovery.Interruption) {
 	for _, d := range r.importTargets(to) {
 		x, cancel := context.WithTimeout(c, settleTimeout)
@@ -89,11 +88,12 @@
 		}
 		r.logDecision("move", "refused the attempt")
 	}
-	// No endpoint runs the stream now, and the last that did confirmed its stop.
+	// The exporting endpoint has confirmed its stop, so no endpoint runs the stream now.
 	return interrupted, recovery.Halted
 }
 
-// importTargets are the planned destination and others that may do as well.
+// importTargets returns the planned destination followed by the least busy of the other endpoints
+// that may run the workload.
 func (r *run) importTargets(to string) []*view.Slot {
 	d := r.k.follower.Current()
 	var ss []*view.Slot
@@ -110,7 +110,7 @@
 	return ss[:min(len(ss), maxImportTargets)]
 }
 
-// plannedFirst orders the endpoint on a box before the others.
+// plannedFirst is a sort key that puts the endpoint on the planned box first.
 func plannedFirst(s *view.Slot, box string) int {
 	if s.Name == box {
 		return 0
@@ -118,7 +118,7 @@
 	return 1
 }
 
-// setTarget makes an endpoint the target of the next attempt.
+// setTarget sets the endpoint, or the peer, of the next attempt.
 func (r *run) setTarget(t target) {
 	r.target = t
 	if t.slot != nil {
@@ -128,7 +128,7 @@
 	r.executor = peerExecutor{client: r.k.peers.Client, address: t.address, stream: r.s}
 }
 
-// reclaimInput is a stream as the reclaim plan sees it.
+// reclaimInput describes a stream to the planner of a reclaim.
 func reclaimInput(s *Stream, rate float64) reclaim.Stream {
 	n := s.Len()
 	computed := engine.PromptTokens(s.Prompt) + n
@@ -138,6 +138,5 @@
 	}
 }
 
-// kvBytesPerToken is what a token's KV cache takes in a transfer, by the
-// engines' published figure.
+// kvBytesPerToken is the size of a token's KV cache in a transfer, as published for the engines.
 const kvBytesPerToken = 100 << 10
--- a/stream/relay.go
+++ b/stream/relay.go
@@ -19,14 +19,14 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// attemptsPerRelay keeps the attempts that a relay makes apart from others of
-// the same request.
+// attemptsPerRelay is how many attempt numbers are reserved for each relay of a request, so that
+// they differ from those of its other attempts.
 const attemptsPerRelay = 100
 
 func compare(a, b string) int { return cmp.Compare(a, b) }
 
-// relayRequest asks a peer in another data centre to go on with a request after
-// some tokens, or with Resume to read on what it has.
+// relayRequest asks a peer in another data centre to continue a request after the given tokens. With
+// Resume set it asks for the tokens of a relay that exists.
 type relayRequest struct {
 	Request Request
 	Tokens  []string
@@ -35,7 +35,7 @@
 	Resume  bool
 }
 
-// handoverRequest is a stream that a peer goes on with, from the same attempt.
+// handoverRequest asks a peer to take over a stream and its current attempt.
 type handoverRequest struct {
 	Request     Request
 	Tokens      []string
@@ -55,7 +55,7 @@
 	From    int
 }
 
-// indexedToken is one token of a stream on its way to a peer.
+// indexedToken is one token of a stream that is sent to a peer.
 type indexedToken struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -74,7 +74,7 @@
 	})
 }
 
-// serveRelay runs or reads a request for another data centre.
+// serveRelay runs a request for another data centre, or resumes reading one.
 func (k *Service) serveRelay(c context.Context, body []byte, send func(any) error) (any, error) {
 	var q relayRequest
 	if err := msgpack.Unmarshal(body, &q); err != nil {
@@ -87,19 +87,21 @@
 	return nil, s.Read(c, q.From, func(i int, t string) error { return send(indexedToken{Index: i, Token: t}) })
 }
 
+// startRelayed returns the stream of a relayed request. Unless q resumes one, the request passes
+// admission and is started.
 func (k *Service) startRelayed(q relayRequest) (*Stream, error) {
 	id := relayID(q.Request.ID, q.Attempt)
 	if q.Resume {
 		return k.Find(id)
 	}
-	leave, err := k.admission.Enter(q.Request.Admission())
+	release, err := k.admission.Enter(q.Request.Admission())
 	if err != nil {
 		return nil, err
 	}
 	s := newStream(q.Request)
 	s.ID, s.tokens, s.relayed = id, q.Tokens, true
 	k.launch(s, func(c context.Context) {
-		defer leave()
+		defer release()
 		r := newRun(k, s)
 		r.attempt = q.Attempt * attemptsPerRelay
 		r.start(c)
@@ -107,7 +109,7 @@
 	return s, nil
 }
 
-// relayID names a request at the peer that carries it for another data centre.
+// relayID is the ID of a request at the peer that runs it for another data centre.
 func relayID(id string, attempt int) string { return fmt.Sprintf("%s.%d", id, attempt) }
 
 func (k *Service) serveRead(c context.Context, body []byte, send func(any) error) (any, error) {
@@ -122,7 +124,8 @@
 	return nil, s.Read(c, q.From, func(i int, t string) error { return send(indexedToken{Index: i, Token: t}) })
 }
 
-// findOwned returns a stream if it is the account's.
+// findOwned returns a stream of the account. The error is of kind UnknownRequest, also if the
+// stream belongs to another account.
 func (k *Service) findOwned(id, account string) (*Stream, error) {
 	s, err := k.Find(id)
 	if err == nil && s.Account != account {
@@ -131,8 +134,8 @@
 	return s, err
 }
 
-// ReadAnywhere reads an account's request from an index on, wherever in the
-// data centre, or else in another, it is.
+// ReadAnywhere reads the tokens of an account's request from an index on, from whichever box has the
+// stream.
 func (k *Service) ReadAnywhere(c context.Context, id, account string, from int, each func(int, string) error) error {
 	if s, err := k.findOwned(id, account); err == nil && !isHandedOver(s) {
 		return s.Read(c, from, each)
@@ -159,8 +162,8 @@
 	return done && errors.As(err, &m)
 }
 
-// HandOver gives every live stream to peers of the data centre, and returns how
-// many it told to go.
+// HandOver asks every live stream to continue at a peer of this data centre, and returns the number
+// of streams. It returns 0 if there is no peer.
 func (k *Service) HandOver() int {
 	var ms []member.Member
 	for _, m := range k.members.Up(k.dc) {
@@ -181,8 +184,8 @@
 	return len(ss)
 }
 
-// handOver gives this stream to a peer. If it is not certain that the peer did
-// not take it, this box only reads on and starts nothing more.
+// handOver hands the stream over to a peer. If the peer may have adopted the stream without
+// confirming it, this box only continues to read and starts no other attempt.
 func (r *run) handOver(c context.Context, to member.Member) (outcome, recovery.Interruption) {
 	if r.target.slot == nil {
 		return r.reattach(c)
@@ -207,7 +210,7 @@
 	return r.reattach(c)
 }
 
-// adopt goes on with a stream of a peer that stops.
+// adopt takes over a stream from a peer that is stopping.
 func (k *Service) adopt(_ context.Context, h handoverRequest) (struct{}, error) {
 	if k.base.Err() != nil || k.draining.Load() {
 		return struct{}{}, errkind.New(errkind.Stopping, "this box stops too")
@@ -230,40 +233,40 @@
 	return struct{}{}, nil
 }
 
-// Drain makes the keeper refuse streams of others that stop.
+// Drain makes the service refuse streams that other boxes hand over.
 func (k *Service) Drain() { k.draining.Store(true) }
 
-// peerExecutor is the place of an entry box in another data centre.
+// peerExecutor runs attempts at an entry box of another data centre.
 type peerExecutor struct {
 	client  *peer.Client
 	address string
 	stream  *Stream
 }
 
-// Generate has the peer run the request from the next token on.
+// Generate asks the peer to run the request from the next token on.
 func (p peerExecutor) Generate(c context.Context, q engine.Request) (lineStream, error) {
 	ts, _, _, _ := p.stream.snapshot(0)
 	return p.open(c, relayRequest{Request: p.stream.Request, Tokens: ts[:q.From], Attempt: q.Attempt, From: q.From})
 }
 
-// Resume reads on what the peer has.
+// Resume reads the tokens of an attempt that the peer already runs.
 func (p peerExecutor) Resume(c context.Context, a engine.Attempt) (lineStream, error) {
 	return p.open(c, relayRequest{Request: p.stream.Request, Attempt: a.Attempt, From: a.From, Resume: true})
 }
 
-// Cancel is not confirmed by peers: they stop a stream that nobody reads.
+// Cancel always fails: peers don't confirm a cancel. They stop a stream that nobody reads.
 func (p peerExecutor) Cancel(context.Context, engine.Attempt) (engine.Cancelled, error) {
 	return engine.Cancelled{}, errkind.New(errkind.Unavailable, "a peer does not confirm a cancel")
 }
 
-// peerLineStream are the lines of an attempt that a peer carries.
+// peerLineStream is the stream of lines of an attempt that a peer runs.
 type peerLineStream struct {
 	lines chan engine.Line
 	stop  context.CancelFunc
 }
 
-// open waits for the first token or the refusal, so that a refusal is known as
-// such.
+// open waits for the first token or the refusal, so that a refusal is returned as an error of
+// opening the stream.
 func (p peerExecutor) open(c context.Context, q relayRequest) (lineStream, error) {
 	x, stop := context.WithCancel(c)
 	l := &peerLineStream{lines: make(chan engine.Line, lineBufferSize), stop: stop}
@@ -276,7 +279,8 @@
 	return l, nil
 }
 
-// receive reads the peer's items into lines, and says how it started.
+// receive converts the tokens of the peer to lines. It sends nil to started with the first token,
+// or the error if there is none.
 func (p peerExecutor) receive(c context.Context, q relayRequest, l *peerLineStream, started chan<- error) {
 	defer close(l.lines)
 	first := sync.OnceFunc(func() { started <- nil })
@@ -295,7 +299,7 @@
 	if err != nil {
 		select {
 		case started <- err:
-		default: // it had started: the lines end without an end mark
+		default: // a token was received before: the lines end without an end mark
 		}
 		return
 	}
@@ -313,7 +317,7 @@
 	}
 }
 
-// Next returns the next line.
+// Next returns the next line, or io.EOF.
 func (l *peerLineStream) Next() (engine.Line, error) {
 	n, ok := <-l.lines
 	if !ok {
@@ -322,13 +326,13 @@
 	return n, nil
 }
 
-// Close ends the reading.
+// Close cancels the call to the peer.
 func (l *peerLineStream) Close() error {
 	l.stop()
 	return nil
 }
 
-// engineError says with the engine's errors what a peer's refusal means.
+// engineError converts a peer's error to the engine error of the same meaning.
 func engineError(err error) error {
 	e := errkind.Of(err)
 	switch {
@@ -337,19 +341,20 @@
 	case e.Kind == errkind.Unavailable, e.Kind == errkind.CallerGone:
 		return err
 	default:
-		// The peer's word that it failed is final: there is nothing to read on.
+		// The peer reported that the request failed: there is nothing to resume.
 		return fmt.Errorf("%w: %w", engine.ErrRestarted, err)
 	}
 }
 
-// WaitDrained waits until no stream is left, or the context ends.
+// WaitDrained waits until no stream is live, and reports whether that happened before the context
+// ended.
 func (k *Service) WaitDrained(c context.Context) bool {
-	const look = 50 * time.Millisecond
+	const pollInterval = 50 * time.Millisecond
 	for k.Live() > 0 {
 		if c.Err() != nil {
 			return false
 		}
-		wait.For(c, look)
+		wait.For(c, pollInterval)
 	}
 	return true
 }
--- a/stream/run.go
+++ b/stream/run.go
@@ -18,36 +18,36 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// The times of a run. A stream without a token for stallFirst or stallNext is
-// taken to be stuck.
+// A stream that receives no token within the timeout for its first or next token is taken to be
+// stalled.
 const (
 	maxFirstTokenTimeout = 10 * time.Second
 	minFirstTokenTimeout = 2 * time.Second
 	nextTokenTimeout     = 2 * time.Second
-	reattachBackOff      = 50 * time.Millisecond
-	retryInterval        = 250 * time.Millisecond
-	settleTimeout        = 2 * time.Second
+	reattachBackOff      = 50 * time.Millisecond  // doubles with every attempt to reattach
+	retryInterval        = 250 * time.Millisecond // between cancels, and between searches for an endpoint
+	settleTimeout        = 2 * time.Second        // of a cancel, a transfer or a handover
 )
 
-// outcome is how a pump of lines ended.
+// outcome is the result of reading the lines of an attempt.
 type outcome int
 
 const (
-	interrupted    outcome = iota // recovery decides
-	answerComplete                // the answer is whole
-	moveRequested                 // the stream leaves its endpoint
-	runDone                       // nothing is left to do here
+	interrupted    outcome = iota // recovery decides on the next step
+	answerComplete                // the end mark of a complete answer was read
+	moveRequested                 // the stream must leave its endpoint or this box
+	runDone                       // the stream was finished or handed over
 )
 
-// moveRequest tells a run to leave the endpoint on a box, or to go to the peer at an
-// address.
+// moveRequest asks a run to leave the endpoint on a box, or to hand the stream over to a peer if
+// that has an address.
 type moveRequest struct {
 	box  string
 	move reclaim.Move
 	peer member.Member
 }
 
-// run is one stream on its way through its attempts.
+// run is the execution of one stream, over all its attempts.
 type run struct {
 	k            *Service
 	s            *Stream
@@ -57,15 +57,15 @@
 	attempt      int
 	reattaches   int
 	mayHaveRun   bool
-	maybeAdopted bool
-	kvHandle     string
-	preferredBox string
+	maybeAdopted bool   // a peer may have taken the stream over
+	kvHandle     string // imported cache for the next attempt
+	preferredBox string // box of the next attempt by the reclaim plan
 	avoid        map[string]bool
 	pending      moveRequest
-	contentHash  content.Hash // what the stream asks for
+	contentHash  content.Hash
 }
 
-// target is the endpoint, or the peer in another data centre, of an attempt.
+// target is the endpoint of an attempt, or a box in another data centre if slot is nil.
 type target struct {
 	box         string
 	incarnation string
@@ -80,7 +80,7 @@
 	}
 }
 
-// start chooses an endpoint and drives the stream to its end.
+// start chooses an endpoint and runs the stream until it ends.
 func (r *run) start(c context.Context) {
 	if err := r.choose(c); err != nil {
 		r.s.finish(err)
@@ -90,7 +90,8 @@
 	r.drive(c, e, b)
 }
 
-// drive goes on from the end of a pump until the stream is finished.
+// drive acts on the outcome of an attempt, and on those of the attempts that follow, until the run
+// is done.
 func (r *run) drive(c context.Context, e outcome, b recovery.Interruption) {
 	for {
 		switch e {
@@ -122,7 +123,7 @@
 	}
 }
 
-// decide asks recovery, and notes what it says.
+// decide returns the next step after an interruption, and logs the reason.
 func (r *run) decide(c context.Context, b recovery.Interruption) recovery.Decision {
 	if b == recovery.Disconnected && r.target.slot != nil && c.Err() == nil {
 		r.k.suspects.RecordFailure(c, r.contentHash, r.target.slot.Process(), r.target.address)
@@ -152,7 +153,7 @@
 	})
 }
 
-// generate begins a new attempt at the target.
+// generate starts a new attempt at the target.
 func (r *run) generate(c context.Context) (outcome, recovery.Interruption) {
 	r.attempt++
 	r.reattaches = 0
@@ -167,14 +168,15 @@
 	return r.readAttempt(c, func(x context.Context) (lineStream, error) { return r.executor.Generate(x, q) }, false)
 }
 
-// reattach reads on from the attempt that there is.
+// reattach continues to read the current attempt.
 func (r *run) reattach(c context.Context) (outcome, recovery.Interruption) {
 	return r.readAttempt(c, func(x context.Context) (lineStream, error) {
 		return r.executor.Resume(x, r.s.attempt(r.attempt, r.target.incarnation, r.splice.Next))
 	}, true)
 }
 
-// readAttempt opens a stream of lines and reads it until it ends in some way.
+// readAttempt opens a stream of lines and reads it until the attempt is complete, is interrupted or
+// must move.
 func (r *run) readAttempt(c context.Context, open func(context.Context) (lineStream, error), resumed bool) (outcome, recovery.Interruption) {
 	done := r.k.trackSent(r.target)
 	defer done()
@@ -216,8 +218,8 @@
 	}
 }
 
-// recordBackOff keeps for how long an engine that refused wants nothing: it has the most free slots,
-// and would get every stream.
+// recordBackOff stores the back-off period that an engine asked for when it refused. A refusing
+// engine has the most free slots, and would otherwise be chosen for every stream.
 func (r *run) recordBackOff(err error) {
 	var e *engine.RestError
 	if r.target.slot != nil && errors.As(err, &e) {
@@ -225,9 +227,11 @@
 	}
 }
 
-// openWithTimeout bounds how long an endpoint may take to answer at all, and reports
-// whether it took longer.
-func (r *run) openWithTimeout(x context.Context, cancel context.CancelFunc, open func(context.Context) (lineStream, error)) (l lineStream, late bool, err error) {
+// openWithTimeout opens a stream of lines and reports whether that exceeded the timeout for the
+// first token.
+func (r *run) openWithTimeout(
+	x context.Context, cancel context.CancelFunc, open func(context.Context) (lineStream, error),
+) (l lineStream, late bool, err error) {
 	t := time.AfterFunc(r.firstTokenTimeout(x), cancel)
 	l, err = open(x)
 	if t.Stop() {
@@ -239,8 +243,7 @@
 	return nil, true, err
 }
 
-// firstTokenTimeout is how long a run waits for its first token: a third of the time
-// that its caller has left, within bounds.
+// firstTokenTimeout returns a third of the time until the deadline, within the bounds.
 func (r *run) firstTokenTimeout(c context.Context) time.Duration {
 	d, ok := c.Deadline()
 	if !ok {
@@ -249,7 +252,7 @@
 	return min(max(time.Until(d)/3, minFirstTokenTimeout), maxFirstTokenTimeout)
 }
 
-// handleLine gives a line to the splicer. The last result says that the pump ends.
+// handleLine passes a line to the splicer. The last result reports whether reading ends.
 func (r *run) handleLine(l engine.Line) (outcome, recovery.Interruption, bool) {
 	switch r.splice.Take(l) {
 	case splice.Accepted:
@@ -267,8 +270,8 @@
 	return interrupted, 0, false
 }
 
-// recordLine adds what the attempt computed again, and learns where the prompt's
-// prefix is cached.
+// recordLine counts the tokens that the attempt computed again, and stores on which box the
+// prompt's prefix is cached.
 func (r *run) recordLine(l engine.Line) {
 	if r.target.slot != nil {
 		r.k.prefixes.Add(engine.Prefix(r.s.Workload, r.s.Prompt), r.target.box)
@@ -286,8 +289,8 @@
 	return recovery.Disconnected
 }
 
-// isGone reports whether the endpoint's box was taken, or the peer that carries
-// the stream has ended.
+// isGone reports whether the endpoint's box was reclaimed, or the peer that carries the stream has
+// terminated.
 func (r *run) isGone() bool {
 	if r.target.slot != nil {
 		return r.k.isGone(r.target.box)
@@ -296,8 +299,8 @@
 	return !up || m.Box != r.target.box
 }
 
-// failOver goes on at another endpoint. The attempt that broke is told to
-// stop, where that was not confirmed.
+// failOver continues the stream at another endpoint. It cancels the interrupted attempt unless that
+// is confirmed not to run.
 func (r *run) failOver(c context.Context, b recovery.Interruption) (outcome, recovery.Interruption) {
 	if b == recovery.Disconnected || b == recovery.Stalled {
 		r.cancelAttempt()
@@ -314,7 +317,7 @@
 		r.s.finish(err)
 		return runDone, 0
 	case r.s.remoteOnly && !r.mayHaveRun:
-		// Nobody accepted it, so it is refused at once.
+		// No box has accepted the request yet, so it is refused at once.
 		r.s.finish(err)
 		return runDone, 0
 	default:
@@ -322,7 +325,8 @@
 	}
 }
 
-// awaitEndpoint waits a little for an endpoint, since the request was accepted.
+// awaitEndpoint retries until an endpoint is available or the deadline passes, since the request was
+// accepted and must not be refused for want of an endpoint now.
 func (r *run) awaitEndpoint(c context.Context, err error) (outcome, recovery.Interruption) {
 	clear(r.avoid)
 	for c.Err() == nil {
@@ -335,7 +339,7 @@
 	return interrupted, recovery.Unreachable
 }
 
-// cancelAttempt asks the endpoint to stop the attempt and does not wait for it.
+// cancelAttempt asks the endpoint to stop the attempt without waiting for the result.
 func (r *run) cancelAttempt() {
 	p, a := r.executor, r.s.attempt(r.attempt, r.target.incarnation, 0)
 	if p == nil {
@@ -348,8 +352,8 @@
 	})
 }
 
-// stopAttempt asks the endpoint to stop the attempt until it confirms, and takes the
-// tokens that came before.
+// stopAttempt asks the endpoint to stop the attempt until the endpoint confirms it, and then reads
+// the tokens that were generated before.
 func (r *run) stopAttempt(c context.Context) (outcome, recovery.Interruption) {
 	if r.target.slot == nil {
 		return r.awaitPeer(c)
@@ -376,8 +380,8 @@
 	return interrupted, recovery.Stalled
 }
 
-// awaitPeer waits for a peer that carries the stream to be reached again: it goes
-// on with it meanwhile. A peer that has ended leaves the outcome unknown.
+// awaitPeer tries to reattach to a peer that carries the stream until the peer can be reached. The
+// peer continues the stream meanwhile. The outcome is unknown if the peer has terminated.
 func (r *run) awaitPeer(c context.Context) (outcome, recovery.Interruption) {
 	for c.Err() == nil {
 		if r.isGone() {
@@ -392,7 +396,7 @@
 	return interrupted, recovery.Stalled
 }
 
-// readRemaining reads what a stopped attempt still has, up to its end mark.
+// readRemaining reads the tokens left of a stopped attempt, up to its end mark.
 func (r *run) readRemaining(c context.Context) (outcome, recovery.Interruption) {
 	for range recovery.MaxReattaches {
 		e, b := r.reattach(c)
--- a/stream/keeper.go
+++ b/stream/service.go
@@ -33,18 +33,17 @@
 // Name is the name of the service.
 const Name = "stream"
 
-// The times and bounds of the keeper.
 const (
 	sweepInterval          = time.Second
-	abandonTimeout         = 15 * time.Second
-	finishedRetention      = 2 * time.Minute
-	maxPrefixes            = 8192
-	replanInterval         = time.Second
-	transferBytesPerSecond = 1 << 30
-	marginDivisor          = 4
+	abandonTimeout         = 15 * time.Second // time without a reader after which a repeatable stream is canceled
+	finishedRetention      = 2 * time.Minute  // how long the answer of an ended stream can be read
+	maxPrefixes            = 8192             // prompt prefixes whose endpoint is remembered
+	replanInterval         = time.Second      // between two plans for a leaving box
+	transferBytesPerSecond = 1 << 30          // assumed for KV caches
+	marginDivisor          = 4                // a reclaim's margin is the notice divided by this
 )
 
-// Service is the service of one box.
+// Service runs the streams of one box.
 type Service struct {
 	PolicyName  string
 	MaxFinished int
@@ -77,17 +76,18 @@
 	group    sync.WaitGroup
 }
 
-// policyHolder keeps a policy in an atomic value, whatever its type.
+// policyHolder lets an atomic.Value store policies of different types.
 type policyHolder struct{ router.Policy }
 
-// New returns the keeper of a box. Finished answers are held up to a number.
-func New(policy string, held int, m metrics.Registry, log zerolog.Logger) *Service {
+// New returns the service of a box. It keeps the answers of at most maxFinished streams that have
+// ended.
+func New(policy string, maxFinished int, m metrics.Registry, log zerolog.Logger) *Service {
 	p, err := lru.New[uint64, string](maxPrefixes)
 	if err != nil {
-		panic(err) // the size is a constant above zero
+		panic(err) // can't happen: maxPrefixes is positive
 	}
 	k := &Service{
-		PolicyName: policy, MaxFinished: held, Log: log, prefixes: p, streams: map[string]*Stream{},
+		PolicyName: policy, MaxFinished: maxFinished, Log: log, prefixes: p, streams: map[string]*Stream{},
 		recomputed:  metrics.GetOrRegisterCounter("stream.recomputed_tokens", m),
 		replayed:    metrics.GetOrRegisterCounter("stream.replayed", m),
 		transferred: metrics.GetOrRegisterCounter("stream.transferred", m),
@@ -99,7 +99,7 @@
 // Name returns the service's name.
 func (k *Service) Name() string { return Name }
 
-// Start finds the services that the streams need.
+// Start looks up the services that streams depend on and starts the sweep of finished streams.
 func (k *Service) Start(_ context.Context, n *kernel.Kernel) error {
 	if err := errors.Join(
 		kernel.Bind(n, view.Name, &k.view),
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// Stop ends whatever still runs. A planned stop drains the keeper before.
+// Stop cancels all streams that still run. A planned shutdown hands them over first.
 func (k *Service) Stop(context.Context) error {
 	k.cancel()
 	k.group.Wait()
@@ -134,7 +134,7 @@
 func (k *Service) configure(d *config.Document) {
 	p, err := router.New(k.PolicyName, d.Targets.LoadBound, d.Targets.RecomputeWeight)
 	if err != nil {
-		k.Log.Error().Err(err).Msg("routing policy kept")
+		k.Log.Error().Err(err).Msg("keeping the current routing policy")
 		return
 	}
 	k.currentPolicy.Store(policyHolder{p})
@@ -151,8 +151,8 @@
 	return s
 }
 
-// RunRemote starts the stream of a request for which this data centre has no
-// room: another one takes it, or it is refused.
+// RunRemote starts the stream of a request that this data centre has no capacity for. The request
+// is run in another data centre or refused.
 func (k *Service) RunRemote(q Request) *Stream {
 	s := newStream(q)
 	s.remoteOnly = true
@@ -160,12 +160,12 @@
 	return s
 }
 
-// HasRemote reports whether there are other data centres to ask.
+// HasRemote reports whether there are boxes in other data centres.
 func (k *Service) HasRemote() bool {
 	return slices.ContainsFunc(k.members.Up(""), func(m member.Member) bool { return m.DataCentre != k.dc })
 }
 
-// launch enters a stream and runs it until its deadline.
+// launch registers a stream and calls f with a context that ends at the stream's deadline.
 func (k *Service) launch(s *Stream, f func(context.Context)) {
 	c, cancel := context.WithDeadline(k.base, s.Deadline)
 	s.cancel = cancel
@@ -178,7 +178,8 @@
 	})
 }
 
-// Find returns a stream that this box has or held a little ago.
+// Find returns a stream that runs on this box or ended on it recently. The error is of kind
+// UnknownRequest.
 func (k *Service) Find(id string) (*Stream, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -189,7 +190,7 @@
 	return s, nil
 }
 
-// trackSent notes own work at an endpoint and returns how to end it.
+// trackSent counts an attempt at an endpoint as sent by this box. The returned function ends that.
 func (k *Service) trackSent(t target) func() {
 	if t.slot == nil {
 		return func() {}
@@ -198,7 +199,7 @@
 	return func() { t.slot.Sent.Add(-1) }
 }
 
-// isGone reports whether a box was taken.
+// isGone reports whether a box was reclaimed: it is unknown, gone, or past its deadline to leave.
 func (k *Service) isGone(box string) bool {
 	s := k.view.Slot(box)
 	return s == nil || s.State == fleet.Gone || s.State == fleet.Leaving && time.Now().After(s.Deadline)
@@ -217,7 +218,7 @@
 	return ss
 }
 
-// Live returns how many streams have not ended.
+// Live returns the number of streams that have not ended.
 func (k *Service) Live() int { return len(k.live()) }
 
 func (k *Service) sweepLoop() {
@@ -233,7 +234,8 @@
 	}
 }
 
-// sweep cancels what nobody reads any more and forgets old answers.
+// sweep cancels repeatable streams that nobody reads, and drops finished answers that are older
+// than finishedRetention or exceed MaxFinished, oldest first.
 func (k *Service) sweep(now time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -259,8 +261,8 @@
 	}
 }
 
-// evacuate takes the streams off a box that leaves, and looks again until it is
-// gone.
+// evacuate moves the streams off a leaving box. It plans again every replanInterval until the
+// deadline.
 func (k *Service) evacuate(box string, deadline time.Time) {
 	for k.base.Err() == nil && time.Now().Before(deadline) {
 		k.evacuateOnce(box, time.Until(deadline))
@@ -292,12 +294,12 @@
 		}
 		select {
 		case by[m.ID].moveRequests <- moveRequest{box: box, move: m}:
-		default: // told already
+		default: // a request to move is pending
 		}
 	}
 }
 
-// freeDestinations is this box's part of the free slots of the other endpoints.
+// freeDestinations returns the other endpoints with this box's share of their free slots.
 func (k *Service) freeDestinations() []reclaim.Destination {
 	n := max(len(k.members.Names()), 1)
 	var ds []reclaim.Destination
--- a/stream/source.go
+++ b/stream/source.go
@@ -8,24 +8,23 @@
 	"birchlink.dev/birchlink/recovery"
 )
 
-// lineBufferSize is how many lines may wait between the connection and the run.
+// lineBufferSize is the number of lines that may wait between the connection and the run.
 const lineBufferSize = 32
 
-// lineStream is an open stream of lines, from an engine or a peer.
+// lineStream is an open stream of lines from an engine or a peer.
 type lineStream interface {
 	Next() (engine.Line, error)
 	Close() error
 }
 
-// executor is where an attempt runs: an engine, or the entry boxes of another data
-// centre.
+// executor runs attempts: an engine, or an entry box of another data centre.
 type executor interface {
 	Generate(c context.Context, q engine.Request) (lineStream, error)
 	Resume(c context.Context, a engine.Attempt) (lineStream, error)
 	Cancel(c context.Context, a engine.Attempt) (engine.Cancelled, error)
 }
 
-// engineExecutor is the place of one engine.
+// engineExecutor runs attempts at one engine.
 type engineExecutor struct {
 	client  *engine.Client
 	address string
@@ -43,7 +42,8 @@
 	return e.client.Cancel(c, e.address, a)
 }
 
-// asLineStream keeps a nil *engine.Stream from becoming a non-nil lines.
+// asLineStream returns s as an interface value. On an error the value is nil, and not a non-nil
+// interface that holds a nil *engine.Stream.
 func asLineStream(s *engine.Stream, err error) (lineStream, error) {
 	if err != nil {
 		return nil, err
@@ -51,7 +51,7 @@
 	return s, nil
 }
 
-// classifyOpenError says how an attempt broke from the error of opening its stream.
+// classifyOpenError returns the kind of interruption for an error of opening an attempt's stream.
 func classifyOpenError(err error, resumed bool) recovery.Interruption {
 	switch {
 	case errors.Is(err, engine.ErrNotRun) && resumed:
@@ -67,7 +67,7 @@
 	}
 }
 
-// readLines reads lines into a channel until the stream or the context ends.
+// readLines sends the lines of l to the returned channel until the stream or the context ends.
 func readLines(c context.Context, l lineStream) <-chan engine.Line {
 	ch := make(chan engine.Line, lineBufferSize)
 	go func() {
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -1,6 +1,6 @@
-// Package stream carries accepted requests to the end of their answers: it
-// keeps each stream's tokens, starts its attempts, and takes it through broken
-// connections, reclaims and the stop of its own box.
+// Package stream runs accepted requests for streamed answers until they are complete. It keeps the
+// tokens of each stream, chooses the endpoint of each attempt, and continues streams after broken
+// connections, reclaims of boxes and the shutdown of its own box.
 package stream
 
 import (
@@ -32,32 +32,33 @@
 	Deadline   time.Time
 }
 
-// Admission returns what admission needs to know of the request.
+// Admission returns the fields of the request that admission control uses.
 func (q Request) Admission() admission.Request {
 	return admission.Request{Account: q.Account, Member: q.Member, Match: q.Match, Kind: q.Kind, Weight: q.Weight, Rate: q.Rate, Workload: q.Workload}
 }
 
-// contentHash returns what the request asks for, whatever its ID is.
+// contentHash returns the hash of what the request asks for. It doesn't depend on the request's ID.
 func (q Request) contentHash() content.Hash {
 	return content.HashOf(q.Account, &call.Call{Host: q.Workload, Target: strconv.Itoa(q.MaxTokens), Body: []byte(q.Prompt)})
 }
 
-// MovedError is the error that ends a stream here because a peer goes on with it.
+// MovedError is the error of a stream that ended on this box because a peer continues it.
 type MovedError struct {
 	To string
 }
 
-// Error says where the stream went.
+// Error returns the box that continues the stream.
 func (m *MovedError) Error() string { return "the stream was handed to " + m.To }
 
-// Stats is what a stream cost.
+// Stats is the cost of a stream: the attempts so far, the tokens that were computed again, and the
+// box of the last attempt.
 type Stats struct {
 	Attempts   int
 	Recomputed int
 	Box        string
 }
 
-// Stream is the answer to one request as far as it has come.
+// Stream is the answer to one request, as far as it has been received.
 type Stream struct {
 	Request
 
@@ -82,7 +83,7 @@
 	return &Stream{Request: q, changed: make(chan struct{}), moveRequests: make(chan moveRequest, 1), idleSince: time.Now()}
 }
 
-// update changes the stream under its lock and wakes the readers.
+// update calls f with the stream's lock held and then wakes the readers.
 func (s *Stream) update(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,8 +102,8 @@
 	})
 }
 
-// snapshot returns the tokens from an index on, whether and how the stream ended,
-// and a channel that closes on change.
+// snapshot returns the tokens from an index on, whether the stream has ended and with which error,
+// and a channel that is closed at the next change.
 func (s *Stream) snapshot(from int) (ts []string, done bool, changed <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,21 +113,21 @@
 	return ts, s.done, s.changed, s.err
 }
 
-// Tokens returns the tokens so far, whether they are the whole answer, and how
-// the stream ended otherwise.
-func (s *Stream) Tokens() (ts []string, whole bool, err error) {
+// Tokens returns the tokens received so far and whether they are the complete answer. The error is
+// that of a stream that failed.
+func (s *Stream) Tokens() (ts []string, complete bool, err error) {
 	ts, done, _, err := s.snapshot(0)
 	return ts, done && err == nil, err
 }
 
-// Stats returns what the stream has cost so far.
+// Stats returns the cost of the stream so far.
 func (s *Stream) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stats
 }
 
-// Len returns how many tokens there are.
+// Len returns the number of tokens received so far.
 func (s *Stream) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,7 +141,8 @@
 	return s.done
 }
 
-// addReaders counts readers, so that a stream without any can be told.
+// addReaders adds n to the number of readers. The sweep cancels streams that have had none for
+// abandonTimeout.
 func (s *Stream) addReaders(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,7 +150,7 @@
 	s.idleSince = time.Now()
 }
 
-// unreadFor reports for how long nobody has read the stream.
+// unreadFor returns for how long a stream that has not ended has had no reader.
 func (s *Stream) unreadFor(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,8 +160,9 @@
 	return now.Sub(s.idleSince)
 }
 
-// Read hands the tokens from an index on to each until the answer is whole. The
-// error is a *MovedError if a peer goes on, an *errkind.Error if the request failed.
+// Read calls each for every token from an index on until the stream ends. It returns nil for a
+// complete answer, a *MovedError if a peer continues the stream, an *errkind.Error if the request
+// failed, and otherwise the error of each or of the context.
 func (s *Stream) Read(c context.Context, from int, each func(index int, token string) error) error {
 	s.addReaders(1)
 	defer s.addReaders(-1)
@@ -185,12 +188,12 @@
 	}
 }
 
-// attempt names an attempt at an engine process.
+// attempt identifies an attempt of the stream at an engine process.
 func (s *Stream) attempt(n int, incarnation string, from int) engine.Attempt {
 	return engine.Attempt{RequestID: s.ID, Attempt: n, Incarnation: incarnation, From: from}
 }
 
-// Wait returns once the stream has ended here, with its error.
+// Wait returns once the stream has ended on this box, with the stream's error.
 func (s *Stream) Wait(c context.Context) error {
 	for {
 		_, done, changed, err := s.snapshot(0)
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -1,5 +1,5 @@
-// Package ticket names tickets: each is run by the process that issued it and
-// by no other, and needs no shared state.
+// Package ticket identifies requests that only the process that issued the ticket may run. That
+// makes them run at most once without shared state.
 package ticket
 
 import (
@@ -9,22 +9,22 @@
 	"github.com/google/uuid"
 )
 
-// version begins every ticket, so that its form can change.
+// version is the prefix of every ticket and identifies its format.
 const version = "t1"
 
-// Ticket names its issuer's incarnation and itself.
+// Ticket consists of the issuer's incarnation and an ID that is unique.
 type Ticket struct {
 	Incarnation string
 	ID          string
 }
 
-// New returns a ticket of an issuer.
+// New returns a new ticket of the issuer with the given incarnation.
 func New(incarnation string) Ticket { return Ticket{Incarnation: incarnation, ID: uuid.NewString()} }
 
-// String returns the ticket as callers hold it.
+// String returns the ticket in the form that callers get.
 func (t Ticket) String() string { return version + "." + t.Incarnation + "." + t.ID }
 
-// Parse reads a ticket as callers hold it.
+// Parse parses a ticket in the form that String returns.
 func Parse(s string) (Ticket, error) {
 	p := strings.Split(s, ".")
 	const parts = 3
