--- a/claims/committer.go
+++ b/claims/committer.go
@@ -1,5 +1,6 @@
-// Package claims has keys claimed in the platform's service: each slot's soft
-// owner in the data centre commits the claims of many boxes together.
+// Package claims commits claims on keys to the platform's key-value service. The owner of each slot
+// in the data centre commits the claims of many boxes together. Ownership is advisory: two owners
+// of a slot cost retries and never grant a key twice.
 package claims
 
 import (
@@ -15,95 +16,92 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// The bounds of a commit. A page is refused more claims when it is nearly as
-// large as the service holds.
 const (
-	commitEvery = 20 * time.Millisecond
-	commitLimit = 3 * time.Second
-	tries       = 16
-	lookAgain   = 200 * time.Millisecond
-	fullBytes   = kv.MaxValue * 9 / 10
-	retryFull   = 30 * time.Second
-	retryAway   = 3 * time.Second
+	commitInterval        = 20 * time.Millisecond // pause between two groups of claims
+	commitTimeout         = 3 * time.Second       // for all tries of a group
+	maxCommitTries        = 16
+	rereadDelay           = 200 * time.Millisecond // before the page is read again from an unreachable service
+	maxPageBytes          = kv.MaxValue * 9 / 10   // larger pages accept no claims
+	fullRetryAfter        = 30 * time.Second       // for the caller of a claim that the full page refused
+	unavailableRetryAfter = 3 * time.Second        // for the caller of a claim that could not be committed
 )
 
-// store is what a committer needs of the key-value service.
+// store is the part of the key-value service that a committer uses.
 type store interface {
 	Get(c context.Context, key string) (kv.Entry, error)
 	Swap(c context.Context, e kv.Entry) (kv.Entry, error)
 }
 
-// result is the claim in force, or why there is none.
+// result is the claim in force, or the reason why there is none.
 type result struct {
 	claim ledger.Claim
 	err   error
 }
 
-// pending is one claim on its way.
+// pending is a claim that waits to be committed.
 type pending struct {
 	claim ledger.Claim
 	done  chan result
 }
 
-// committer commits the claims of one slot, many with one swap.
+// committer commits the claims of one slot, many with each swap of the slot's page.
 type committer struct {
-	store store
-	key   string
-	ttl   time.Duration
-	every time.Duration
+	store    store
+	key      string
+	ttl      time.Duration
+	interval time.Duration
 
 	mu      sync.Mutex
 	waiting []pending
-	busy    bool
+	running bool
 	page    *ledger.Page
 	rev     uint64
 }
 
-// submit enters a claim and waits for the claim in force. The commit goes on
-// when the waiter leaves.
+// submit queues a claim and waits for the claim in force. The commit continues if c ends first.
 func (m *committer) submit(c context.Context, claim ledger.Claim, spawn func(func())) (ledger.Claim, error) {
 	w := pending{claim: claim, done: make(chan result, 1)}
 	m.mu.Lock()
 	m.waiting = append(m.waiting, w)
-	if !m.busy {
-		m.busy = true
-		spawn(m.work)
+	if !m.running {
+		m.running = true
+		spawn(m.commitLoop)
 	}
 	m.mu.Unlock()
 	select {
 	case r := <-w.done:
 		return r.claim, r.err
 	case <-c.Done():
-		return ledger.Claim{}, errkind.New(errkind.ClaimUnavailable, "the claim took too long").After(retryAway)
+		return ledger.Claim{}, errkind.New(errkind.ClaimUnavailable, "the claim took too long").After(unavailableRetryAfter)
 	}
 }
 
-// work commits group after group until nobody waits.
-func (m *committer) work() {
+// commitLoop commits the queued claims in groups until the queue is empty.
+func (m *committer) commitLoop() {
 	for {
 		m.mu.Lock()
 		ws := m.waiting
 		m.waiting = nil
 		if len(ws) == 0 {
-			m.busy = false
+			m.running = false
 			m.mu.Unlock()
 			return
 		}
 		m.mu.Unlock()
 		m.commit(ws)
-		time.Sleep(m.every)
+		time.Sleep(m.interval)
 	}
 }
 
 func (m *committer) commit(ws []pending) {
-	c, cancel := context.WithTimeout(context.Background(), commitLimit)
+	c, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
 	var rs []result
 	var err error
 	unknown := false
-	for n := 0; n < tries && c.Err() == nil; n++ {
-		if rs, err = m.try(c, ws); err == nil {
-			answer(ws, rs)
+	for n := 0; n < maxCommitTries && c.Err() == nil; n++ {
+		if rs, err = m.tryCommit(c, ws); err == nil {
+			deliver(ws, rs)
 			return
 		}
 		unknown = unknown || errors.Is(err, kv.ErrOutcomeUnknown)
@@ -111,24 +109,24 @@
 			break
 		}
 		if errors.Is(err, kv.ErrUnavailable) {
-			// The claims may stand already: look again before giving up.
-			wait.For(c, lookAgain)
+			// A swap with an unknown result may have committed the claims: read the page again.
+			wait.For(c, rereadDelay)
 		}
 	}
 	for _, w := range ws {
-		w.done <- result{err: errkind.New(errkind.ClaimUnavailable, "%w; use a ticket while the platform is away", err).After(retryAway)}
+		w.done <- result{err: errkind.New(errkind.ClaimUnavailable, "%w; use a ticket while the platform is away", err).After(unavailableRetryAfter)}
 	}
 }
 
-func answer(ws []pending, rs []result) {
+func deliver(ws []pending, rs []result) {
 	for i, w := range ws {
 		w.done <- rs[i]
 	}
 }
 
-// try applies the claims to the page as it is known and swaps it once. Claims
-// that find their key taken need no swap.
-func (m *committer) try(c context.Context, ws []pending) ([]result, error) {
+// tryCommit adds the claims to the page as this box knows it, and swaps the page once. No swap is
+// needed if all keys are claimed already.
+func (m *committer) tryCommit(c context.Context, ws []pending) ([]result, error) {
 	if err := m.load(c); err != nil {
 		return nil, err
 	}
@@ -136,8 +134,8 @@
 	rs := make([]result, len(ws))
 	added := 0
 	for i, w := range ws {
-		in, fresh := m.page.Add(w.claim)
-		rs[i] = result{claim: in}
+		current, fresh := m.page.Add(w.claim)
+		rs[i] = result{claim: current}
 		if fresh {
 			added++
 		}
@@ -157,10 +155,10 @@
 	if err != nil {
 		return err
 	}
-	return m.keep(e)
+	return m.setPage(e)
 }
 
-func (m *committer) keep(e kv.Entry) error {
+func (m *committer) setPage(e kv.Entry) error {
 	p, err := ledger.Parse(e.Value)
 	if err != nil {
 		return err
@@ -169,12 +167,12 @@
 	return nil
 }
 
-// swap writes the page. After any failure what the page holds is not known, so
-// it is taken from the answer or read again.
+// swap writes the page. After a failure the page's content is unknown: it is taken from the
+// conflict's answer or read again.
 func (m *committer) swap(c context.Context) error {
 	b, err := m.page.Bytes()
-	if err == nil && len(b) > fullBytes {
-		err = errkind.New(errkind.ClaimUnavailable, "the page of claims is full").After(retryFull)
+	if err == nil && len(b) > maxPageBytes {
+		err = errkind.New(errkind.ClaimUnavailable, "the page of claims is full").After(fullRetryAfter)
 	}
 	if err != nil {
 		m.page = nil
@@ -186,7 +184,7 @@
 		m.rev = e.Rev
 		return nil
 	case errors.Is(err, kv.ErrConflict):
-		if k := m.keep(e); k != nil {
+		if k := m.setPage(e); k != nil {
 			return fmt.Errorf("%w: %w", err, k)
 		}
 		return err
--- a/claims/service.go
+++ b/claims/service.go
@@ -18,12 +18,12 @@
 // Name is the name of the service.
 const Name = "claims"
 
-// ownerLimit is how long a slot's owner may take before a box commits by
-// itself. Two who commit cost a retry and never a second claim.
-const ownerLimit = 500 * time.Millisecond
+// ownerTimeout is how long a box waits for a slot's owner before it commits the claim by itself. Two
+// committers of a slot cost a retry, and never a second claim.
+const ownerTimeout = 500 * time.Millisecond
 
-// Claims is the service of one box.
-type Claims struct {
+// Service is the claim service of one box.
+type Service struct {
 	Slots int
 	TTL   time.Duration
 
@@ -35,16 +35,17 @@
 	group   sync.WaitGroup
 }
 
-// New returns the claims of a box: so many pages, whose claims last for ttl.
-func New(slots int, ttl time.Duration) *Claims {
-	return &Claims{Slots: slots, TTL: ttl, slots: map[int]*committer{}}
+// New returns the claim service of a box. Claims are kept in the given number of slots, with one
+// page each, and last for ttl.
+func New(slots int, ttl time.Duration) *Service {
+	return &Service{Slots: slots, TTL: ttl, slots: map[int]*committer{}}
 }
 
 // Name returns the service's name.
-func (s *Claims) Name() string { return Name }
+func (s *Service) Name() string { return Name }
 
-// Start lets peers have their claims committed here.
-func (s *Claims) Start(_ context.Context, k *kernel.Kernel) error {
+// Start looks up the services that claims depend on, and accepts claims of peers.
+func (s *Service) Start(_ context.Context, k *kernel.Kernel) error {
 	n, err := kernel.Find[*kv.Service](k, kv.Name)
 	if err != nil {
 		return err
@@ -60,33 +61,33 @@
 	return nil
 }
 
-// Stop waits for the commits that are under way.
-func (s *Claims) Stop(context.Context) error {
+// Stop waits for the commits in progress.
+func (s *Service) Stop(context.Context) error {
 	s.group.Wait()
 	return nil
 }
 
-// Claim returns the claim on a key that is in force: the one given, or an
-// earlier one. The error is of kind ClaimUnavailable.
-func (s *Claims) Claim(c context.Context, claim ledger.Claim) (ledger.Claim, error) {
+// Claim returns the claim on a key that is in force: the given one, or an earlier one.
+// The error is of kind ClaimUnavailable if the claim can't be committed.
+func (s *Service) Claim(c context.Context, claim ledger.Claim) (ledger.Claim, error) {
 	slot := ledger.Key(claim.Key).Slot(s.Slots)
 	_, owner := s.members.Owner(pageKey(slot), 1)
 	if owner.Address == "" || owner.Box == s.members.Self().Box {
 		return s.commit(c, claim)
 	}
-	x, cancel := context.WithTimeout(c, ownerLimit)
+	x, cancel := context.WithTimeout(c, ownerTimeout)
 	defer cancel()
-	var in ledger.Claim
-	err := s.peers.Client.Call(x, owner.Address, "claims.commit", claim, &in)
+	var current ledger.Claim
+	err := s.peers.Client.Call(x, owner.Address, "claims.commit", claim, &current)
 	if err == nil || errkind.Is(err, errkind.ClaimUnavailable) {
-		return in, err
+		return current, err
 	}
 	return s.commit(c, claim)
 }
 
 func pageKey(slot int) string { return fmt.Sprintf("claims/%d", slot) }
 
-func (s *Claims) commit(c context.Context, claim ledger.Claim) (ledger.Claim, error) {
+func (s *Service) commit(c context.Context, claim ledger.Claim) (ledger.Claim, error) {
 	if len(claim.Key) != len(ledger.Key{}) {
 		return claim, errkind.New(errkind.BadRequest, "a claim's key has %d bytes", len(claim.Key))
 	}
@@ -94,7 +95,7 @@
 	s.mu.Lock()
 	m, ok := s.slots[slot]
 	if !ok {
-		m = &committer{store: s.store, key: pageKey(slot), ttl: s.TTL, every: commitEvery}
+		m = &committer{store: s.store, key: pageKey(slot), ttl: s.TTL, interval: commitInterval}
 		s.slots[slot] = m
 	}
 	s.mu.Unlock()
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -49,8 +49,8 @@
 	records   *once.Table[Result]
 	members   *member.Service
 	peers     *peer.Node
-	claims    *claims.Claims
-	keeper    *stream.Keeper
+	claims    *claims.Service
+	keeper    *stream.Service
 	proxy     *plain.Proxy
 	admission *admission.Admission
 	decisions *decisions.Log
@@ -97,7 +97,7 @@
 	ts := make([]string, n)
 	for i := range ts {
 		t := ticket.New(d.members.Self().Incarnation).String()
-		if _, _, err := d.records.Enter(t, 0); err != nil {
+		if _, _, err := d.records.GetOrCreate(t, 0); err != nil {
 			return nil, err
 		}
 		ts[i] = t
@@ -142,7 +142,7 @@
 // startStream starts the stream of a chat call, in this data centre or in another one.
 func (d *Dispatcher) startStream(q Call, remote bool) *stream.Stream {
 	if remote {
-		return d.keeper.RunAbroad(*q.Chat)
+		return d.keeper.RunRemote(*q.Chat)
 	}
 	return d.keeper.Run(*q.Chat)
 }
@@ -153,7 +153,7 @@
 func (d *Dispatcher) admit(q Call) (release func(), remote bool, err error) {
 	release, err = d.admission.Enter(q.admission())
 	n := decisions.Decision{Subject: q.id(), Event: "admit", Choice: "accepted"}
-	if errkind.Is(err, errkind.Overloaded) && q.Chat != nil && d.keeper.Abroad() {
+	if errkind.Is(err, errkind.Overloaded) && q.Chat != nil && d.keeper.HasRemote() {
 		n.Choice, n.Reason = "abroad", err.Error()
 		release, remote, err = func() {}, true, nil
 	}
@@ -192,7 +192,7 @@
 	if !known {
 		return errkind.New(errkind.OutcomeUnknown, "the ticket is no longer remembered")
 	}
-	r, _, err := d.records.Enter(q.Ticket, q.digest())
+	r, _, err := d.records.GetOrCreate(q.Ticket, q.digest())
 	if err != nil {
 		return err
 	}
@@ -204,7 +204,7 @@
 func (d *Dispatcher) doKey(c context.Context, q Call, sink Sink) error {
 	k := ledger.NewKey(q.account(), q.Key)
 	name := string(k[:])
-	r, fresh, err := d.records.Enter(name, q.digest())
+	r, fresh, err := d.records.GetOrCreate(name, q.digest())
 	if err != nil {
 		return err
 	}
@@ -271,7 +271,7 @@
 	if _, known := d.records.Find(name); !known {
 		return nil, errkind.New(errkind.OutcomeUnknown, "the key or ticket is no longer remembered")
 	}
-	r, _, err := d.records.Enter(name, q.digest())
+	r, _, err := d.records.GetOrCreate(name, q.digest())
 	if err != nil {
 		return nil, err
 	}
@@ -280,10 +280,10 @@
 
 // runRecord runs the call of a record unless it has run already, and passes the outcome to sink.
 func (d *Dispatcher) runRecord(c context.Context, r *once.Record[Result], q Call, sink Sink) error {
-	if r.Begin(d.TTL / 2) {
+	if r.TryBegin(d.TTL / 2) {
 		release, remote, err := d.admit(q)
 		if err != nil {
-			r.Settle(Result{Err: err}, false)
+			r.Finish(Result{Err: err}, false)
 			return err
 		}
 		d.runs.Go(func() {
@@ -316,17 +316,17 @@
 func (d *Dispatcher) run(r *once.Record[Result], q Call, remote bool) {
 	if q.Plain != nil {
 		a, err := d.proxy.Do(context.Background(), *q.Plain)
-		r.Settle(Result{Plain: a, Err: err}, mayHaveRun(err))
+		r.Finish(Result{Plain: a, Err: err}, mayHaveRun(err))
 		return
 	}
 	s := d.startStream(q, remote)
-	r.Share(Result{Stream: s})
+	r.PublishResult(Result{Stream: s})
 	err := s.Wait(context.Background())
 	if err != nil && !mayHaveRun(err) {
-		r.Settle(Result{Err: err}, false)
+		r.Finish(Result{Err: err}, false)
 		return
 	}
-	r.Settle(Result{Stream: s}, true)
+	r.Finish(Result{Stream: s}, true)
 }
 
 // mayHaveRun reports whether a call that ended with err may have run.
--- a/dispatch/handover.go
+++ b/dispatch/handover.go
@@ -85,7 +85,7 @@
 // packRecord converts a record to the form that is handed over. It reports false for a record
 // that is neither open nor done.
 func packRecord(name string, r *once.Record[Result]) (handoverRecord, bool) {
-	s, v, _ := r.Look()
+	s, v, _ := r.Snapshot()
 	b := handoverRecord{Name: name, Nonce: r.Nonce, Digest: r.Digest, Age: r.Age(), Open: s == once.Open, Plain: v.Plain}
 	if b.Open {
 		return b, true
@@ -123,7 +123,7 @@
 		if b.Open {
 			s, v = once.Open, Result{}
 		}
-		d.records.Inherit(b.Name, once.Inherited(b.Nonce, b.Digest, b.Age, s, v))
+		d.records.TakeOver(b.Name, once.RestoreRecord(b.Nonce, b.Digest, b.Age, s, v))
 	}
 	return struct{}{}, nil
 }
--- a/forward/run.go
+++ b/forward/run.go
@@ -75,7 +75,7 @@
 
 // attemptResult is the result of an attempt.
 type attemptResult struct {
-	breakage recovery.Break
+	breakage recovery.Interruption
 	err      error
 	done     bool // the sink has received the complete response
 	advanced bool // the attempt added events to the caller's stream
@@ -141,16 +141,16 @@
 	r.checkCrash(c, out, e)
 	metrics.GetOrRegisterCounter("attempts.broke."+out.breakName(), r.f.Metrics).Inc(1)
 	d := recovery.Decide(recovery.State{
-		Break: out.breakage, Repeatable: r.q.Route.Repeatable(), Tries: recovery.MaxTries,
-		Attempts: r.countAttempts() + (max(r.failedDials-maxFailedDials+1, 0)+max(r.refusedDials-maxRefusedDials+1, 0))*recovery.MaxAttempts,
-		Ran:      r.mayHaveRun, Expired: r.isExpired(c), Limit: r.maxAttempts(),
-		Budget:  out.breakage == recovery.Unreachable || out.breakage == recovery.NeverSeen || r.f.Budget.Allowed(r.q.Service.Name, boottime.Now()),
-		Charged: true,
+		Interruption: out.breakage, Repeatable: r.q.Route.Repeatable(), Reattaches: recovery.MaxReattaches,
+		Attempts:   r.countAttempts() + (max(r.failedDials-maxFailedDials+1, 0)+max(r.refusedDials-maxRefusedDials+1, 0))*recovery.MaxAttempts,
+		MayHaveRun: r.mayHaveRun, Expired: r.isExpired(c), MaxAttempts: r.maxAttempts(),
+		HasBudget:       out.breakage == recovery.Unreachable || out.breakage == recovery.NeverSeen || r.f.Budget.Allowed(r.q.Service.Name, boottime.Now()),
+		ChargesRefusals: true,
 	})
 	r.f.Log.Info().Str("event", "attempt broke").Str("request", r.q.Call.ID).Stringer("content", r.trace.Content).Str("endpoint", e.ID).
 		Int("attempt", len(r.reached)).Str("break", out.breakName()).Str("last_event", r.lastEventID).Bool("ran", r.mayHaveRun).Err(out.err).
 		Str("reason", d.Reason).Func(r.trace.marshalReported).Msg("decision")
-	if d.Step == recovery.Elsewhere {
+	if d.Step == recovery.Failover {
 		return false, nil
 	}
 	return r.fail(d.Kind, d.Reason+": "+errText(out.err))
--- a/gossip/before.go
+++ b/gossip/before.go
@@ -63,7 +63,7 @@
 		g.RestoreQuota(quota.Before{})
 		return
 	}
-	if s.read || late && (g.session.Lost() || g.Quota.Division().Version > 0 && !g.holdsFirstSlot()) {
+	if s.read || late && (g.session.StoreLost() || g.Quota.Division().Version > 0 && !g.holdsFirstSlot()) {
 		return
 	}
 	i, err := g.Store.Get(c, g.SnapshotKey)
@@ -105,7 +105,7 @@
 	p := g.Snapshot(others + 1)
 	refused := g.Quarantine.Refused(now)
 	sum := quarantine.Sum(refused)
-	if sum == s.refusedSum && !s.boxCountChanged(p, g.session.Silent() > maxStoreSilence, now) {
+	if sum == s.refusedSum && !s.boxCountChanged(p, g.session.StoreUnresponsiveFor() > maxStoreSilence, now) {
 		same := maps.Equal(p.Short, s.stored.Short) && now.Sub(s.writtenAt) < statsWriteInterval
 		if same || now.Sub(s.writtenAt) < snapshotWriteInterval {
 			return
--- a/gossip/enlist.go
+++ b/gossip/enlist.go
@@ -68,7 +68,7 @@
 // applySlots applies changes of the slots from the store. Slots that vanish because of an outage are
 // kept as lapsed.
 func (g *Gossip) applySlots(items []store.Item, whole bool, _ uint64) {
-	unsettled := g.session.Unsettled(lapsedSlotGrace) > 0
+	unsettled := g.session.OutageGrace(lapsedSlotGrace) > 0
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	previous := maps.Clone(g.slots)
@@ -96,7 +96,7 @@
 // dropLapsedSlots drops slots that lapsed during an outage and were not claimed again by their
 // holders within lapsedSlotGrace.
 func (g *Gossip) dropLapsedSlots() {
-	unsettled := g.session.Unsettled(lapsedSlotGrace) > 0
+	unsettled := g.session.OutageGrace(lapsedSlotGrace) > 0
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	maps.DeleteFunc(g.slots, func(_ string, s relaySlot) bool {
@@ -177,10 +177,10 @@
 	}
 	g.slotVacant = false
 	g.applySlots(items, true, at)
-	if l == 0 || g.holdsSlot() || g.session.Unsettled(lapsedSlotGrace) > 0 || !g.mayClaimSlot() {
+	if l == 0 || g.holdsSlot() || g.session.OutageGrace(lapsedSlotGrace) > 0 || !g.mayClaimSlot() {
 		return
 	}
-	if l, err = g.session.Hold(c); err != nil {
+	if l, err = g.session.EnsureLease(c); err != nil {
 		return
 	}
 	for n := range relaysPerDataCentre {
@@ -218,7 +218,7 @@
 func (g *Gossip) takeOverSlot(c context.Context) {
 	l := g.session.Lease()
 	s, ok := g.formerSlot()
-	if l == 0 || !ok || g.session.Away() {
+	if l == 0 || !ok || g.session.StoreUnreachable() {
 		return
 	}
 	condition := store.Condition{Key: s.key, Revision: s.revision}
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -193,8 +193,8 @@
 	g.ctx, g.cancel = c, cancel
 	g.Quarantine.SendsTrials = g.sendsTrials
 	g.Quarantine.OnChange = func(s []quarantine.Suspect) { g.notify(notification{Suspects: s}) }
-	g.slotWatch = &mirror.Mirror{Store: g.Store, Prefix: g.Prefix, Wait: watchTimeout, Apply: g.applySlots, Log: g.log, StoreUnreachable: g.session.Away}
-	g.session.OnReturn(g.slotWatch.Restart)
+	g.slotWatch = &mirror.Mirror{Store: g.Store, Prefix: g.Prefix, Wait: watchTimeout, Apply: g.applySlots, Log: g.log, StoreUnreachable: g.session.StoreUnreachable}
+	g.session.OnReconnect(g.slotWatch.Restart)
 	g.known.OnRecords(func(r known.Records) { g.pushRecords(c, r) })
 	g.known.OnRawConfig(func(raw []byte) {
 		g.updateQuota() // makes new accounts known before their first request
@@ -292,7 +292,7 @@
 // runRound exchanges reports with other boxes, as a relay or as a member.
 func (g *Gossip) runRound(c context.Context) {
 	g.dropLapsedSlots()
-	g.session.Fast(g.holdsSlot())
+	g.session.SetFast(g.holdsSlot())
 	if !g.holdsSlot() {
 		g.runMemberRound(c)
 		return
--- a/gossip/member.go
+++ b/gossip/member.go
@@ -31,13 +31,13 @@
 			g.claimSlot(c)
 		}
 		return
-	case g.inStartupGrace() && !g.session.Away():
+	case g.inStartupGrace() && !g.session.StoreUnreachable():
 		g.claimSlot(c)
 	case g.storeAnswers(c):
 		g.known.SetWatching(true)
 		g.claimSlot(c)
 	}
-	if !answered && g.session.Silent() > askAnyAfter {
+	if !answered && g.session.StoreUnresponsiveFor() > askAnyAfter {
 		g.askOtherBoxes(c, remote)
 	}
 }
@@ -48,7 +48,7 @@
 func (g *Gossip) storeAnswers(c context.Context) bool {
 	x, cancel := context.WithTimeout(c, callTimeout)
 	defer cancel()
-	return g.session.Check(x)
+	return g.session.PingStore(x)
 }
 
 // reportToRelay sends this box's status to its relay. It returns whether the box there answers as a
@@ -64,7 +64,7 @@
 		return false, false
 	}
 	g.applyReply(w)
-	g.session.Told(w.Silent)
+	g.session.MergeReport(w.Silent)
 	g.slotVacant = g.slotVacant || w.Vacant && g.relay.dataCentre == g.DataCentre
 	g.catchUp(g.relay.address, w.Others.Version, w.Revision)
 	return true, w.Silent <= maxStoreSilence
--- a/gossip/places_test.go
+++ b/gossip/places_test.go
@@ -75,7 +75,7 @@
 	before := slotsInStore(t, m)
 	m.SetDown(true)
 	waitUntil(t, func() bool {
-		return countBoxes(bs, func(b *box) bool { return b.session.Silent() > session.TTL+time.Second }) == 9
+		return countBoxes(bs, func(b *box) bool { return b.session.StoreUnresponsiveFor() > session.TTL+time.Second }) == 9
 	})
 	m.SetDown(false)
 	require.Empty(t, slotsInStore(t, m))
--- a/gossip/relay.go
+++ b/gossip/relay.go
@@ -28,7 +28,7 @@
 	s.add(self)
 	s.Words = rollout.MergeProgress(nil, self.Words, 0)
 	s.Leaving = g.isLeaving()
-	s.Revision, s.Silent = g.known.Revision(), g.session.Silent()
+	s.Revision, s.Silent = g.known.Revision(), g.session.StoreUnresponsiveFor()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, h := range g.members {
@@ -99,7 +99,7 @@
 	}
 	w := MemberReply{
 		Relay: isRelay, Vacant: isRelay && g.countLocalRelays() < relaysPerDataCentre,
-		Revision: g.known.Revision(), Silent: g.session.Silent(), Now: g.Clock.Now(),
+		Revision: g.known.Revision(), Silent: g.session.StoreUnresponsiveFor(), Now: g.Clock.Now(),
 	}
 	if isRelay {
 		g.fillReply(&w, in)
--- a/gossip/watchers.go
+++ b/gossip/watchers.go
@@ -9,7 +9,7 @@
 
 // isWatcher reports whether this relay is one of those that watch the store.
 func (g *Gossip) isWatcher() bool {
-	ownAnswer := g.session.Silent() <= maxStoreSilence
+	ownAnswer := g.session.StoreUnresponsiveFor() <= maxStoreSilence
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var answered []relaySlot
--- a/known/known.go
+++ b/known/known.go
@@ -105,14 +105,14 @@
 		return err
 	}
 	k.mirrors = []*mirror.Mirror{
-		{Store: k.Store, Prefix: k.operatorPrefix(), Wait: watchTimeout, Apply: k.applyConfig, Log: k.log, StoreUnreachable: k.session.Away},
+		{Store: k.Store, Prefix: k.operatorPrefix(), Wait: watchTimeout, Apply: k.applyConfig, Log: k.log, StoreUnreachable: k.session.StoreUnreachable},
 		{
 			Store: k.Store, Prefix: k.EndpointsPrefix, Wait: watchTimeout, Apply: k.applyEndpoints, StartRevision: k.Revision,
-			Log: k.log, StoreUnreachable: k.session.Away,
+			Log: k.log, StoreUnreachable: k.session.StoreUnreachable,
 		},
 	}
 	for _, m := range k.mirrors {
-		k.session.OnReturn(m.Restart)
+		k.session.OnReconnect(m.Restart)
 	}
 	k.ctx, k.cancel = context.WithCancel(context.Background())
 	k.SetWatching(!k.DeferWatch)
@@ -356,7 +356,7 @@
 		k.mu.Unlock()
 		return
 	}
-	if delay := k.session.Unsettled(reappearWindow); delay > 0 && !e.Draining {
+	if delay := k.session.OutageGrace(reappearWindow); delay > 0 && !e.Draining {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		if k.pendingRemovals[id] == nil {
--- a/reclaim/plan.go
+++ b/reclaim/plan.go
@@ -1,5 +1,5 @@
-// Package reclaim decides, in the time of a notice, which streams finish where
-// they are, which move with their KV cache, and which are computed again.
+// Package reclaim plans what happens to the streams of a box during the notice of its reclaim: which
+// finish in place, which move with their KV cache, and which are computed again elsewhere.
 package reclaim
 
 import (
@@ -8,106 +8,109 @@
 	"time"
 )
 
-// Stream is one stream on a box that leaves. Computed counts the tokens of its
-// prompt and answer so far, Left those still to come.
+// Stream is one stream on a leaving box. ComputedTokens counts the tokens of its prompt and its
+// answer so far, RemainingTokens those of the answer still to come. CacheBytes is the size of its
+// KV cache.
 type Stream struct {
 	ID              string
 	Workload        string
-	Computed        int
-	Left            int
+	ComputedTokens  int
+	RemainingTokens int
 	TokensPerSecond float64
-	Bytes           int64
+	CacheBytes      int64
 }
 
-// Destination is an endpoint with room for some streams.
+// Destination is an endpoint that can accept FreeSlots streams of the listed workloads.
 type Destination struct {
-	Box      string
-	Workload []string
-	Free     int
+	Box       string
+	Workloads []string
+	FreeSlots int
 }
 
-// Limits bound the moves. Margin is kept free before the box goes.
+// Limits bounds the moves. Moves and streams that finish in place must end Margin before the end of
+// the notice.
 type Limits struct {
 	Notice         time.Duration
 	Margin         time.Duration
 	BytesPerSecond int64
 }
 
-// Act says what becomes of a stream.
-type Act int
+// Action is what happens to a stream.
+type Action int
 
-// The acts.
+// The actions of a plan.
 const (
-	Finish Act = iota
-	Transfer
-	Replay
+	Finish   Action = iota // the answer ends on the leaving box
+	Transfer               // the stream moves with its KV cache
+	Replay                 // the stream moves without it, and its tokens are computed again
 )
 
-// Move is the decision for one stream. Recompute counts the tokens that are
-// computed again.
+// Move is the decision for one stream. To is the destination, or empty if there is none.
+// RecomputeTokens counts the tokens that are computed again.
 type Move struct {
-	ID        string
-	Act       Act
-	To        string
-	Recompute int
-	Reason    string
+	ID              string
+	Action          Action
+	To              string
+	RecomputeTokens int
+	Reason          string
 }
 
-// Plan decides for every stream, in the order in which the moves are to begin:
-// those with the most computed tokens per byte first.
+// Plan returns a move for every stream. The streams that leave follow those that finish, in the
+// order in which their moves should start: by computed tokens per byte of cache, highest first.
 func Plan(ss []Stream, ds []Destination, l Limits) []Move {
 	free := slices.Clone(ds)
-	rest := l.Notice - l.Margin
+	window := l.Notice - l.Margin
 	var ms []Move
-	var move []Stream
+	var moving []Stream
 	for _, s := range ss {
-		if need(s) <= rest {
-			ms = append(ms, Move{ID: s.ID, Act: Finish, Reason: "ends within the notice"})
+		if timeToFinish(s) <= window {
+			ms = append(ms, Move{ID: s.ID, Action: Finish, Reason: "ends within the notice"})
 			continue
 		}
-		move = append(move, s)
+		moving = append(moving, s)
 	}
-	slices.SortStableFunc(move, byWorth)
+	slices.SortStableFunc(moving, compareTransferPriority)
 	var spent time.Duration
-	for _, s := range move {
+	for _, s := range moving {
 		t := transferTime(s, l)
-		i := roomFor(free, s.Workload)
+		i := mostFree(free, s.Workload)
 		switch {
 		case i < 0:
-			ms = append(ms, Move{ID: s.ID, Act: Replay, Recompute: s.Computed, Reason: "no destination has room"})
-		case spent+t > rest:
-			free[i].Free--
-			ms = append(ms, Move{ID: s.ID, Act: Replay, To: free[i].Box, Recompute: s.Computed, Reason: "no time left for a transfer"})
+			ms = append(ms, Move{ID: s.ID, Action: Replay, RecomputeTokens: s.ComputedTokens, Reason: "no destination has room"})
+		case spent+t > window:
+			free[i].FreeSlots--
+			ms = append(ms, Move{ID: s.ID, Action: Replay, To: free[i].Box, RecomputeTokens: s.ComputedTokens, Reason: "no time left for a transfer"})
 		default:
 			spent += t
-			free[i].Free--
-			ms = append(ms, Move{ID: s.ID, Act: Transfer, To: free[i].Box, Reason: "moves with its cache"})
+			free[i].FreeSlots--
+			ms = append(ms, Move{ID: s.ID, Action: Transfer, To: free[i].Box, Reason: "moves with its cache"})
 		}
 	}
 	return ms
 }
 
-// need is how long a stream still takes.
-func need(s Stream) time.Duration {
-	return time.Duration(float64(s.Left) / max(s.TokensPerSecond, 1) * float64(time.Second))
+// timeToFinish returns the time that the rest of a stream's answer takes.
+func timeToFinish(s Stream) time.Duration {
+	return time.Duration(float64(s.RemainingTokens) / max(s.TokensPerSecond, 1) * float64(time.Second))
 }
 
 func transferTime(s Stream, l Limits) time.Duration {
-	return time.Duration(float64(s.Bytes) / float64(max(l.BytesPerSecond, 1)) * float64(time.Second))
+	return time.Duration(float64(s.CacheBytes) / float64(max(l.BytesPerSecond, 1)) * float64(time.Second))
 }
 
-// byWorth orders streams by computed tokens per byte, then by computed tokens.
-func byWorth(a, b Stream) int {
-	x := float64(a.Computed) * float64(max(b.Bytes, 1))
-	y := float64(b.Computed) * float64(max(a.Bytes, 1))
-	return cmp.Or(cmp.Compare(y, x), cmp.Compare(b.Computed, a.Computed), cmp.Compare(a.ID, b.ID))
+// compareTransferPriority orders streams by computed tokens per byte, then by computed tokens, both
+// descending, and then by ID.
+func compareTransferPriority(a, b Stream) int {
+	x := float64(a.ComputedTokens) * float64(max(b.CacheBytes, 1))
+	y := float64(b.ComputedTokens) * float64(max(a.CacheBytes, 1))
+	return cmp.Or(cmp.Compare(y, x), cmp.Compare(b.ComputedTokens, a.ComputedTokens), cmp.Compare(a.ID, b.ID))
 }
 
-// roomFor returns the destination with the most room for a workload, or -1.
-func roomFor(ds []Destination, workload string) int {
+// mostFree returns the index of the destination with the most free slots for a workload, or -1.
+func mostFree(ds []Destination, workload string) int {
 	best := -1
 	for i, d := range ds {
-		if d.Free > 0 && slices.Contains(d.Workload, workload) && (best < 0 || d.Free > ds[best].Free) {
+		if d.FreeSlots > 0 && slices.Contains(d.Workloads, workload) && (best < 0 || d.FreeSlots > ds[best].FreeSlots) {
 			best = i
 		}
 	}
--- a/recovery/decide.go
+++ b/recovery/decide.go
@@ -1,104 +1,105 @@
-// Package recovery decides what becomes of a request when its attempt breaks.
+// Package recovery decides how a request continues after its attempt was interrupted.
 package recovery
 
 import "birchlink.dev/birchlink/errkind"
 
-// Break is how an attempt ended before its answer was whole.
-type Break int
+// Interruption is how an attempt ended before its answer was complete.
+type Interruption int
 
-// The ways an attempt breaks.
+// The kinds of interruptions.
 const (
-	Refused     Break = iota // the endpoint said that it did not run
-	Unreachable              // no connection came about: nothing was sent
-	Cut                      // the connection ended after the request was sent
-	Stalled                  // no token for too long
-	Restarted                // the endpoint is another process now
-	NeverSeen                // the endpoint never saw the attempt and will refuse it
-	Gone                     // the box was taken
-	Halted                   // the endpoint confirms that it stopped the attempt
+	Refused      Interruption = iota // the endpoint reports that the attempt did not run
+	Unreachable                      // no connection could be made: nothing was sent
+	Disconnected                     // the connection ended after the request was sent
+	Stalled                          // no token arrived within the timeout
+	Restarted                        // another process has the endpoint's address now
+	NeverSeen                        // the endpoint never received the attempt and will refuse it
+	Gone                             // the box was reclaimed
+	Halted                           // the endpoint confirms that the attempt was stopped
 )
 
-// String returns the word for a break in logs and metrics.
-func (b Break) String() string {
+// String returns the name of the interruption in logs and metrics.
+func (b Interruption) String() string {
 	return [...]string{"refused", "unreachable", "cut", "stalled", "restarted", "never_seen", "gone", "halted"}[b]
 }
 
-// Step is what to do next.
+// Step is what a request does next.
 type Step int
 
-// The steps.
+// The steps after an interruption.
 const (
-	Reattach  Step = iota // read on from the same attempt
-	Stop                  // ask the endpoint to stop the attempt, then decide again
-	Elsewhere             // go on at another endpoint from the next token
-	Fail                  // give up
+	Reattach Step = iota // continue to read the same attempt
+	Stop                 // ask the endpoint to stop the attempt and decide again
+	Failover             // start an attempt at another endpoint, from the next token
+	Fail                 // end the request with an error
 )
 
-// State is what the decision rests on. Tries counts reattachments of the
-// attempt since its last token, Attempts the attempts so far. Ran says that an
-// attempt, this one or an earlier, may have run.
+// State is the input of a decision.
 type State struct {
-	Break      Break
-	Repeatable bool
-	Tries      int
-	Attempts   int
-	Ran        bool
-	Expired    bool
-	Budget     bool
-
-	// Limit is the number of attempts allowed; zero is MaxAttempts. Charged says
-	// that the budget also pays for another attempt after a confirmed refusal.
-	Limit   int
-	Charged bool
+	Interruption Interruption
+	Repeatable   bool
+	Reattaches   int  // since the last token of the attempt
+	Attempts     int  // so far
+	MayHaveRun   bool // this attempt or an earlier one may have run
+	Expired      bool // the deadline has passed
+	HasBudget    bool // the retry budget allows another attempt
+
+	// MaxAttempts bounds the attempts; zero stands for the constant MaxAttempts.
+	MaxAttempts int
+
+	// ChargesRefusals requires budget for another attempt even if the last is confirmed not to run.
+	ChargesRefusals bool
 }
 
-// The bounds of the decision.
 const (
-	MaxTries    = 3
+	// MaxReattaches bounds the connections to one attempt without a new token.
+	MaxReattaches = 3
+
+	// MaxAttempts bounds the attempts of a request unless its State sets another bound.
 	MaxAttempts = 6
 )
 
-// Decision is a step; Kind says why for Fail.
+// Decision is the next step and the reason for it. Kind is the kind of error if the step is Fail.
 type Decision struct {
 	Step   Step
 	Kind   errkind.Kind
 	Reason string
 }
 
-// Decide returns the next step. It never lets two attempts of a request that is
-// not repeatable run at once: another attempt follows only on a confirmation
-// that the last did not run or has stopped.
+// Decide returns the next step. Two attempts of a request that is not repeatable never run at the
+// same time: another attempt follows only when the last one is confirmed not to have run or to have
+// stopped.
 func Decide(s State) Decision {
-	notRun := s.Break == Refused || s.Break == Unreachable || s.Break == NeverSeen
-	confirmed := notRun || s.Break == Halted
+	notRun := s.Interruption == Refused || s.Interruption == Unreachable || s.Interruption == NeverSeen
+	confirmed := notRun || s.Interruption == Halted
 	switch {
-	case s.Expired && !s.Ran:
+	case s.Expired && !s.MayHaveRun:
 		return Decision{Fail, errkind.DeadlineShort, "deadline passed before it ran"}
 	case s.Expired && !s.Repeatable && !confirmed:
 		return Decision{Fail, errkind.OutcomeUnknown, "deadline passed and the run is not confirmed"}
 	case s.Expired:
 		return Decision{Fail, errkind.DeadlinePassed, "deadline passed"}
-	case s.Break == Cut && s.Tries < MaxTries:
+	case s.Interruption == Disconnected && s.Reattaches < MaxReattaches:
 		return Decision{Reattach, 0, "the connection broke"}
 	case !confirmed && !s.Repeatable:
-		return unconfirmed(s)
-	case s.Attempts >= s.limit() || !s.Budget && (!confirmed || s.Charged):
-		return Decision{Fail, exhausted(s.Ran), "retries are used up"}
+		return decideUnconfirmed(s)
+	case s.Attempts >= s.maxAttempts() || !s.HasBudget && (!confirmed || s.ChargesRefusals):
+		return Decision{Fail, exhaustedKind(s.MayHaveRun), "retries are used up"}
 	default:
-		return Decision{Elsewhere, 0, "another endpoint goes on"}
+		return Decision{Failover, 0, "another endpoint goes on"}
 	}
 }
 
-func (s State) limit() int {
-	if s.Limit > 0 {
-		return s.Limit
+func (s State) maxAttempts() int {
+	if s.MaxAttempts > 0 {
+		return s.MaxAttempts
 	}
 	return MaxAttempts
 }
 
-// unconfirmed decides for a request that is not repeatable and may still run.
-func unconfirmed(s State) Decision {
-	switch s.Break {
+// decideUnconfirmed decides for a request that is not repeatable and whose attempt may still run.
+func decideUnconfirmed(s State) Decision {
+	switch s.Interruption {
 	case Restarted, Gone:
 		return Decision{Fail, errkind.OutcomeUnknown, "the endpoint ended without saying how far it came"}
 	default:
@@ -106,7 +107,7 @@
 	}
 }
 
-func exhausted(ran bool) errkind.Kind {
+func exhaustedKind(ran bool) errkind.Kind {
 	if ran {
 		return errkind.EngineFailed
 	}
--- a/sse/reader.go
+++ b/sse/reader.go
@@ -1,4 +1,4 @@
-// Package sse reads a stream of server-sent events, whole events only.
+// Package sse reads streams of server-sent events and returns only complete events.
 package sse
 
 import (
@@ -10,28 +10,29 @@
 	"strings"
 )
 
-// maxEvent bounds one event in bytes; events hold a few tokens.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one event. Events hold a few tokens.
+const maxEventBytes = 1 << 20
 
-// ErrCut says that a stream ended inside an event.
-var ErrCut = errors.New("the stream ended inside an event")
+// ErrTruncated is returned by Next if the stream ends inside an event.
+var ErrTruncated = errors.New("the stream ended inside an event")
 
-// Event is one event as it came, with the empty line that ends it. ID is empty
-// where the event has none.
+// Event is one event. Raw holds the event as received, with the empty line that ends it. ID is empty
+// if the event has no ID.
 type Event struct {
 	ID  string
 	Raw []byte
 }
 
-// Reader reads events.
+// Reader reads events from a stream.
 type Reader struct {
 	r *bufio.Reader
 }
 
-// NewReader returns a reader of a body.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader { return &Reader{r: bufio.NewReader(r)} }
 
-// Next returns the next whole event, or io.EOF at the end of the stream.
+// Next returns the next complete event. The error is io.EOF at the end of the stream, and
+// ErrTruncated if the stream ends inside an event.
 func (r *Reader) Next() (Event, error) {
 	var e Event
 	for {
@@ -39,12 +40,12 @@
 		e.Raw = append(e.Raw, line...)
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
 			if errors.Is(err, io.EOF) && len(e.Raw) > 0 {
-				return Event{}, ErrCut
+				return Event{}, ErrTruncated
 			}
 			return Event{}, err
 		}
-		if len(e.Raw) > maxEvent {
-			return Event{}, fmt.Errorf("an event is over %d bytes", maxEvent)
+		if len(e.Raw) > maxEventBytes {
+			return Event{}, fmt.Errorf("an event is over %d bytes", maxEventBytes)
 		}
 		if err != nil {
 			continue
--- a/stream/choose_test.go
+++ b/stream/choose_test.go
@@ -18,8 +18,9 @@
 	"birchlink.dev/birchlink/view"
 )
 
-// document has ten models, each with a selector that asks and prefers.
-func document(tb testing.TB) *config.Document {
+// parseDocument returns a configuration of ten models, each with a selector that has requirements
+// and preferences.
+func parseDocument(tb testing.TB) *config.Document {
 	var b strings.Builder
 	for i := range 10 {
 		fmt.Fprintf(&b, "[model \"m%d\"]\nversions = 1, 2\n[selector \"s%d\"]\nworkloads = m%d*\nrequire = class=new|old\nprefer = generation=g2, supply=reclaimable\n", i, i, i)
@@ -29,7 +30,7 @@
 	return d
 }
 
-func slots(n int) []*view.EndpointState {
+func makeSlots(n int) []*view.EndpointState {
 	ss := make([]*view.EndpointState, n)
 	for i := range ss {
 		e := fleet.Endpoint{
@@ -41,12 +42,12 @@
 	return ss
 }
 
-// Only endpoints that are live, loaded, allowed, near and not to be avoided are
-// candidates.
+// The candidates are the endpoints that are live, loaded, allowed, in the box's own data centre, not
+// to be avoided and not backing off.
 func TestGather(t *testing.T) {
 	d, ms := config.Parse(1, []byte("[model \"m\"]\nversions = 1\n[selector \"s\"]\nworkloads = m*\nrequire = class=new\n"))
 	require.Empty(t, ms)
-	ss := slots(7)
+	ss := makeSlots(7)
 	for i := range ss {
 		ss[i].Loaded = []string{"m@1"}
 	}
@@ -56,29 +57,29 @@
 	ss[4].DataCentre = "b"
 	ss[6].Incarnation = ""
 	var c candidates
-	x := &index{snapshot: &view.Snapshot{Endpoints: ss}, document: d, dc: "a"}
-	var rests rest.BackOffs
-	c.gather(x.of("m@1"), "", map[string]bool{"box-5": true}, &rests)
+	x := &endpointIndex{snapshot: &view.Snapshot{Endpoints: ss}, document: d, dc: "a"}
+	var backOffs rest.BackOffs
+	c.gather(x.eligible("m@1"), "", map[string]bool{"box-5": true}, &backOffs)
 	require.Len(t, c.targets, 1)
 	require.Equal(t, "box-0", c.targets[0].Box)
-	rests.Extend(ss[0].ProcessID(), time.Minute, boottime.Now())
-	c.gather(x.of("m@1"), "", nil, &rests)
+	backOffs.Extend(ss[0].ProcessID(), time.Minute, boottime.Now())
+	c.gather(x.eligible("m@1"), "", nil, &backOffs)
 	require.Len(t, c.targets, 1)
 	require.Equal(t, "box-5", c.targets[0].Box)
 }
 
-// BenchmarkRoute is the whole routing decision but for its log line: gathering
-// the candidates and choosing one.
+// BenchmarkRoute measures a routing decision without its log line: gathering the candidates and
+// choosing one.
 func BenchmarkRoute(b *testing.B) {
-	d := document(b)
+	d := parseDocument(b)
 	for _, n := range []int{9, 37, 111, 333} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
-			x := &index{snapshot: &view.Snapshot{Endpoints: slots(n)}, document: d, dc: "a"}
+			x := &endpointIndex{snapshot: &view.Snapshot{Endpoints: makeSlots(n)}, document: d, dc: "a"}
 			var c candidates
 			p := router.Affinity{LoadBound: 1.25, RecomputeWeight: 0.2}
 			b.ReportAllocs()
 			for b.Loop() {
-				c.gather(x.of("m1@2"), "", nil, &rest.BackOffs{})
+				c.gather(x.eligible("m1@2"), "", nil, &rest.BackOffs{})
 				p.Pick(c.targets, router.Query{Prefix: 7, PromptTokens: 500, AnswerTokens: 128})
 			}
 		})
