--- a/admission/gate.go
+++ b/admission/gate.go
@@ -107,7 +107,7 @@
 		return nil
 	}
 	e := errkind.New(errkind.LimitReached, "account %s is over its rate", r.Account)
-	return e.After(jitter(time.Duration(float64(time.Second) / float64(v))))
+	return e.WithRetryAfter(jitter(time.Duration(float64(time.Second) / float64(v))))
 }
 
 // burstSize allows two seconds' worth of the rate at once.
@@ -120,7 +120,7 @@
 	if p, _ := r.Kind.Priority(); p > urgentPriority {
 		wait *= time.Duration(p)
 	}
-	return errkind.New(k, format, args...).After(jitter(wait))
+	return errkind.New(k, format, args...).WithRetryAfter(jitter(wait))
 }
 
 // jitter returns a random time between d and twice d, so that callers that were refused together do
--- a/claims/committer.go
+++ b/claims/committer.go
@@ -74,7 +74,7 @@
 	case r := <-w.done:
 		return r.claim, r.err
 	case <-c.Done():
-		return ledger.Claim{}, errkind.New(errkind.ClaimUnavailable, "the claim took too long").After(retryAway)
+		return ledger.Claim{}, errkind.New(errkind.ClaimUnavailable, "the claim took too long").WithRetryAfter(retryAway)
 	}
 }
 
@@ -116,7 +116,7 @@
 		}
 	}
 	for _, w := range ws {
-		w.done <- result{err: errkind.New(errkind.ClaimUnavailable, "%w; use a ticket while the platform is away", err).After(retryAway)}
+		w.done <- result{err: errkind.New(errkind.ClaimUnavailable, "%w; use a ticket while the platform is away", err).WithRetryAfter(retryAway)}
 	}
 }
 
@@ -174,7 +174,7 @@
 func (m *committer) swap(c context.Context) error {
 	b, err := m.page.Bytes()
 	if err == nil && len(b) > fullBytes {
-		err = errkind.New(errkind.ClaimUnavailable, "the page of claims is full").After(retryFull)
+		err = errkind.New(errkind.ClaimUnavailable, "the page of claims is full").WithRetryAfter(retryFull)
 	}
 	if err != nil {
 		m.page = nil
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -73,7 +73,7 @@
 func (d *Daemon) services(s settings.Settings, m metrics.Registry, log zerolog.Logger) []kernel.Service {
 	platform := cloud.New(s.Cloud, s.BoxList, s.Box)
 	d.Front = front.New(front.Options{
-		Address: s.Callers, MaxBody: s.MaxBody, MaxRequests: s.MaxRequests, StopNotice: s.StopNotice, StopLimit: s.StopLimit,
+		Address: s.Callers, MaxBody: s.MaxBody, MaxRequests: s.MaxRequests, ShutdownDelay: s.StopNotice, ShutdownTimeout: s.StopLimit,
 	}, m, log)
 	d.Operator = operator.New(s.Admin, s.OperatorKey, m, log)
 	return []kernel.Service{
@@ -112,7 +112,7 @@
 				return
 			}
 			log.Warn().Str("event", "own notice").Time("deadline", deadline).Msg("this box leaves")
-			f.StopBy(deadline.Add(-ownMargin))
+			f.SetStopDeadline(deadline.Add(-ownMargin))
 			if err := stop.Shutdown(); err != nil {
 				log.Error().Err(err).Msg("not stopped")
 			}
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -101,7 +101,7 @@
 }
 
 func (b *box) operate(t *testing.T, method, path string, in, out any) {
-	h := jsonhttp.New(b.daemon.Operator.Listening(), "test", 10*time.Second)
+	h := jsonhttp.New(b.daemon.Operator.Addr(), "test", 10*time.Second)
 	h.HTTP.Transport = bearer{}
 	require.NoError(t, h.Do(t.Context(), method, path, in, out))
 }
@@ -126,7 +126,7 @@
 	ignore := goleak.IgnoreCurrent()
 	t.Run("box", func(t *testing.T) {
 		b := start(t, "pamoja.ini", "matokeo-api")
-		a, err := http.Get("http://" + b.daemon.Front.Listening() + "/ready")
+		a, err := http.Get("http://" + b.daemon.Front.Addr() + "/ready")
 		require.NoError(t, err)
 		require.NoError(t, a.Body.Close())
 		require.Equal(t, http.StatusOK, a.StatusCode)
@@ -138,7 +138,7 @@
 // The OpenAI project's own client gets a plain and a streamed answer.
 func TestOpenAIClient(t *testing.T) {
 	b := start(t, "pamoja.ini", "matokeo-api")
-	c := openai.NewClient(option.WithBaseURL("http://"+b.daemon.Front.Listening()+"/v1"), option.WithAPIKey("pamoja-key-msasani"))
+	c := openai.NewClient(option.WithBaseURL("http://"+b.daemon.Front.Addr()+"/v1"), option.WithAPIKey("pamoja-key-msasani"))
 	p := openai.ChatCompletionNewParams{
 		Model: "maandishi-llm", MaxTokens: openai.Int(20), Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("hello")},
 	}
@@ -192,7 +192,7 @@
 func (b *box) session(t *testing.T, request string) (decisions, answer []byte) {
 	head, body, _ := strings.Cut(request, "\n\n")
 	raw := fmt.Sprintf("%s\r\nHost: x\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", strings.ReplaceAll(head, "\n", "\r\n"), len(body), body)
-	c, err := net.Dial("tcp", b.daemon.Front.Listening())
+	c, err := net.Dial("tcp", b.daemon.Front.Addr())
 	require.NoError(t, err)
 	defer c.Close()
 	_, err = io.WriteString(c, raw)
@@ -233,7 +233,7 @@
 
 // callService calls a plain service by its path x, and returns the status and head of the answer.
 func (b *box) callService(t *testing.T, name string) (int, http.Header) {
-	q, err := http.NewRequest(http.MethodGet, "http://"+b.daemon.Front.Listening()+"/services/"+name+"/x", http.NoBody)
+	q, err := http.NewRequest(http.MethodGet, "http://"+b.daemon.Front.Addr()+"/services/"+name+"/x", http.NoBody)
 	require.NoError(t, err)
 	q.Header.Set("Authorization", "Bearer pamoja-key-msasani")
 	a, err := http.DefaultClient.Do(q)
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -185,8 +185,8 @@
 	p.hints = hint.New(log)
 	p.hints.Address, p.hints.OnHint = s.Peers, p.hinted
 	o := ingress.Options{
-		Address: s.Callers, Ready: s.Ready, ReadyPath: platform.ReadyPath,
-		Notice: min(stopNotice, s.StopLimit/3), Limit: s.StopLimit - stopReserve,
+		Address: s.Callers, ReadyAddress: s.Ready, ReadyPath: platform.ReadyPath,
+		ShutdownDelay: min(stopNotice, s.StopLimit/3), ShutdownTimeout: s.StopLimit - stopReserve,
 	}
 	ss := []kernel.Service{
 		session.New(p.store, log),
@@ -198,7 +198,7 @@
 	}
 	ss = append(ss, p.duties(log)...)
 	in := ingress.New(o, platform.Wire{}, f, limits, m, log)
-	p.gossip.Leaving = in.Leaving
+	p.gossip.Leaving = in.Stopping
 	return append(ss, p.figures(in, f, m, log), in)
 }
 
@@ -212,7 +212,7 @@
 	fs.Gauge("endpoints.resting", func() int64 { return int64(p.book.Availability.CountBackingOff(boottime.Now())) })
 	fs.Gauge("endpoints.limited", func() int64 { return int64(p.book.Availability.Rates.Len()) })
 	fs.Gauge("boxes.known", func() int64 { return p.boxes.Load() })
-	fs.Gauge("requests.live", func() int64 { return int64(in.Live()) })
+	fs.Gauge("requests.live", func() int64 { return int64(in.InFlight()) })
 	fs.Gauge("contents.refused", func() int64 { return int64(len(p.gossip.Quarantine.Refused(boottime.Now()))) })
 	fs.Gauge("connections.idle", func() int64 { return int64(f.Pool.CountIdle()) })
 	return fs
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -183,7 +183,7 @@
 func (d *Dispatcher) doTicket(c context.Context, q Call, sink Sink) error {
 	t, err := ticket.Parse(q.Ticket)
 	if err != nil {
-		return errkind.New(errkind.HeaderRange, "%w", err)
+		return errkind.New(errkind.HeaderOutOfRange, "%w", err)
 	}
 	_, known := d.records.Find(q.Ticket)
 	if t.Incarnation != d.members.Self().Incarnation && !known {
@@ -241,7 +241,7 @@
 		return sink(i)
 	})
 	if errkind.Is(err, errkind.Unavailable) {
-		return errkind.Of(err).After(peerRetryAfter)
+		return errkind.Of(err).WithRetryAfter(peerRetryAfter)
 	}
 	return err
 }
@@ -294,7 +294,7 @@
 	st, v, err := r.Wait(c, hasOutcome)
 	switch {
 	case err != nil:
-		return errkind.New(errkind.StillRunning, "it still runs; come back for its answer").After(peerRetryAfter)
+		return errkind.New(errkind.StillRunning, "it still runs; come back for its answer").WithRetryAfter(peerRetryAfter)
 	case v.Stream != nil:
 		return d.readStream(c, v.Stream, sink)
 	case v.Inherited != nil:
@@ -302,7 +302,7 @@
 	case v.Err != nil:
 		return v.Err
 	case st == once.Open:
-		return errkind.New(errkind.ClaimUnavailable, "the key or ticket is too old to run").After(0)
+		return errkind.New(errkind.ClaimUnavailable, "the key or ticket is too old to run").WithRetryAfter(0)
 	}
 	return sink(Item{Plain: v.Plain})
 }
@@ -331,5 +331,5 @@
 
 // mayHaveRun reports whether a call that ended with err may have run.
 func mayHaveRun(err error) bool {
-	return err == nil || errkind.Of(err).Kind.Answer().Run != errkind.NotRun
+	return err == nil || errkind.Of(err).Kind.Response().Run != errkind.NotRun
 }
--- a/errkind/error.go
+++ b/errkind/error.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Error is an error of a known kind. RetryAfter is when coming back helps; zero
-// leaves the choice to the front. Err may be nil.
+// Error is an error with a kind. Message is sent to the caller. RetryAfter is the delay after which a
+// retry is useful; if it is zero, the server that sends the response chooses one. Err is the wrapped
+// error and may be nil.
 type Error struct {
 	Kind       Kind
 	Message    string
@@ -16,28 +17,29 @@
 	Err        error
 }
 
-// New returns an error of kind k with a formatted message; %w wraps as in
+// New returns an error of kind k with a formatted message. The verb %w wraps an error, as in
 // fmt.Errorf.
 func New(k Kind, format string, args ...any) *Error {
 	err := fmt.Errorf(format, args...)
 	return &Error{Kind: k, Message: err.Error(), Err: errors.Unwrap(err)}
 }
 
-// Error returns the kind and the message.
+// Error returns the name of the kind and the message.
 func (e *Error) Error() string { return e.Kind.String() + ": " + e.Message }
 
 // Unwrap returns the wrapped error, if any.
 func (e *Error) Unwrap() error { return e.Err }
 
-// After returns a copy of e that tells the caller to come back after d.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy of e with RetryAfter set to d.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// Of returns err as an *Error. A context that ended maps to DeadlinePassed or
-// CallerGone, anything else unknown to Internal.
+// Of returns the first *Error in err's tree. If there is none, it wraps err in an Error of kind
+// DeadlinePassed for context.DeadlineExceeded, CallerGone for context.Canceled, and Internal for any
+// other error.
 func Of(err error) *Error {
 	var e *Error
 	switch {
@@ -52,7 +54,7 @@
 	}
 }
 
-// Is reports whether err is of kind k.
+// Is reports whether the first *Error in err's tree is of kind k.
 func Is(err error, k Kind) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Kind == k
--- a/errkind/kind.go
+++ b/errkind/kind.go
@@ -1,17 +1,17 @@
-// Package errkind holds the closed list of error kinds and the table that
-// turns each kind into the answer a caller gets.
+// Package errkind defines the kinds of errors that callers can receive, and the HTTP status and error
+// name of the response to each kind.
 package errkind
 
 import "net/http"
 
-// Kind names one reason why a request was not answered as asked.
+// Kind is the reason why a request failed.
 type Kind int
 
-// The closed list of kinds. Every error that reaches a caller has one of them.
+// The error kinds. Every error response has one of them.
 const (
 	Internal Kind = iota
 	BadRequest
-	HeaderRange
+	HeaderOutOfRange
 	UnknownAccount
 	Forbidden
 	UnknownModel
@@ -25,7 +25,7 @@
 	Quarantined
 	NotReady
 	Stopping
-	DeadlineShort
+	DeadlineTooShort
 	DeadlinePassed
 	ClaimUnavailable
 	StillRunning
@@ -41,29 +41,30 @@
 	kindCount
 )
 
-// Run says whether the request ran at an endpoint.
+// Run states whether the request ran at an endpoint.
 type Run string
 
-// The three things birchlink says about a run.
+// The values of Run.
 const (
 	NotRun  Run = "not_run"
 	Ran     Run = "ran"
 	Unknown Run = "unknown"
 )
 
-// Answer is what a caller is told for a kind. Retry says whether coming back
-// later helps, and so whether a Retry-After goes with the answer.
-type Answer struct {
+// Response describes the error response for a kind. Name is the name of the kind that callers see,
+// and Retry reports whether a later retry may succeed, in which case the response has a Retry-After
+// header.
+type Response struct {
 	Name   string
 	Status int
 	Run    Run
 	Retry  bool
 }
 
-var table = [kindCount]Answer{
+var table = [kindCount]Response{
 	Internal:         {"internal", http.StatusInternalServerError, Unknown, false},
 	BadRequest:       {"bad_request", http.StatusBadRequest, NotRun, false},
-	HeaderRange:      {"header_out_of_range", http.StatusBadRequest, NotRun, false},
+	HeaderOutOfRange: {"header_out_of_range", http.StatusBadRequest, NotRun, false},
 	UnknownAccount:   {"unknown_account", http.StatusUnauthorized, NotRun, false},
 	Forbidden:        {"forbidden", http.StatusForbidden, NotRun, false},
 	UnknownModel:     {"unknown_model", http.StatusNotFound, NotRun, false},
@@ -77,7 +78,7 @@
 	Quarantined:      {"quarantined", http.StatusServiceUnavailable, NotRun, true},
 	NotReady:         {"not_ready", http.StatusServiceUnavailable, NotRun, true},
 	Stopping:         {"stopping", http.StatusServiceUnavailable, NotRun, true},
-	DeadlineShort:    {"deadline_too_short", http.StatusGatewayTimeout, NotRun, false},
+	DeadlineTooShort: {"deadline_too_short", http.StatusGatewayTimeout, NotRun, false},
 	DeadlinePassed:   {"deadline_passed", http.StatusGatewayTimeout, Unknown, false},
 	ClaimUnavailable: {"claim_unavailable", http.StatusServiceUnavailable, NotRun, true},
 	StillRunning:     {"still_running", http.StatusConflict, Ran, true},
@@ -92,22 +93,22 @@
 	Moved:            {"moved", http.StatusServiceUnavailable, Ran, true},
 }
 
-// statusCallerGone is only logged: the caller that would read it has left.
+// statusCallerGone is never sent, because the caller has disconnected. 499 is the status that nginx
+// logs for a closed request.
 const statusCallerGone = 499
 
-// Answer returns the row of the table for k. A value outside the list is
-// answered as Internal.
-func (k Kind) Answer() Answer {
+// Response returns the error response for k. An undefined kind has the response of Internal.
+func (k Kind) Response() Response {
 	if k < 0 || k >= kindCount {
 		return table[Internal]
 	}
 	return table[k]
 }
 
-// String returns the name of k as callers see it.
-func (k Kind) String() string { return k.Answer().Name }
+// String returns the name of k that callers see.
+func (k Kind) String() string { return k.Response().Name }
 
-// All returns every kind in the order of the list.
+// All returns all kinds in the order of their constants.
 func All() []Kind {
 	ks := make([]Kind, kindCount)
 	for i := range ks {
--- a/errkind/kind_test.go
+++ b/errkind/kind_test.go
@@ -17,21 +17,21 @@
 func ExampleOf() {
 	err := fmt.Errorf("while routing: %w", errkind.New(errkind.NoEndpoint, "nothing has %s", "m@1"))
 	e := errkind.Of(err)
-	fmt.Println(e.Kind, e.Kind.Answer().Status, e.Kind.Answer().Run)
+	fmt.Println(e.Kind, e.Kind.Response().Status, e.Kind.Response().Run)
 	// Output: no_endpoint 503 not_run
 }
 
-// The page for callers has each kind that they can meet, with the status and
-// the run of the table, and no other.
-func TestPageHasTheTable(t *testing.T) {
+// docs/API.md lists each kind that callers can receive, with its status, its run state and whether a
+// retry is useful.
+func TestKindsAreDocumented(t *testing.T) {
 	b, err := os.ReadFile("../docs/API.md")
 	require.NoError(t, err)
-	own := map[errkind.Kind]bool{errkind.CallerGone: true, errkind.ConfigConflict: true, errkind.ConfigInvalid: true}
+	internalOnly := map[errkind.Kind]bool{errkind.CallerGone: true, errkind.ConfigConflict: true, errkind.ConfigInvalid: true}
 	for _, k := range errkind.All() {
-		if own[k] {
+		if internalOnly[k] {
 			continue
 		}
-		a := k.Answer()
+		a := k.Response()
 		retry := "-"
 		if a.Retry {
 			retry = "yes"
@@ -41,13 +41,14 @@
 	}
 }
 
-// A kind that says "not run" never comes of an error that may mean a run.
+// Of never maps an error without a kind to a kind that states that the request did not run, because
+// it may have run.
 func TestOf(t *testing.T) {
 	require.Equal(t, errkind.DeadlinePassed, errkind.Of(context.DeadlineExceeded).Kind)
 	require.Equal(t, errkind.CallerGone, errkind.Of(context.Canceled).Kind)
 	require.Equal(t, errkind.Internal, errkind.Of(errors.New("x")).Kind)
 	for _, err := range []error{context.DeadlineExceeded, context.Canceled, errors.New("x")} {
-		require.NotEqual(t, errkind.NotRun, errkind.Of(err).Kind.Answer().Run)
+		require.NotEqual(t, errkind.NotRun, errkind.Of(err).Kind.Response().Run)
 	}
-	require.Equal(t, http.StatusInternalServerError, errkind.Kind(-1).Answer().Status)
+	require.Equal(t, http.StatusInternalServerError, errkind.Kind(-1).Response().Status)
 }
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -104,10 +104,10 @@
 // because endpoints crashed while they ran it, or no endpoint of the service accepts requests now.
 func (f *Forwarder) Check(q Request) error {
 	if left, refused := f.Quarantine.Refuses(q.Content, boottime.Now()); refused {
-		return errkind.New(errkind.Quarantined, "endpoints of %s ended while they ran this request", q.Service.Name).After(left)
+		return errkind.New(errkind.Quarantined, "endpoints of %s ended while they ran this request", q.Service.Name).WithRetryAfter(left)
 	}
 	if left := f.retryAfter(q.Service.Name); left > 0 {
-		return errkind.New(errkind.NoEndpoint, "no endpoint of %s takes a request now: they rest, or their rates are used up", q.Service.Name).After(left)
+		return errkind.New(errkind.NoEndpoint, "no endpoint of %s takes a request now: they rest, or their rates are used up", q.Service.Name).WithRetryAfter(left)
 	}
 	return nil
 }
--- a/forward/run.go
+++ b/forward/run.go
@@ -204,7 +204,7 @@
 	if r.mayHaveRun {
 		return r.fail(errkind.DeadlinePassed, "deadline passed")
 	}
-	return r.fail(errkind.DeadlineShort, "deadline passed before it ran")
+	return r.fail(errkind.DeadlineTooShort, "deadline passed before it ran")
 }
 
 // maxAttempts returns the number of endpoints to which the request may be sent.
@@ -221,7 +221,7 @@
 		}
 		return true, nil
 	}
-	if r.mayHaveRun && k.Answer().Run == errkind.NotRun {
+	if r.mayHaveRun && k.Response().Run == errkind.NotRun {
 		k = errkind.EngineFailed
 		if !r.q.Route.Repeatable() {
 			k = errkind.OutcomeUnknown
@@ -229,7 +229,7 @@
 	}
 	err := errkind.New(k, "%s", reason)
 	if k == errkind.NoEndpoint {
-		err = err.After(cmp.Or(r.f.retryAfter(r.q.Service.Name), r.permitRetryAfter))
+		err = err.WithRetryAfter(cmp.Or(r.f.retryAfter(r.q.Service.Name), r.permitRetryAfter))
 	}
 	return false, err
 }
--- a/frame/conn.go
+++ b/frame/conn.go
@@ -1,5 +1,5 @@
-// Package frame carries typed messages between entry boxes: a length, then one
-// msgpack value.
+// Package frame implements the wire format of connections between entry boxes. Each frame is a
+// 4-byte big-endian length followed by one Message encoded with msgpack.
 package frame
 
 import (
@@ -15,26 +15,26 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// MaxSize bounds one frame, in bytes.
+// MaxSize is the maximum size of an encoded message, in bytes, without the length prefix.
 const MaxSize = 10 << 20
 
-// lengthBytes is the size of the length before each frame.
-const lengthBytes = 4
+// headerBytes is the size of the length prefix of a frame.
+const headerBytes = 4
 
-// Type says what a message is.
+// Type is the type of a message.
 type Type uint8
 
-// The types of messages on a connection.
+// The message types.
 const (
-	Call Type = iota + 1
-	Item
-	End
-	Fail
-	Cancel
-	Hello
+	Call   Type = iota + 1 // request to call a method
+	Item                   // one item of a streamed result
+	End                    // result of a call that succeeded
+	Fail                   // error of a call that failed
+	Cancel                 // request to cancel a call
+	Hello                  // step of the authentication handshake
 )
 
-// Message is one frame. ID ties the frames of one call together.
+// Message is the content of one frame. All messages of a call have the same ID.
 type Message struct {
 	ID     uint64             `msgpack:"i"`
 	Type   Type               `msgpack:"t"`
@@ -42,8 +42,8 @@
 	Body   msgpack.RawMessage `msgpack:"b,omitempty"`
 }
 
-// Conn reads and writes frames. Write may be called by many at once, Read by
-// one. Bytes counts what went both ways.
+// Conn reads and writes frames on a network connection. Write may be called concurrently; Read must
+// be called by one goroutine at a time. Bytes is the number of bytes transferred in both directions.
 type Conn struct {
 	Bytes atomic.Int64
 
@@ -52,21 +52,21 @@
 	mu sync.Mutex
 }
 
-// New returns a Conn on c.
+// New returns a Conn that uses c.
 func New(c net.Conn) *Conn { return &Conn{c: c, r: bufio.NewReader(c)} }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Conn) Close() error { return c.c.Close() }
 
-// Write sends one message within the limit.
-func (c *Conn) Write(m Message, limit time.Duration) error {
+// Write sends one message. It fails if the write takes longer than timeout.
+func (c *Conn) Write(m Message, timeout time.Duration) error {
 	b, err := Encode(m)
 	if err != nil {
 		return err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err := c.c.SetWriteDeadline(time.Now().Add(limit)); err != nil {
+	if err := c.c.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
 		return fmt.Errorf("write frame: %w", err)
 	}
 	n, err := c.c.Write(b)
@@ -77,14 +77,14 @@
 	return nil
 }
 
-// Read returns the next message.
+// Read reads the next message.
 func (c *Conn) Read() (Message, error) {
 	m, n, err := Decode(c.r)
 	c.Bytes.Add(int64(n))
 	return m, err
 }
 
-// Encode returns the bytes of one frame.
+// Encode returns m as a frame. It fails if the encoded message is larger than MaxSize.
 func Encode(m Message) ([]byte, error) {
 	b, err := msgpack.Marshal(&m)
 	if err != nil {
@@ -93,12 +93,13 @@
 	if len(b) > MaxSize {
 		return nil, fmt.Errorf("frame of %d bytes is over %d", len(b), MaxSize)
 	}
-	return append(binary.BigEndian.AppendUint32(make([]byte, 0, lengthBytes+len(b)), uint32(len(b))), b...), nil
+	return append(binary.BigEndian.AppendUint32(make([]byte, 0, headerBytes+len(b)), uint32(len(b))), b...), nil
 }
 
-// Decode reads one frame and says how many bytes it took.
+// Decode reads one frame. It returns the message and the size of its frame in bytes, which is 0
+// on an error. A frame with a length over MaxSize is an error.
 func Decode(r io.Reader) (Message, int, error) {
-	var h [lengthBytes]byte
+	var h [headerBytes]byte
 	if _, err := io.ReadFull(r, h[:]); err != nil {
 		return Message{}, 0, fmt.Errorf("read frame: %w", err)
 	}
@@ -114,5 +115,5 @@
 	if err := msgpack.Unmarshal(b, &m); err != nil {
 		return Message{}, 0, fmt.Errorf("decode frame: %w", err)
 	}
-	return m, lengthBytes + int(n), nil
+	return m, headerBytes + int(n), nil
 }
--- a/frame/conn_test.go
+++ b/frame/conn_test.go
@@ -10,6 +10,7 @@
 	"birchlink.dev/birchlink/frame"
 )
 
+// Decode never reads past its input, and a decoded message survives another round trip.
 func FuzzDecode(f *testing.F) {
 	b, err := frame.Encode(frame.Message{ID: 7, Type: frame.Call, Method: "m", Body: []byte{0xc0}})
 	require.NoError(f, err)
@@ -25,8 +26,8 @@
 		}
 		out, err := frame.Encode(m)
 		require.NoError(t, err)
-		again, _, err := frame.Decode(bytes.NewReader(out))
+		decoded, _, err := frame.Decode(bytes.NewReader(out))
 		require.NoError(t, err)
-		require.Equal(t, m, again)
+		require.Equal(t, m, decoded)
 	})
 }
--- a/front/chat.go
+++ b/front/chat.go
@@ -20,16 +20,16 @@
 	"birchlink.dev/birchlink/stream"
 )
 
-// The bounds of an answer's length, in tokens.
+// The default and the maximum of a response's length, in tokens.
 const (
-	defaultTokens = 16
-	maxTokens     = 8192
+	defaultMaxTokens = 16
+	maxTokens        = 8192
 )
 
-// chat answers POST /v1/chat/completions.
-func (f *Front) chat(s *session) error {
+// completeChat handles POST /v1/chat/completions.
+func (f *Front) completeChat(s *session) error {
 	var q openai.ChatRequest
-	b, release, err := f.body(s)
+	b, release, err := f.readBody(s)
 	if err != nil {
 		return err
 	}
@@ -37,40 +37,43 @@
 	if err := json.Unmarshal(b, &q); err != nil {
 		return errkind.New(errkind.BadRequest, "the body is not a chat request: %w", err)
 	}
-	p, err := chatRequest(s, q)
+	p, err := newStreamRequest(s, q)
 	if err != nil {
 		return err
 	}
-	c, cancel := f.until(s)
+	c, cancel := f.requestContext(s)
 	defer cancel()
-	call := dispatch.Call{Chat: p, Key: s.fields.key, Ticket: s.fields.ticket}
+	call := dispatch.Call{Chat: p, Key: s.headers.key, Ticket: s.headers.ticket}
 	o := newWriter(s, q, p.ID)
-	err = f.dispatcher.Do(c, call, func(i dispatch.Item) error { return o.token(i.Index, i.Token) })
-	return o.close(orClosing(c, err))
+	err = f.dispatcher.Do(c, call, func(i dispatch.Item) error { return o.writeToken(i.Index, i.Token) })
+	return o.finish(closingError(c, err))
 }
 
-// until ends with the caller, and when the box must close.
-func (f *Front) until(s *session) (context.Context, context.CancelFunc) {
+// requestContext returns the context of a request. It is cancelled when the caller disconnects, and
+// with errClosing one second after Stop gives up waiting for requests.
+func (f *Front) requestContext(s *session) (context.Context, context.CancelFunc) {
 	c, cancel := context.WithCancelCause(s.r.Context())
-	stop := context.AfterFunc(f.hurry, func() { time.AfterFunc(time.Second, func() { cancel(errClosing) }) })
+	stop := context.AfterFunc(f.closing, func() { time.AfterFunc(time.Second, func() { cancel(errClosing) }) })
 	return c, func() {
 		stop()
 		cancel(nil)
 	}
 }
 
-// orClosing returns errClosing for an error that came of it.
-func orClosing(c context.Context, err error) error {
+// closingError returns errClosing in place of err if c was cancelled with errClosing.
+func closingError(c context.Context, err error) error {
 	if err != nil && errors.Is(context.Cause(c), errClosing) {
 		return errClosing
 	}
 	return err
 }
 
-// errClosing ends a request whose box closes; a peer goes on with its stream.
-var errClosing = errors.New("the box closes")
+// errClosing cancels the requests that are in progress when the shutdown timeout expires. Another box
+// continues their streams.
+var errClosing = errors.New("the box is shutting down")
 
-func chatRequest(s *session, q openai.ChatRequest) (*stream.Request, error) {
+// newStreamRequest checks a chat request against the configuration and its limits.
+func newStreamRequest(s *session, q openai.ChatRequest) (*stream.Request, error) {
 	w, ok := s.document.Resolve(q.Model)
 	if !ok {
 		return nil, errkind.New(errkind.UnknownModel, "no model %q; GET /v1/models lists them", q.Model)
@@ -83,41 +86,42 @@
 	}
 	n := max(q.MaxTokens, q.MaxCompletionTokens)
 	if n == 0 {
-		n = defaultTokens
+		n = defaultMaxTokens
 	}
 	if n < 0 || n > maxTokens {
 		return nil, errkind.New(errkind.BadRequest, "max_tokens is from 1 to %d", maxTokens)
 	}
 	return &stream.Request{
 		ID: s.id, Account: s.account.Name, Workload: w, Prompt: q.Prompt(), MaxTokens: n,
-		Kind: s.fields.kind, Member: s.fields.member, Match: s.fields.match,
+		Kind: s.headers.kind, Member: s.headers.member, Match: s.headers.match,
 		Weight: s.account.Weight, Rate: s.account.RequestsPerSecond,
-		Repeatable: s.fields.repeatable, Deadline: s.fields.deadline,
+		Repeatable: s.headers.repeatable, Deadline: s.headers.deadline,
 	}, nil
 }
 
-// resume answers GET /v1/requests/{id}?from=n with the rest of a stream.
-func (f *Front) resume(s *session) error {
+// resumeStream handles GET /v1/requests/{id}?from=n, which returns the tokens of a stream from
+// index n on.
+func (f *Front) resumeStream(s *session) error {
 	from := 0
 	if v := s.r.URL.Query().Get("from"); v != "" {
 		n, err := strconv.Atoi(v)
 		if err != nil || n < 0 || n > maxTokens {
-			return errkind.New(errkind.HeaderRange, "from is a token's index from 0 to %d", maxTokens)
+			return errkind.New(errkind.HeaderOutOfRange, "from is a token's index from 0 to %d", maxTokens)
 		}
 		from = n
 	}
 	id := mux.Vars(s.r)["id"]
 	s.w.Header().Set(RequestIDHeader, id)
 	o := newWriter(s, openai.ChatRequest{Stream: true}, id)
-	o.next = from
-	c, cancel := f.until(s)
+	o.nextIndex = from
+	c, cancel := f.requestContext(s)
 	defer cancel()
-	err := f.keeper.ReadAnywhere(c, id, s.account.Name, from, o.token)
-	return o.close(orClosing(c, err))
+	err := f.keeper.ReadAnywhere(c, id, s.account.Name, from, o.writeToken)
+	return o.finish(closingError(c, err))
 }
 
-// models answers GET /v1/models.
-func (f *Front) models(s *session) error {
+// listModels handles GET /v1/models.
+func (f *Front) listModels(s *session) error {
 	m := openai.Models{Object: "list", Data: []openai.Model{}}
 	for _, w := range s.document.Workloads() {
 		m.Data = append(m.Data, openai.Model{ID: w, Object: "model", OwnedBy: "birchlink"})
@@ -126,34 +130,35 @@
 	return nil
 }
 
-// writer writes an answer as it comes, or whole at its end.
+// writer writes a response to a chat request: token by token if the caller asked for a stream, or
+// otherwise as one JSON object at the end.
 type writer struct {
-	s       *session
-	id      string
-	model   string
-	stream  bool
-	usage   bool
-	prompt  int
-	next    int
-	started bool
-	text    strings.Builder
-	out     *http.ResponseController
+	s            *session
+	id           string
+	model        string
+	stream       bool
+	includeUsage bool
+	promptTokens int
+	nextIndex    int
+	started      bool
+	text         strings.Builder
+	controller   *http.ResponseController
 }
 
 func newWriter(s *session, q openai.ChatRequest, id string) *writer {
 	return &writer{
-		s: s, id: id, model: q.Model, stream: q.Stream, prompt: engine.PromptTokens(q.Prompt()),
-		usage: q.StreamOptions != nil && q.StreamOptions.IncludeUsage, out: http.NewResponseController(s.w),
+		s: s, id: id, model: q.Model, stream: q.Stream, promptTokens: engine.PromptTokens(q.Prompt()),
+		includeUsage: q.StreamOptions != nil && q.StreamOptions.IncludeUsage, controller: http.NewResponseController(s.w),
 	}
 }
 
-// token takes the token of an index. The answer's text has no gap, so another
-// index than the next is an error.
-func (o *writer) token(i int, t string) error {
-	if i != o.next {
-		return errkind.New(errkind.AnswerCut, "token %d came in place of %d", i, o.next)
+// writeToken adds the token with index i to the response. Any other index than the next one is an
+// error, so that the text has no gaps.
+func (o *writer) writeToken(i int, t string) error {
+	if i != o.nextIndex {
+		return errkind.New(errkind.AnswerCut, "token %d came in place of %d", i, o.nextIndex)
 	}
-	o.next++
+	o.nextIndex++
 	if !o.stream {
 		o.text.WriteString(t)
 		return nil
@@ -162,18 +167,19 @@
 	if !o.started {
 		d.Role = "assistant"
 	}
-	return o.event(strconv.Itoa(i), o.completion("chat.completion.chunk", openai.Choice{Delta: d}))
+	return o.writeEvent(strconv.Itoa(i), o.newCompletion("chat.completion.chunk", openai.Choice{Delta: d}))
 }
 
-func (o *writer) completion(object string, cs ...openai.Choice) openai.Completion {
+func (o *writer) newCompletion(object string, cs ...openai.Choice) openai.Completion {
 	if cs == nil {
 		cs = []openai.Choice{}
 	}
 	return openai.Completion{ID: o.id, Object: object, Created: time.Now().Unix(), Model: o.model, Choices: cs}
 }
 
-// event writes one server-sent event; its id is the token's index.
-func (o *writer) event(id string, v any) error {
+// writeEvent writes one server-sent event and flushes it. The id of a token's event is the token's
+// index.
+func (o *writer) writeEvent(id string, v any) error {
 	if !o.started {
 		o.started = true
 		h := o.s.w.Header()
@@ -185,68 +191,69 @@
 	if err != nil {
 		return fmt.Errorf("encode event: %w", err)
 	}
-	_ = o.out.SetWriteDeadline(time.Now().Add(writeLimit))
+	_ = o.controller.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if id != "" {
 		fmt.Fprintf(o.s.w, "id: %s\n", id)
 	}
 	if _, err := fmt.Fprintf(o.s.w, "data: %s\n\n", b); err != nil {
 		return errkind.New(errkind.CallerGone, "the caller left: %w", err)
 	}
-	return o.out.Flush()
+	return o.controller.Flush()
 }
 
-func (o *writer) count() *openai.Usage {
-	return &openai.Usage{PromptTokens: o.prompt, CompletionTokens: o.next, TotalTokens: o.prompt + o.next}
+func (o *writer) tokenUsage() *openai.Usage {
+	return &openai.Usage{PromptTokens: o.promptTokens, CompletionTokens: o.nextIndex, TotalTokens: o.promptTokens + o.nextIndex}
 }
 
-// close ends the answer. An error after the first event goes into the stream,
-// since the status is sent.
-func (o *writer) close(err error) error {
+// finish completes the response. An error after the first event is sent as an event, because the
+// status has already been sent.
+func (o *writer) finish(err error) error {
 	if err != nil && !o.started {
-		return o.moved(err)
+		return o.movedError(err)
 	}
 	if err != nil {
-		e := o.moved(err)
-		return o.event("", errorBody(o.id, errkind.Of(e), o.resume(e)))
+		e := o.movedError(err)
+		return o.writeEvent("", errorBody(o.id, errkind.Of(e), o.resumePath(e)))
 	}
-	why := "stop"
+	finishReason := "stop"
 	if !o.stream {
 		o.s.w.Header().Set(RunHeader, string(errkind.Ran))
 		m := &openai.Delta{Role: "assistant", Content: o.text.String()}
-		a := o.completion("chat.completion", openai.Choice{Message: m, FinishReason: &why})
-		a.Usage = o.count()
+		a := o.newCompletion("chat.completion", openai.Choice{Message: m, FinishReason: &finishReason})
+		a.Usage = o.tokenUsage()
 		jsonhttp.Write(o.s.w, http.StatusOK, a)
 		return nil
 	}
-	if err := o.event("", o.completion("chat.completion.chunk", openai.Choice{Delta: &openai.Delta{}, FinishReason: &why})); err != nil {
+	if err := o.writeEvent("", o.newCompletion("chat.completion.chunk", openai.Choice{Delta: &openai.Delta{}, FinishReason: &finishReason})); err != nil {
 		return err
 	}
-	if o.usage {
-		u := o.completion("chat.completion.chunk")
-		u.Usage = o.count()
-		if err := o.event("", u); err != nil {
+	if o.includeUsage {
+		u := o.newCompletion("chat.completion.chunk")
+		u.Usage = o.tokenUsage()
+		if err := o.writeEvent("", u); err != nil {
 			return err
 		}
 	}
 	if _, err := fmt.Fprint(o.s.w, "data: [DONE]\n\n"); err != nil {
 		return errkind.New(errkind.CallerGone, "the caller left: %w", err)
 	}
-	return o.out.Flush()
+	return o.controller.Flush()
 }
 
-// moved turns the end of this box, or of the stream here, into the answer that
-// tells the caller to resume.
-func (o *writer) moved(err error) error {
+// movedError returns the error that asks the caller to resume the stream if another box continues
+// it, or otherwise err.
+func (o *writer) movedError(err error) error {
 	var m *stream.MovedError
 	if errors.As(err, &m) || errors.Is(err, errClosing) {
-		return errkind.New(errkind.Moved, "another box goes on; resume at token %d", o.next).After(time.Second)
+		return errkind.New(errkind.Moved, "another box goes on; resume at token %d", o.nextIndex).WithRetryAfter(time.Second)
 	}
 	return err
 }
 
-func (o *writer) resume(err error) string {
+// resumePath returns the path from which the stream can be resumed if err is of kind Moved.
+func (o *writer) resumePath(err error) string {
 	if !errkind.Is(err, errkind.Moved) {
 		return ""
 	}
-	return fmt.Sprintf("/v1/requests/%s?from=%d", o.id, o.next)
+	return fmt.Sprintf("/v1/requests/%s?from=%d", o.id, o.nextIndex)
 }
--- a/front/front.go
+++ b/front/front.go
@@ -1,4 +1,6 @@
-// Package front is the HTTP face towards callers.
+// Package front serves Birchlink's HTTP API: chat completions in the format of OpenAI, and requests
+// to plain services. It authenticates callers, checks the headers and limits of their requests and
+// passes the requests to package dispatch.
 package front
 
 import (
@@ -26,61 +28,65 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// Name is the name of the service.
+// Name is the name under which the service is registered in the kernel.
 const Name = "front"
 
-// The bounds towards callers, who may be slow or gone.
+// The limits that protect the server from slow or disconnected callers. maxHeldBytes limits the
+// request bodies that are held at the same time.
 const (
-	headerLimit = 5 * time.Second
-	bodyLimit   = 15 * time.Second
-	writeLimit  = 15 * time.Second
-	idleLimit   = 2 * time.Minute
-	maxHeaders  = 32 << 10
-	bodyRoom    = 64 << 20
+	headerTimeout  = 5 * time.Second
+	bodyTimeout    = 15 * time.Second
+	writeTimeout   = 15 * time.Second
+	idleTimeout    = 2 * time.Minute
+	maxHeaderBytes = 32 << 10
+	maxHeldBytes   = 64 << 20
 )
 
-// Options sets the front up.
+// Options configures a Front. MaxBody is the maximum size of a request body in bytes, and MaxRequests
+// the number of requests in progress at which further ones are refused. Stop keeps accepting requests
+// for ShutdownDelay, so that the load balancer can notice that the box is not ready, and then waits
+// for at most ShutdownTimeout until the requests in progress complete.
 type Options struct {
-	Address     string
-	MaxBody     int
-	MaxRequests int
-	StopNotice  time.Duration
-	StopLimit   time.Duration
+	Address         string
+	MaxBody         int
+	MaxRequests     int
+	ShutdownDelay   time.Duration
+	ShutdownTimeout time.Duration
 }
 
-// Front is the service of one box.
+// Front is the API server of one box.
 type Front struct {
 	Options
 	Log zerolog.Logger
 
-	dispatcher *dispatch.Dispatcher
-	keeper     *stream.Keeper
-	proxy      *plain.Proxy
-	follower   *follower.Follower
-	server     *http.Server
-	listener   net.Listener
-	room       *semaphore.Weighted
-	bodies     *semaphore.Weighted
-	leaving    atomic.Bool
-	hurry      context.Context
-	hurryUp    context.CancelFunc
-	metrics    metrics.Registry
+	dispatcher     *dispatch.Dispatcher
+	keeper         *stream.Keeper
+	proxy          *plain.Proxy
+	follower       *follower.Follower
+	server         *http.Server
+	listener       net.Listener
+	requests       *semaphore.Weighted
+	bodies         *semaphore.Weighted
+	stopping       atomic.Bool
+	closing        context.Context
+	cancelRequests context.CancelFunc
+	metrics        metrics.Registry
 }
 
-// New returns the front of a box.
+// New returns a Front.
 func New(o Options, m metrics.Registry, log zerolog.Logger) *Front {
 	f := &Front{
 		Options: o, Log: log, metrics: m,
-		room: semaphore.NewWeighted(int64(o.MaxRequests)), bodies: semaphore.NewWeighted(bodyRoom),
+		requests: semaphore.NewWeighted(int64(o.MaxRequests)), bodies: semaphore.NewWeighted(maxHeldBytes),
 	}
-	f.hurry, f.hurryUp = context.WithCancel(context.Background())
+	f.closing, f.cancelRequests = context.WithCancel(context.Background())
 	return f
 }
 
 // Name returns the service's name.
 func (f *Front) Name() string { return Name }
 
-// Start listens for callers.
+// Start begins to accept requests.
 func (f *Front) Start(_ context.Context, k *kernel.Kernel) error {
 	err := errors.Join(
 		kernel.Bind(k, dispatch.Name, &f.dispatcher),
@@ -95,24 +101,25 @@
 		return fmt.Errorf("listen for callers: %w", err)
 	}
 	f.server = &http.Server{
-		Handler: f.routes(), ReadHeaderTimeout: headerLimit, IdleTimeout: idleLimit, MaxHeaderBytes: maxHeaders,
+		Handler: f.routes(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 	go func() {
 		if err := f.server.Serve(f.listener); !errors.Is(err, http.ErrServerClosed) {
-			f.Log.Error().Err(err).Msg("callers are no longer served")
+			f.Log.Error().Err(err).Msg("API server failed")
 		}
 	}()
 	return nil
 }
 
-// Stop leaves the balancer, lets every request end, hands over what is left at
-// the limit, and closes.
+// Stop shuts the server down. It first fails the readiness check and keeps accepting requests for
+// ShutdownDelay, then waits for the requests in progress. When ShutdownTimeout expires, it hands the
+// remaining streams over to other boxes and cancels the remaining requests.
 func (f *Front) Stop(c context.Context) error {
-	f.Leave()
+	f.SetNotReady()
 	f.keeper.Drain()
-	wait.For(c, f.StopNotice)
+	wait.For(c, f.ShutdownDelay)
 	f.server.SetKeepAlivesEnabled(false)
-	c, cancel := context.WithTimeout(c, f.StopLimit)
+	c, cancel := context.WithTimeout(c, f.ShutdownTimeout)
 	defer cancel()
 	done := make(chan error, 1)
 	go func() { done <- f.server.Shutdown(context.WithoutCancel(c)) }()
@@ -122,9 +129,9 @@
 	case <-c.Done():
 	}
 	n := f.keeper.HandOver()
-	f.Log.Info().Str("event", "hand over").Int("streams", n).Msg("the limit of the stop is reached")
-	f.hurryUp()
-	x, stop := context.WithTimeout(context.WithoutCancel(c), writeLimit)
+	f.Log.Info().Str("event", "hand over").Int("streams", n).Msg("shutdown timeout expired")
+	f.cancelRequests()
+	x, stop := context.WithTimeout(context.WithoutCancel(c), writeTimeout)
 	defer stop()
 	select {
 	case err := <-done:
@@ -134,23 +141,24 @@
 	}
 }
 
-// StopBy lets a stop that follows take no longer than to a time.
-func (f *Front) StopBy(t time.Time) {
-	left := max(time.Until(t), 0)
-	f.StopNotice = min(f.StopNotice, left/4)
-	f.StopLimit = min(f.StopLimit, left-f.StopNotice)
+// SetStopDeadline shortens ShutdownDelay and ShutdownTimeout so that a Stop that begins now hands
+// over the remaining streams by time t. It must be called before Stop.
+func (f *Front) SetStopDeadline(t time.Time) {
+	remaining := max(time.Until(t), 0)
+	f.ShutdownDelay = min(f.ShutdownDelay, remaining/4)
+	f.ShutdownTimeout = min(f.ShutdownTimeout, remaining-f.ShutdownDelay)
 }
 
-// Leave makes the balancer's check fail. Requests are still taken, since the
-// balancer needs a moment to see it.
-func (f *Front) Leave() { f.leaving.Store(true) }
+// SetNotReady makes the readiness check fail. Requests are still accepted, because the load balancer
+// notices the change only at its next check.
+func (f *Front) SetNotReady() { f.stopping.Store(true) }
 
-// Listening returns where callers are served, once the front has started.
-func (f *Front) Listening() string { return f.listener.Addr().String() }
+// Addr returns the address on which the server listens. It must be called after Start.
+func (f *Front) Addr() string { return f.listener.Addr().String() }
 
-// Ready returns nil if the balancer may send requests here.
+// Ready returns nil if the load balancer may send requests to this box.
 func (f *Front) Ready() error {
-	if f.leaving.Load() {
+	if f.stopping.Load() {
 		return errkind.New(errkind.Stopping, "this box stops")
 	}
 	if f.follower.Current() == nil {
@@ -161,22 +169,22 @@
 
 func (f *Front) routes() http.Handler {
 	r := mux.NewRouter()
-	r.HandleFunc("/ready", f.ready)
-	r.HandleFunc("/v1/models", f.caller(f.models)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/chat/completions", f.caller(f.chat)).Methods(http.MethodPost)
-	r.HandleFunc("/v1/requests/{id}", f.caller(f.resume)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/tickets", f.caller(f.tickets)).Methods(http.MethodPost)
-	r.PathPrefix("/services/{service}").HandlerFunc(f.caller(f.service))
+	r.HandleFunc("/ready", f.serveReady)
+	r.HandleFunc("/v1/models", f.handler(f.listModels)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/chat/completions", f.handler(f.completeChat)).Methods(http.MethodPost)
+	r.HandleFunc("/v1/requests/{id}", f.handler(f.resumeStream)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/tickets", f.handler(f.issueTickets)).Methods(http.MethodPost)
+	r.PathPrefix("/services/{service}").HandlerFunc(f.handler(f.callService))
 	r.NotFoundHandler = http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		f.fail(w, uuid.NewString(), errkind.New(errkind.BadRequest, "no such path: %s", q.URL.Path))
+		f.writeError(w, uuid.NewString(), errkind.New(errkind.BadRequest, "no such path: %s", q.URL.Path))
 	})
 	r.MethodNotAllowedHandler = http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		f.fail(w, uuid.NewString(), errkind.New(errkind.BadRequest, "%s is not for %s", q.Method, q.URL.Path))
+		f.writeError(w, uuid.NewString(), errkind.New(errkind.BadRequest, "%s is not for %s", q.Method, q.URL.Path))
 	})
 	return r
 }
 
-func (f *Front) ready(w http.ResponseWriter, _ *http.Request) {
+func (f *Front) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if err := f.Ready(); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
@@ -184,55 +192,57 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// session is one request of a known account.
+// session is a request of an authenticated account.
 type session struct {
 	id       string
 	account  config.Account
 	document *config.Document
 	w        http.ResponseWriter
 	r        *http.Request
-	fields   fields
+	headers  callerHeaders
 }
 
-// caller checks who calls and that there is room, and answers what h returns.
-func (f *Front) caller(h func(*session) error) http.HandlerFunc {
+// handler returns an HTTP handler that authenticates the caller, limits the number of requests in
+// progress, calls h and sends the error that h returns.
+func (f *Front) handler(h func(*session) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := uuid.NewString()
 		w.Header().Set(RequestIDHeader, id)
 		if err := f.admit(w, r, id, h); err != nil {
-			// A resume answers under the id of the request that it resumes.
-			f.fail(w, w.Header().Get(RequestIDHeader), err)
+			// resumeStream replaces the header with the ID of the resumed request.
+			f.writeError(w, w.Header().Get(RequestIDHeader), err)
 		}
 	}
 }
 
+// admit runs h if the box has capacity for another request and the request is valid.
 func (f *Front) admit(w http.ResponseWriter, r *http.Request, id string, h func(*session) error) error {
-	if !f.room.TryAcquire(1) {
-		return errkind.New(errkind.Overloaded, "too many requests at this box").After(time.Second)
+	if !f.requests.TryAcquire(1) {
+		return errkind.New(errkind.Overloaded, "too many requests at this box").WithRetryAfter(time.Second)
 	}
-	defer f.room.Release(1)
-	s, err := f.session(w, r, id)
+	defer f.requests.Release(1)
+	s, err := f.newSession(w, r, id)
 	if err != nil {
 		return err
 	}
 	started := time.Now()
 	err = h(s)
-	metrics.GetOrRegisterTimer("front."+string(s.fields.kind), f.metrics).UpdateSince(started)
+	metrics.GetOrRegisterTimer("front."+string(s.headers.kind), f.metrics).UpdateSince(started)
 	return err
 }
 
-func (f *Front) session(w http.ResponseWriter, r *http.Request, id string) (*session, error) {
+func (f *Front) newSession(w http.ResponseWriter, r *http.Request, id string) (*session, error) {
 	d := f.follower.Current()
 	if d == nil {
-		return nil, errkind.New(errkind.NotReady, "no configuration yet").After(time.Second)
+		return nil, errkind.New(errkind.NotReady, "no configuration yet").WithRetryAfter(time.Second)
 	}
-	a, ok := d.ByKey(bearer(r))
+	a, ok := d.ByKey(bearerToken(r))
 	if !ok {
 		return nil, errkind.New(errkind.UnknownAccount, "the bearer key is not an account's")
 	}
-	fs, err := readFields(r.Header, a)
+	fs, err := parseHeaders(r.Header, a)
 	if err != nil {
 		return nil, err
 	}
-	return &session{id: id, account: a, document: d, w: w, r: r, fields: fs}, nil
+	return &session{id: id, account: a, document: d, w: w, r: r, headers: fs}, nil
 }
--- a/front/service.go
+++ b/front/service.go
@@ -20,43 +20,44 @@
 	"birchlink.dev/birchlink/plain"
 )
 
-// maxTickets bounds the tickets of one call.
+// maxTickets is the maximum number of tickets that one request may issue.
 const maxTickets = 100
 
-// body reads the body within its bounds of size and time.
-func (f *Front) body(s *session) ([]byte, func(), error) {
+// readBody reads the request body within the limits of size and time. The caller must call the
+// returned function when it has finished with the body.
+func (f *Front) readBody(s *session) ([]byte, func(), error) {
 	if s.r.ContentLength > int64(f.MaxBody) {
 		return nil, nil, errkind.New(errkind.TooLarge, "the body is over %d bytes", f.MaxBody)
 	}
-	room := int64(f.MaxBody)
+	size := int64(f.MaxBody)
 	if s.r.ContentLength >= 0 {
-		room = s.r.ContentLength
+		size = s.r.ContentLength
 	}
-	if !f.bodies.TryAcquire(room) {
-		return nil, nil, errkind.New(errkind.Overloaded, "too many bodies are held at this box").After(time.Second)
+	if !f.bodies.TryAcquire(size) {
+		return nil, nil, errkind.New(errkind.Overloaded, "too many bodies are held at this box").WithRetryAfter(time.Second)
 	}
-	release := func() { f.bodies.Release(room) }
-	_ = http.NewResponseController(s.w).SetReadDeadline(time.Now().Add(bodyLimit))
+	release := func() { f.bodies.Release(size) }
+	_ = http.NewResponseController(s.w).SetReadDeadline(time.Now().Add(bodyTimeout))
 	b, err := io.ReadAll(http.MaxBytesReader(s.w, s.r.Body, int64(f.MaxBody)))
 	_ = http.NewResponseController(s.w).SetReadDeadline(time.Time{})
 	if err == nil {
 		return b, release, nil
 	}
 	release()
-	var big *http.MaxBytesError
-	if errors.As(err, &big) {
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
 		return nil, nil, errkind.New(errkind.TooLarge, "the body is over %d bytes", f.MaxBody)
 	}
 	return nil, nil, errkind.New(errkind.BadRequest, "the body was not read: %w", err)
 }
 
-// service carries a call of a plain service.
-func (f *Front) service(s *session) error {
+// callService handles a request to a plain service.
+func (f *Front) callService(s *session) error {
 	n := mux.Vars(s.r)["service"]
 	if !s.document.HasService(n) {
 		return errkind.New(errkind.UnknownService, "no service %q", n)
 	}
-	b, release, err := f.body(s)
+	b, release, err := f.readBody(s)
 	if err != nil {
 		return err
 	}
@@ -67,17 +68,17 @@
 	}
 	q := &plain.Request{
 		ID: s.id, Account: s.account.Name, Service: n, Method: s.r.Method, Path: p, Header: s.r.Header, Body: b,
-		Repeatable: callRepeatable(s.r, s.fields), Kind: s.fields.kind,
-		Weight: s.account.Weight, Rate: s.account.RequestsPerSecond, Deadline: s.fields.deadline,
+		Repeatable: isRepeatable(s.r, s.headers), Kind: s.headers.kind,
+		Weight: s.account.Weight, Rate: s.account.RequestsPerSecond, Deadline: s.headers.deadline,
 	}
-	c, cancel := f.until(s)
+	c, cancel := f.requestContext(s)
 	defer cancel()
-	call := dispatch.Call{Plain: q, Key: s.fields.key, Ticket: s.fields.ticket}
-	return f.dispatcher.Do(c, call, func(i dispatch.Item) error { return answer(s.w, i.Plain) })
+	call := dispatch.Call{Plain: q, Key: s.headers.key, Ticket: s.headers.ticket}
+	return f.dispatcher.Do(c, call, func(i dispatch.Item) error { return writeResponse(s.w, i.Plain) })
 }
 
-// answer writes a plain service's whole response.
-func answer(w http.ResponseWriter, a *plain.Response) error {
+// writeResponse writes the response of a plain service.
+func writeResponse(w http.ResponseWriter, a *plain.Response) error {
 	for k, vs := range a.Header {
 		if k == "Connection" || k == "Transfer-Encoding" || strings.HasPrefix(k, "Birchlink-") {
 			continue
@@ -85,7 +86,7 @@
 		w.Header()[k] = vs
 	}
 	w.Header().Set(RunHeader, string(errkind.Ran))
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeLimit))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	w.WriteHeader(a.Status)
 	if _, err := w.Write(a.Body); err != nil {
 		return errkind.New(errkind.CallerGone, "the caller left: %w", err)
@@ -93,9 +94,9 @@
 	return nil
 }
 
-// tickets answers POST /v1/tickets.
-func (f *Front) tickets(s *session) error {
-	b, release, err := f.body(s)
+// issueTickets handles POST /v1/tickets.
+func (f *Front) issueTickets(s *session) error {
+	b, release, err := f.readBody(s)
 	if err != nil {
 		return err
 	}
@@ -119,17 +120,17 @@
 	return nil
 }
 
-// fail answers an error by the closed table.
-func (f *Front) fail(w http.ResponseWriter, id string, err error) {
+// writeError sends the error response for err, and counts and logs it.
+func (f *Front) writeError(w http.ResponseWriter, id string, err error) {
 	e := errkind.Of(err)
-	a := e.Kind.Answer()
+	a := e.Kind.Response()
 	metrics.GetOrRegisterCounter("front.errors."+a.Name, f.metrics).Inc(1)
 	f.Log.Info().Str("event", "answer").Str("subject", id).Str("kind", a.Name).Str("run", string(a.Run)).Str("reason", e.Message).Msg("refused or failed")
 	if e.Kind == errkind.CallerGone {
 		return
 	}
 	if a.Retry {
-		w.Header().Set("Retry-After", strconv.Itoa(retrySeconds(e.RetryAfter)))
+		w.Header().Set("Retry-After", strconv.Itoa(retryAfterSeconds(e.RetryAfter)))
 	}
 	w.Header().Set(RunHeader, string(a.Run))
 	resume := ""
@@ -139,13 +140,14 @@
 	jsonhttp.Write(w, a.Status, errorBody(id, e, resume))
 }
 
-// retrySeconds rounds up, since the header holds whole seconds.
-func retrySeconds(d time.Duration) int {
+// retryAfterSeconds returns the value of the Retry-After header, in whole seconds and at least 1.
+// It rounds up, so that the caller does not retry too early.
+func retryAfterSeconds(d time.Duration) int {
 	return max(int(math.Ceil(d.Seconds())), 1)
 }
 
 func errorBody(id string, e *errkind.Error, resume string) openai.Error {
-	a := e.Kind.Answer()
+	a := e.Kind.Response()
 	return openai.Error{Error: openai.ErrorBody{
 		Message: e.Message, Type: a.Name, Code: a.Name, Run: string(a.Run), RequestID: id, Resume: resume,
 	}}
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -1,5 +1,7 @@
-// Package ingress takes callers' requests, checks them against the
-// configuration, and answers them.
+// Package ingress serves the requests of callers over HTTP. It resolves the route, account and
+// service of a request from the configuration, applies the account's rate limit, has package
+// forward send the request to an endpoint, and writes the response. It also answers the load
+// balancer's readiness check.
 package ingress
 
 import (
@@ -25,49 +27,54 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// Name is the name of the service.
+// Name is the name under which the service is registered in the kernel.
 const Name = "ingress"
 
-// The bounds towards callers. The configuration has its own, which are not
-// wider than these; a connection that idles is kept longer than any of them.
+// The limits that protect the server from slow callers. The configuration has limits of its own, which
+// are not wider than these. idleTimeout is longer than any other timeout, here or there.
 const (
-	headerLimit  = 10 * time.Second
-	idleLimit    = 3 * time.Minute
-	maxHeaders   = 64 << 10
-	bodyLimit    = 20 * time.Second
-	writeLimit   = 5 * time.Second
-	maxBodyBytes = 16 << 20
+	headerTimeout  = 10 * time.Second
+	idleTimeout    = 3 * time.Minute
+	maxHeaderBytes = 64 << 10
+	bodyTimeout    = 20 * time.Second
+	writeTimeout   = 5 * time.Second
+	maxBodyBytes   = 16 << 20
 )
 
-// Codec translates between HTTP and calls.
+// Codec translates between the platform's HTTP headers and calls.
 type Codec interface {
+	// Decode returns the call that a request makes. With an error it returns as much of the call as
+	// it could decode, or nil.
 	Decode(r *http.Request, arrived time.Time) (*call.Call, error)
-	Answer(h http.Header) http.Header
-	Own(h http.Header, c *call.Call)
+	// ResponseHeader returns the header of the caller's response, given that of the endpoint's.
+	ResponseHeader(h http.Header) http.Header
+	// SetErrorHeader completes the header of a response to c that this box generates itself. The call
+	// is nil if the request could not be decoded.
+	SetErrorHeader(h http.Header, c *call.Call)
 }
 
-// Limits lets requests in by their accounts' rates. The answer's arbiter is the box
-// that gave it, if any did.
-type Limits interface {
+// RateLimiter decides whether requests are within the rates of their accounts. Take also returns
+// the box that decided, which is the zero Arbiter if none could be reached.
+type RateLimiter interface {
 	Take(c context.Context, x quota.Question) (quota.Answer, quota.Arbiter)
 }
 
-// Options sets the ingress up. Notice is how long a box that stops still takes
-// connections, until the balancer has seen that it is not ready; Limit is how
-// long the stop may take in all.
+// Options configures an Ingress. A box that stops keeps accepting connections for ShutdownDelay, so
+// that the load balancer can notice that the box is not ready. ShutdownTimeout bounds the whole
+// shutdown, including the delay.
 type Options struct {
-	Address   string
-	Ready     string
-	ReadyPath string
-	Notice    time.Duration
-	Limit     time.Duration
+	Address         string
+	ReadyAddress    string
+	ReadyPath       string
+	ShutdownDelay   time.Duration
+	ShutdownTimeout time.Duration
 }
 
-// Ingress is the service of one box.
+// Ingress serves callers on behalf of one box.
 type Ingress struct {
 	Options
-	Codec  Codec
-	Limits Limits
+	Codec   Codec
+	Limiter RateLimiter
 
 	forwarder *forward.Forwarder
 	known     *known.Known
@@ -75,43 +82,43 @@
 	metrics   metrics.Registry
 	log       zerolog.Logger
 
-	server  *http.Server
-	probe   *http.Server
-	callers net.Listener
-	asked   net.Listener
-	leaving atomic.Bool
-	live    atomic.Int64
-	end     context.Context
-	endAll  context.CancelCauseFunc
+	server         *http.Server
+	readyServer    *http.Server
+	listener       net.Listener
+	readyListener  net.Listener
+	stopping       atomic.Bool
+	inFlight       atomic.Int64
+	closing        context.Context
+	cancelRequests context.CancelCauseFunc
 }
 
-// New returns the ingress of a box.
-func New(o Options, codec Codec, f *forward.Forwarder, l Limits, m metrics.Registry, log zerolog.Logger) *Ingress {
-	i := &Ingress{Options: o, Codec: codec, Limits: l, forwarder: f, metrics: m, log: log}
-	i.end, i.endAll = context.WithCancelCause(context.Background())
+// New returns an Ingress.
+func New(o Options, codec Codec, f *forward.Forwarder, l RateLimiter, m metrics.Registry, log zerolog.Logger) *Ingress {
+	i := &Ingress{Options: o, Codec: codec, Limiter: l, forwarder: f, metrics: m, log: log}
+	i.closing, i.cancelRequests = context.WithCancelCause(context.Background())
 	return i
 }
 
 // Name returns the service's name.
 func (i *Ingress) Name() string { return Name }
 
-// Start listens for callers and for the balancer's check.
+// Start begins to accept requests and readiness checks.
 func (i *Ingress) Start(_ context.Context, k *kernel.Kernel) error {
 	err := errors.Join(kernel.Bind(k, known.Name, &i.known), kernel.Bind(k, session.Name, &i.session))
 	if err != nil {
 		return err
 	}
 	i.server = &http.Server{
-		Handler: http.HandlerFunc(i.serve), ReadHeaderTimeout: headerLimit, IdleTimeout: idleLimit, MaxHeaderBytes: maxHeaders,
+		Handler: http.HandlerFunc(i.serve), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: nil,
 	}
 	r := mux.NewRouter()
-	r.HandleFunc(i.ReadyPath, i.ready)
-	i.probe = &http.Server{Handler: r, ReadHeaderTimeout: headerLimit}
-	if i.callers, err = i.listen(i.server, i.Address); err != nil {
+	r.HandleFunc(i.ReadyPath, i.serveReady)
+	i.readyServer = &http.Server{Handler: r, ReadHeaderTimeout: headerTimeout}
+	if i.listener, err = i.listen(i.server, i.Address); err != nil {
 		return err
 	}
-	i.asked, err = i.listen(i.probe, i.Ready)
+	i.readyListener, err = i.listen(i.readyServer, i.ReadyAddress)
 	return err
 }
 
@@ -122,21 +129,21 @@
 	}
 	go func() {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			i.log.Error().Str("event", "listen").Str("address", address).Err(err).Msg("no longer served")
+			i.log.Error().Str("event", "listen").Str("address", address).Err(err).Msg("HTTP server failed")
 		}
 	}()
 	return l, nil
 }
 
-// Listening returns where callers are served and where the balancer asks, once
-// the ingress has started.
-func (i *Ingress) Listening() (callers, ready string) {
-	return i.callers.Addr().String(), i.asked.Addr().String()
+// Addrs returns the addresses on which requests and readiness checks are served. It must be called
+// after Start.
+func (i *Ingress) Addrs() (callers, ready string) {
+	return i.listener.Addr().String(), i.readyListener.Addr().String()
 }
 
-func (i *Ingress) ready(w http.ResponseWriter, _ *http.Request) {
+func (i *Ingress) serveReady(w http.ResponseWriter, _ *http.Request) {
 	switch {
-	case i.leaving.Load():
+	case i.stopping.Load():
 		http.Error(w, "this box stops", http.StatusServiceUnavailable)
 	case !i.known.Ready():
 		http.Error(w, "no configuration yet", http.StatusServiceUnavailable)
@@ -145,30 +152,32 @@
 	}
 }
 
-// Stop makes the box unready, serves what comes until the balancer has seen
-// that, and lets every request end. What has not ended at the limit is ended.
+// Stop shuts the server down. It first fails the readiness check and keeps accepting requests for
+// ShutdownDelay, then waits for the requests in progress. Requests that are still in progress when
+// ShutdownTimeout expires are cancelled.
 func (i *Ingress) Stop(c context.Context) error {
-	i.leaving.Store(true)
+	i.stopping.Store(true)
 	began := boottime.Now()
-	i.log.Info().Str("event", "stop").Int64("requests", i.live.Load()).Msg("not ready; serving what comes")
-	wait.For(c, i.Notice)
-	x, cancel := context.WithTimeout(c, i.Limit-boottime.Since(began))
+	i.log.Info().Str("event", "stop").Int64("requests", i.inFlight.Load()).Msg("shutting down: not ready, still accepting requests")
+	wait.For(c, i.ShutdownDelay)
+	x, cancel := context.WithTimeout(c, i.ShutdownTimeout-boottime.Since(began))
 	defer cancel()
 	err := i.server.Shutdown(x)
 	if err != nil {
-		i.log.Warn().Str("event", "stop").Int64("requests", i.live.Load()).Msg("the limit of the stop is reached")
-		i.endAll(errStopped)
-		y, stop := context.WithTimeout(context.WithoutCancel(c), writeLimit/10)
+		i.log.Warn().Str("event", "stop").Int64("requests", i.inFlight.Load()).Msg("shutdown timeout expired")
+		i.cancelRequests(errStopped)
+		y, stop := context.WithTimeout(context.WithoutCancel(c), writeTimeout/10)
 		defer stop()
 		err = i.server.Shutdown(y)
 	}
-	return errors.Join(err, i.probe.Close())
+	return errors.Join(err, i.readyServer.Close())
 }
 
-// Leaving reports whether the box stops.
-func (i *Ingress) Leaving() bool { return i.leaving.Load() }
+// Stopping reports whether Stop has been called.
+func (i *Ingress) Stopping() bool { return i.stopping.Load() }
 
-// Live returns how many requests are under way.
-func (i *Ingress) Live() int { return int(i.live.Load()) }
+// InFlight returns the number of requests in progress.
+func (i *Ingress) InFlight() int { return int(i.inFlight.Load()) }
 
-var errStopped = errors.New("this process stops")
+// errStopped cancels the requests that are in progress when the shutdown timeout expires.
+var errStopped = errors.New("the process is shutting down")
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -37,27 +37,27 @@
 	"birchlink.dev/birchlink/stand/memstore"
 )
 
-// one is what a box knows that is alone.
-var one = quota.View{Represented: 1, Boxes: map[string]int{"": 1}}
+// soleBoxView is what a box knows if it is the only one.
+var soleBoxView = quota.View{Represented: 1, Boxes: map[string]int{"": 1}}
 
-// books are the limits of a box that is alone.
-type books struct{ *quota.Quota }
+// localLimiter is the rate limiter of a box that is the only one.
+type localLimiter struct{ *quota.Quota }
 
-func (b books) Take(_ context.Context, x quota.Question) (quota.Answer, quota.Arbiter) {
-	b.Update(one, document.Accounts, time.Now())
+func (b localLimiter) Take(_ context.Context, x quota.Question) (quota.Answer, quota.Arbiter) {
+	b.Update(soleBoxView, document.Accounts, time.Now())
 	return b.Ask(x, time.Now()), b.Self
 }
 
-// alone returns the limits of a box that has run for a while.
-func alone() books {
+// newLimiter returns the rate limiter of a box that has run for a minute.
+func newLimiter() localLimiter {
 	q := &quota.Quota{Self: quota.Arbiter{Box: "x"}, Started: time.Now().Add(-time.Minute), Chance: rand.Float64}
-	q.Restore(quota.Before{Division: quota.Division{Version: 1, Boxes: one.Boxes}})
-	b := books{q}
-	b.Update(one, document.Accounts, time.Now().Add(-time.Second))
+	q.Restore(quota.Before{Division: quota.Division{Version: 1, Boxes: soleBoxView.Boxes}})
+	b := localLimiter{q}
+	b.Update(soleBoxView, document.Accounts, time.Now().Add(-time.Second))
 	return b
 }
 
-// codec is a small interface towards callers and endpoints.
+// codec is a minimal codec for callers and endpoints.
 type codec struct{}
 
 func (codec) Decode(r *http.Request, arrived time.Time) (*call.Call, error) {
@@ -71,9 +71,9 @@
 	return c, nil
 }
 
-func (codec) Answer(h http.Header) http.Header { return h.Clone() }
+func (codec) ResponseHeader(h http.Header) http.Header { return h.Clone() }
 
-func (codec) Own(http.Header, *call.Call) {}
+func (codec) SetErrorHeader(http.Header, *call.Call) {}
 
 func (codec) Head(c *call.Call, a call.Attempt) http.Header {
 	return http.Header{"Id": {c.ID}, "Account": {a.Account}}
@@ -93,22 +93,23 @@
 	Limits:   catalog.Limits{BodyBytes: 100},
 }
 
-// box is an ingress with what it needs.
+// box is an ingress with the services that it needs and one endpoint.
 type box struct {
 	*ingress.Ingress
-	t       *testing.T
-	store   *memstore.Memory
-	session *session.Session
-	known   *known.Known
-	callers string
-	ready   string
-	hold    chan struct{} // the endpoint answers /a/hold when this is closed
-	held    chan struct{} // gets an item when the endpoint has such a request
+	t            *testing.T
+	store        *memstore.Memory
+	session      *session.Session
+	known        *known.Known
+	address      string
+	readyAddress string
+	release      chan struct{} // when closed, the endpoint responds to /a/hold
+	holding      chan struct{} // receives an item for each such request at the endpoint
 }
 
-func start(t *testing.T, configured bool) *box {
+// startBox starts a box. If configured is false, the store holds no configuration and no endpoint.
+func startBox(t *testing.T, configured bool) *box {
 	t.Helper()
-	b := &box{t: t, store: &memstore.Memory{}, hold: make(chan struct{}), held: make(chan struct{}, 8)}
+	b := &box{t: t, store: &memstore.Memory{}, release: make(chan struct{}), holding: make(chan struct{}, 8)}
 	e := httptest.NewServer(http.HandlerFunc(b.endpoint))
 	t.Cleanup(e.Close)
 	if configured {
@@ -135,23 +136,26 @@
 		OnSend: func(endpoint.Endpoint, int) {}, OnCrash: func(endpoint.Endpoint) {}, OnDraining: func(endpoint.Endpoint) {},
 		Metrics: metrics.NewRegistry(), Log: zerolog.Nop(),
 	}
-	o := ingress.Options{Address: "127.0.0.1:0", Ready: "127.0.0.1:0", ReadyPath: "/ready", Notice: time.Millisecond, Limit: 20 * time.Second}
-	b.Ingress = ingress.New(o, codec{}, f, alone(), metrics.NewRegistry(), zerolog.Nop())
+	o := ingress.Options{
+		Address: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0", ReadyPath: "/ready",
+		ShutdownDelay: time.Millisecond, ShutdownTimeout: 20 * time.Second,
+	}
+	b.Ingress = ingress.New(o, codec{}, f, newLimiter(), metrics.NewRegistry(), zerolog.Nop())
 	k := &kernel.Kernel{}
 	for _, s := range []kernel.Service{b.session, b.known, b.Ingress} {
 		require.NoError(t, k.Add(s))
 		require.NoError(t, s.Start(t.Context(), k))
 	}
-	b.callers, b.ready = b.Listening()
+	b.address, b.readyAddress = b.Addrs()
 	t.Cleanup(b.close)
 	return b
 }
 
 func (b *box) close() {
 	select {
-	case <-b.hold:
+	case <-b.release:
 	default:
-		close(b.hold)
+		close(b.release)
 	}
 	_ = b.Stop(context.Background())
 	_ = b.known.Stop(context.Background())
@@ -160,24 +164,24 @@
 
 func (b *box) endpoint(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/a/hold" {
-		b.held <- struct{}{}
-		<-b.hold
+		b.holding <- struct{}{}
+		<-b.release
 	}
 	w.Header().Set("Id", r.Header.Get("Id"))
 	fmt.Fprintf(w, "for %s", r.Header.Get("Account"))
 }
 
-// got is what a caller was answered.
-type got struct {
+// response is what a caller received.
+type response struct {
 	status int
 	header http.Header
 	text   string
 }
 
-// get makes a call and returns its answer.
-func (b *box) get(path, key, body string) got {
+// post sends a request and returns the response.
+func (b *box) post(path, key, body string) response {
 	b.t.Helper()
-	q, err := http.NewRequest(http.MethodPost, "http://"+b.callers+path, strings.NewReader(body))
+	q, err := http.NewRequest(http.MethodPost, "http://"+b.address+path, strings.NewReader(body))
 	require.NoError(b.t, err)
 	q.Host = "h"
 	q.Header.Set("Id", "1")
@@ -187,11 +191,11 @@
 	defer a.Body.Close()
 	text, err := io.ReadAll(a.Body)
 	require.NoError(b.t, err)
-	return got{a.StatusCode, a.Header, string(text)}
+	return response{a.StatusCode, a.Header, string(text)}
 }
 
 func (b *box) isReady() bool {
-	a, err := http.Get("http://" + b.ready + "/ready")
+	a, err := http.Get("http://" + b.readyAddress + "/ready")
 	require.NoError(b.t, err)
 	defer a.Body.Close()
 	return a.StatusCode == http.StatusOK
@@ -203,7 +207,7 @@
 }
 
 func TestAnswers(t *testing.T) {
-	b := start(t, true)
+	b := startBox(t, true)
 	b.await(b.isReady)
 	for _, c := range []struct {
 		path, key, body string
@@ -216,42 +220,42 @@
 		{"/nowhere/x", "k", "", 404, "unknown_service"},
 		{"/a/x", "k", strings.Repeat("x", 101), 413, "too_large"},
 	} {
-		a := b.get(c.path, c.key, c.body)
+		a := b.post(c.path, c.key, c.body)
 		require.Equal(t, c.status, a.status, a.text)
 		require.Contains(t, a.text, c.text)
 	}
 }
 
-// A box that knows no configuration says that it is not ready: it cannot know
-// that a key or a route does not exist.
-func TestNothingKnown(t *testing.T) {
-	b := start(t, false)
+// A box without a configuration responds that it is not ready, because it cannot know whether a key
+// or a route exists.
+func TestNotReadyWithoutConfiguration(t *testing.T) {
+	b := startBox(t, false)
 	require.False(t, b.isReady())
-	a := b.get("/a/x", "unknown", "")
+	a := b.post("/a/x", "unknown", "")
 	require.Equal(t, http.StatusServiceUnavailable, a.status)
 	require.Contains(t, a.text, "not_ready")
 	require.NotEmpty(t, a.header.Get("Retry-After"))
 }
 
-// A box that has not heard from the store does not say that a key is unknown;
-// what it knows it goes on serving.
-func TestStoreAway(t *testing.T) {
-	b := start(t, true)
+// A box that cannot reach the store does not report a key or a route as unknown, and still serves
+// those that it knows.
+func TestStoreUnreachable(t *testing.T) {
+	b := startBox(t, true)
 	b.await(b.isReady)
 	b.store.SetDown(true)
 	b.await(func() bool {
-		return b.get("/a/x", "unknown", "").status == http.StatusServiceUnavailable
+		return b.post("/a/x", "unknown", "").status == http.StatusServiceUnavailable
 	})
-	require.Equal(t, http.StatusServiceUnavailable, b.get("/nowhere/x", "k", "").status)
-	require.Equal(t, http.StatusOK, b.get("/a/x", "k", "").status)
+	require.Equal(t, http.StatusServiceUnavailable, b.post("/nowhere/x", "k", "").status)
+	require.Equal(t, http.StatusOK, b.post("/a/x", "k", "").status)
 }
 
-// An account over its rate is told when to come back.
-func TestOverTheRate(t *testing.T) {
-	b := start(t, true)
+// A request over its account's rate is refused with a Retry-After header.
+func TestRateLimited(t *testing.T) {
+	b := startBox(t, true)
 	b.await(b.isReady)
 	b.await(func() bool {
-		a := b.get("/a/x", "s", "")
+		a := b.post("/a/x", "s", "")
 		if a.status != http.StatusTooManyRequests {
 			return false
 		}
@@ -262,29 +266,29 @@
 	})
 }
 
-// A planned stop makes the box unready, and cuts off nothing.
-func TestStop(t *testing.T) {
-	b := start(t, true)
+// Stop makes the box not ready and waits for the requests in progress.
+func TestStopCompletesRequests(t *testing.T) {
+	b := startBox(t, true)
 	b.await(b.isReady)
 	answer := make(chan int, 1)
 	go func() {
-		answer <- b.get("/a/hold", "k", "").status
+		answer <- b.post("/a/hold", "k", "").status
 	}()
-	<-b.held
+	<-b.holding
 	stopped := make(chan error, 1)
 	go func() { stopped <- b.Stop(context.Background()) }()
 	b.await(func() bool { return !b.isReady() })
-	close(b.hold)
+	close(b.release)
 	require.Equal(t, http.StatusOK, <-answer)
 	require.NoError(t, <-stopped)
 }
 
-// A caller that leaves ends the endpoint's work.
-func TestCallerLeaves(t *testing.T) {
-	b := start(t, true)
+// When the caller disconnects, the request is cancelled.
+func TestCallerDisconnects(t *testing.T) {
+	b := startBox(t, true)
 	b.await(b.isReady)
 	c, cancel := context.WithCancel(context.Background())
-	q, err := http.NewRequestWithContext(c, http.MethodPost, "http://"+b.callers+"/a/hold", http.NoBody)
+	q, err := http.NewRequestWithContext(c, http.MethodPost, "http://"+b.address+"/a/hold", http.NoBody)
 	require.NoError(t, err)
 	q.Host = "h"
 	q.Header.Set("Id", "1")
@@ -297,17 +301,17 @@
 		}
 		done <- err
 	}()
-	<-b.held
+	<-b.holding
 	cancel()
 	require.Error(t, <-done)
-	b.await(func() bool { return b.Live() == 0 })
+	b.await(func() bool { return b.InFlight() == 0 })
 }
 
-// Two requests that came in one packet are answered in order, each with its own.
-func TestPipelined(t *testing.T) {
-	b := start(t, true)
+// Pipelined requests get their responses in order.
+func TestPipelinedRequests(t *testing.T) {
+	b := startBox(t, true)
 	b.await(b.isReady)
-	n, err := net.Dial("tcp", b.callers)
+	n, err := net.Dial("tcp", b.address)
 	require.NoError(t, err)
 	defer n.Close()
 	for _, id := range []string{"1", "2"} {
--- a/ingress/serve.go
+++ b/ingress/serve.go
@@ -22,87 +22,88 @@
 	"birchlink.dev/birchlink/quota"
 )
 
-// staleAfter is the silence of the store after which this box does not trust
-// that a key or a route that it lacks does not exist.
+// staleAfter is how long the store may be unreachable before the configuration counts as stale. A
+// key or route that a stale configuration lacks may exist.
 const staleAfter = 1500 * time.Millisecond
 
-// defaultTimeout holds a request whose route names no limit.
+// defaultTimeout is the timeout of a request whose route has none.
 const defaultTimeout = 30 * time.Second
 
-// serve answers one request.
+// serve handles one request.
 func (i *Ingress) serve(w http.ResponseWriter, r *http.Request) {
-	i.live.Add(1)
-	defer i.live.Add(-1)
+	i.inFlight.Add(1)
+	defer i.inFlight.Add(-1)
 	arrived := boottime.Now()
-	if i.leaving.Load() {
+	if i.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	cl, err := i.Codec.Decode(r, arrived)
 	if err != nil {
-		i.fail(w, forward.Request{Call: cl}, errkind.New(errkind.BadRequest, "%w", err), forward.Trace{})
+		i.writeError(w, forward.Request{Call: cl}, errkind.New(errkind.BadRequest, "%w", err), forward.Trace{})
 		return
 	}
 	q, err := i.resolve(cl)
 	if err == nil {
-		err = i.body(w, r, cl)
+		err = i.readBody(w, r, cl)
 	}
 	if err == nil {
 		q.Content = content.Of(q.AccountName(), cl)
 		err = i.forwarder.Check(q)
 	}
 	if err != nil {
-		i.fail(w, q, err, forward.Trace{})
+		i.writeError(w, q, err, forward.Trace{})
 		return
 	}
 	if err := i.admit(r.Context(), q); err != nil {
-		i.fail(w, q, err, forward.Trace{})
+		i.writeError(w, q, err, forward.Trace{})
 		return
 	}
-	i.carry(w, r, q)
+	i.forwardRequest(w, r, q)
 }
 
-// carry forwards a request that was accepted.
-func (i *Ingress) carry(w http.ResponseWriter, r *http.Request, q forward.Request) {
+// forwardRequest forwards an admitted request and writes its response.
+func (i *Ingress) forwardRequest(w http.ResponseWriter, r *http.Request, q forward.Request) {
 	c, cancel := context.WithCancelCause(r.Context())
 	defer cancel(nil)
-	stop := context.AfterFunc(i.end, func() { cancel(errStopped) })
+	stop := context.AfterFunc(i.closing, func() { cancel(errStopped) })
 	defer stop()
 	s := &sink{w: w, ingress: i}
 	trace, err := i.forwarder.Do(c, q, s)
 	if errors.Is(context.Cause(c), errStopped) && err != nil {
-		// How far the request came is not known here, so it is not called unrun.
+		// The request may have run, so the error must not state that it did not.
 		err = errkind.New(errkind.OutcomeUnknown, "this process stops")
 	}
 	if err == nil {
-		i.done(q, s.status, trace)
+		i.logAnswered(q, s.status, trace)
 		return
 	}
-	if s.began {
-		i.note(q, err).EmbedObject(trace).Msg("broken off")
-		// The caller must not take what it has for the whole.
+	if s.headSent {
+		i.failureEvent(q, err).EmbedObject(trace).Msg("broken off")
+		// Close the connection, so that the caller does not take a partial response for a complete
+		// one.
 		panic(http.ErrAbortHandler)
 	}
-	i.fail(w, q, err, trace)
+	i.writeError(w, q, err, trace)
 }
 
-// resolve finds the route, the account and the service of a call.
+// resolve looks up the route, the account and the service of a call.
 func (i *Ingress) resolve(c *call.Call) (forward.Request, error) {
 	q := forward.Request{Call: c}
 	t := i.known.Table()
 	if t == nil || !i.known.Ready() {
-		return q, errkind.New(errkind.NotReady, "no configuration yet").After(time.Second / 2)
+		return q, errkind.New(errkind.NotReady, "no configuration yet").WithRetryAfter(time.Second / 2)
 	}
 	stale := i.session.Silent() > staleAfter
 	q.Route = t.Route(c.Host, c.Path)
 	if q.Route == nil {
-		return q, absent(errkind.UnknownService, stale, "no route for %s%s", c.Host, c.Path)
+		return q, notFoundError(errkind.UnknownService, stale, "no route for %s%s", c.Host, c.Path)
 	}
 	if t.NeedsKey(q.Route) {
 		if q.Account = t.ByKey(c.Key); q.Account == nil {
-			return q, absent(errkind.UnknownAccount, stale, "the key is not an account's")
+			return q, notFoundError(errkind.UnknownAccount, stale, "the key is not an account's")
 		}
 	}
-	n := pick(q.Route.Shares, c.ID)
+	n := pickService(q.Route.Shares, c.ID)
 	if q.Service = t.Service(n); q.Service == nil {
 		q.Service = &catalog.Service{Name: n}
 	}
@@ -114,17 +115,18 @@
 	return q, nil
 }
 
-// absent is the error for what the configuration lacks. While the configuration
-// may be old, that is no reason to say that it does not exist.
-func absent(k errkind.Kind, stale bool, format string, args ...any) error {
+// notFoundError returns an error of kind k for something that the configuration lacks. If the
+// configuration is stale, the error is of kind NotReady instead, because the thing may exist.
+func notFoundError(k errkind.Kind, stale bool, format string, args ...any) error {
 	if stale {
-		return errkind.New(errkind.NotReady, "the configuration may be old: "+format, args...).After(time.Second / 2)
+		return errkind.New(errkind.NotReady, "the configuration may be old: "+format, args...).WithRetryAfter(time.Second / 2)
 	}
 	return errkind.New(k, format, args...)
 }
 
-// pick chooses a service by weight, the same for the same request.
-func pick(shares []catalog.Share, id string) string {
+// pickService chooses a service by weight from a hash of the request ID, so that a retried request
+// gets the same service.
+func pickService(shares []catalog.Share, id string) string {
 	total := 0
 	for _, s := range shares {
 		total += max(s.Weight, 0)
@@ -144,8 +146,8 @@
 	return shares[0].Service
 }
 
-// body reads the request's body.
-func (i *Ingress) body(w http.ResponseWriter, r *http.Request, c *call.Call) error {
+// readBody reads the request body into c.
+func (i *Ingress) readBody(w http.ResponseWriter, r *http.Request, c *call.Call) error {
 	limit := int64(maxBodyBytes)
 	if n := i.known.Table().Document.Limits.BodyBytes; n > 0 {
 		limit = int64(n)
@@ -156,12 +158,12 @@
 	if r.ContentLength == 0 {
 		return nil
 	}
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyLimit))
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
-	var big *http.MaxBytesError
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &big):
+	case errors.As(err, &tooLarge):
 		return errkind.New(errkind.TooLarge, "the body is over %d bytes", limit)
 	case err != nil:
 		return errkind.New(errkind.BadRequest, "the body was not read: %w", err)
@@ -170,26 +172,26 @@
 	return nil
 }
 
-// admit counts the request against its account's rate.
+// admit applies the rate limit of the request's account.
 func (i *Ingress) admit(c context.Context, q forward.Request) error {
 	a := q.Account
 	if a == nil || a.Rate <= 0 {
 		return nil
 	}
-	x := quota.Question{Account: a.Name, Size: size(q), Urgent: q.Route.Priority <= 0}
-	v, by := i.Limits.Take(c, x)
+	question := quota.Question{Account: a.Name, Size: rateCost(q), Urgent: q.Route.Priority <= 0}
+	v, by := i.Limiter.Take(c, question)
 	if v.OK {
 		return nil
 	}
 	if by.Box == "" {
-		return errkind.New(errkind.LimitReached, "no box that could be reached knows what account %s has left", a.Name).After(v.After)
+		return errkind.New(errkind.LimitReached, "no box that could be reached knows what account %s has left", a.Name).WithRetryAfter(v.After)
 	}
 	return errkind.New(errkind.LimitReached, "account %s is over its rate of %.0f with a burst of %.0f: %s, with %.3f of the rate, has %.0f left for a request of %.0f",
-		a.Name, a.Rate, a.Burst, by.Box, v.Part, v.Level, x.Size).After(v.After)
+		a.Name, a.Rate, a.Burst, by.Box, v.Part, v.Level, question.Size).WithRetryAfter(v.After)
 }
 
-// size is what a request counts against its account's rate.
-func size(q forward.Request) float64 {
+// rateCost returns what a request costs in units of its account's rate, which are tokens or requests.
+func rateCost(q forward.Request) float64 {
 	switch {
 	case !q.Account.Tokens:
 		return 1
@@ -200,28 +202,29 @@
 	}
 }
 
-func (i *Ingress) done(q forward.Request, status int, t forward.Trace) {
+// logAnswered logs and counts a request that was answered.
+func (i *Ingress) logAnswered(q forward.Request, status int, t forward.Trace) {
 	d := boottime.Since(q.Call.Arrived)
 	metrics.GetOrRegisterTimer("requests."+q.Route.Kind.String(), i.metrics).Update(d)
 	l := i.log.Info().Str("event", "answer").Str("request", q.Call.ID).Str("route", q.Route.Name).Int("status", status).Dur("took", d)
-	counted(l, q).EmbedObject(t).Msg("answered")
+	withAccount(l, q).EmbedObject(t).Msg("answered")
 }
 
-// fail answers an error by the closed table. The trace is empty for a request that was
-// not forwarded.
-func (i *Ingress) fail(w http.ResponseWriter, q forward.Request, err error, t forward.Trace) {
+// writeError sends the error response for err, and counts and logs it. The trace is empty for a
+// request that was not forwarded.
+func (i *Ingress) writeError(w http.ResponseWriter, q forward.Request, err error, t forward.Trace) {
 	c := q.Call
 	e := errkind.Of(err)
-	a := e.Kind.Answer()
+	a := e.Kind.Response()
 	metrics.GetOrRegisterCounter("refused."+a.Name, i.metrics).Inc(1)
-	i.note(q, err).EmbedObject(t).Msg("refused or failed")
+	i.failureEvent(q, err).EmbedObject(t).Msg("refused or failed")
 	if e.Kind == errkind.CallerGone {
 		panic(http.ErrAbortHandler)
 	}
 	h := w.Header()
-	i.Codec.Own(h, c)
+	i.Codec.SetErrorHeader(h, c)
 	if a.Retry && a.Run == errkind.NotRun {
-		h.Set("Retry-After", strconv.FormatFloat(max(e.RetryAfter, minRetry).Seconds(), 'f', 2, 64))
+		h.Set("Retry-After", strconv.FormatFloat(max(e.RetryAfter, minRetryAfter).Seconds(), 'f', 2, 64))
 	}
 	id := ""
 	if c != nil {
@@ -232,5 +235,5 @@
 	}})
 }
 
-// minRetry is the shortest time after which a refused caller is told to return.
-const minRetry = 50 * time.Millisecond
+// minRetryAfter is the minimum of the Retry-After header.
+const minRetryAfter = 50 * time.Millisecond
--- a/ingress/sink.go
+++ b/ingress/sink.go
@@ -12,58 +12,60 @@
 	"birchlink.dev/birchlink/forward"
 )
 
-// sink writes an answer to the caller.
+// sink is a forward.Sink that writes the response to the caller. headSent reports whether the
+// status was written.
 type sink struct {
-	w       http.ResponseWriter
-	ingress *Ingress
-	began   bool
-	status  int
+	w        http.ResponseWriter
+	ingress  *Ingress
+	headSent bool
+	status   int
 }
 
-// Head begins a stream.
+// Head writes the head of a stream.
 func (s *sink) Head(status int, h http.Header) error {
-	s.copy(h)
+	s.copyHeader(h)
 	s.w.Header().Del("Content-Length")
-	s.began, s.status = true, status
+	s.headSent, s.status = true, status
 	s.w.WriteHeader(status)
 	return nil
 }
 
-// Event passes one event on at once.
+// Event writes one event and flushes it.
 func (s *sink) Event(raw []byte) error {
 	c := http.NewResponseController(s.w)
-	_ = c.SetWriteDeadline(time.Now().Add(writeLimit))
+	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := s.w.Write(raw); err != nil {
 		return err
 	}
 	return c.Flush()
 }
 
-// Whole writes a whole answer.
+// Whole writes a complete response.
 func (s *sink) Whole(status int, h http.Header, body []byte) error {
-	s.copy(h)
+	s.copyHeader(h)
 	s.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	s.began, s.status = true, status
-	_ = http.NewResponseController(s.w).SetWriteDeadline(time.Now().Add(writeLimit))
+	s.headSent, s.status = true, status
+	_ = http.NewResponseController(s.w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	s.w.WriteHeader(status)
 	_, err := s.w.Write(body)
 	return err
 }
 
-func (s *sink) copy(from http.Header) {
+// copyHeader sets the caller's response header from that of the endpoint.
+func (s *sink) copyHeader(from http.Header) {
 	h := s.w.Header()
-	for k, vs := range s.ingress.Codec.Answer(from) {
+	for k, vs := range s.ingress.Codec.ResponseHeader(from) {
 		h[k] = vs
 	}
 	if _, ok := h["Content-Type"]; !ok {
-		h["Content-Type"] = nil // the library would guess one
+		h["Content-Type"] = nil // keeps net/http from guessing it
 	}
 }
 
-// note begins the line about a request that was not answered as asked.
-func (i *Ingress) note(q forward.Request, err error) *zerolog.Event {
+// failureEvent returns a log event for a request that failed with err.
+func (i *Ingress) failureEvent(q forward.Request, err error) *zerolog.Event {
 	e := errkind.Of(err)
-	a := e.Kind.Answer()
+	a := e.Kind.Response()
 	l := i.log.Info().Str("event", "answer").Str("kind", a.Name).Str("run", string(a.Run)).Str("reason", e.Message).Dur("retry_after", e.RetryAfter)
 	if q.Call != nil {
 		l = l.Str("request", q.Call.ID).Dur("took", boottime.Since(q.Call.Arrived))
@@ -74,13 +76,14 @@
 	if t := i.known.Table(); t != nil {
 		l = l.Uint64("configuration", t.Document.Version)
 	}
-	return counted(l, q)
+	return withAccount(l, q)
 }
 
-// counted adds whose request it is, and what it counts against that account's rate.
-func counted(l *zerolog.Event, q forward.Request) *zerolog.Event {
+// withAccount adds the request's account and what the request costs of the account's rate to a log
+// event.
+func withAccount(l *zerolog.Event, q forward.Request) *zerolog.Event {
 	if q.Account == nil {
 		return l
 	}
-	return l.Str("account", q.Account.Name).Float64("counts", size(q))
+	return l.Str("account", q.Account.Name).Float64("counts", rateCost(q))
 }
--- a/jsonhttp/client.go
+++ b/jsonhttp/client.go
@@ -1,5 +1,5 @@
-// Package jsonhttp makes and answers small JSON calls over HTTP, as the
-// platform's services and the endpoints take them.
+// Package jsonhttp provides a client and server helpers for small JSON requests over HTTP, as used
+// by the platform's services and the endpoints.
 package jsonhttp
 
 import (
@@ -12,35 +12,36 @@
 	"time"
 )
 
-// MaxBody bounds what is read of one answer, in bytes.
+// MaxBody is the number of bytes after which a request or response body is truncated.
 const MaxBody = 4 << 20
 
-// CallerHeader tells a platform service who calls, for its counts.
+// CallerHeader is the header that names the caller. Platform services count requests by it.
 const CallerHeader = "Birchlink-Caller"
 
-// Client makes JSON calls to one base address such as "http://127.0.0.1:80".
+// Client sends JSON requests to the base URL Base, such as "http://127.0.0.1:80". Caller is the value
+// of CallerHeader.
 type Client struct {
 	Base   string
 	Caller string
 	HTTP   *http.Client
 }
 
-// New returns a client for a host and port with a time limit for each call.
-func New(address, caller string, limit time.Duration) *Client {
-	return &Client{Base: "http://" + address, Caller: caller, HTTP: &http.Client{Timeout: limit}}
+// New returns a client for the address host:port that applies timeout to each request.
+func New(address, caller string, timeout time.Duration) *Client {
+	return &Client{Base: "http://" + address, Caller: caller, HTTP: &http.Client{Timeout: timeout}}
 }
 
-// StatusError is an answer with a status other than 2xx.
+// StatusError is the error for a response whose status is not 2xx.
 type StatusError struct {
 	Status int
 	Body   string
 }
 
-// Error returns the status and the body.
+// Error returns the status and the body of the response.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Body) }
 
-// Do sends in as JSON, unless it is nil, and reads the answer into out, unless
-// that is nil. The error is a *StatusError when the far side answered.
+// Do sends a request with in encoded as JSON, or without a body if in is nil. It decodes the response
+// into out unless out is nil. If the status of the response is not 2xx, the error is a *StatusError.
 func (c *Client) Do(ctx context.Context, method, path string, in, out any) error {
 	var b io.Reader
 	if in != nil {
@@ -61,10 +62,10 @@
 		return fmt.Errorf("call %s: %w", path, err)
 	}
 	defer a.Body.Close()
-	return read(a, out)
+	return decodeResponse(a, out)
 }
 
-func read(a *http.Response, out any) error {
+func decodeResponse(a *http.Response, out any) error {
 	d, err := io.ReadAll(io.LimitReader(a.Body, MaxBody))
 	if err != nil {
 		return fmt.Errorf("read answer: %w", err)
--- a/jsonhttp/answer.go
+++ b/jsonhttp/server.go
@@ -6,15 +6,16 @@
 	"net/http"
 )
 
-// Write answers with v as JSON.
+// Write sends a response with v encoded as JSON.
 func Write(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A write error means that the caller left; there is nobody to tell.
+	// An error means that the client disconnected, so it cannot be reported.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Read decodes the body of r into v and answers 400 itself when it cannot.
+// Read decodes the body of r into v and reports whether it succeeded. On failure it sends a response
+// with status 400.
 func Read(w http.ResponseWriter, r *http.Request, v any) bool {
 	if err := json.NewDecoder(io.LimitReader(r.Body, MaxBody)).Decode(v); err != nil {
 		http.Error(w, "bad body: "+err.Error(), http.StatusBadRequest)
--- a/once/table.go
+++ b/once/table.go
@@ -57,14 +57,14 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.closed {
-		return nil, false, errkind.New(errkind.Unavailable, "this process gives its records to another").After(time.Second)
+		return nil, false, errkind.New(errkind.Unavailable, "this process gives its records to another").WithRetryAfter(time.Second)
 	}
 	r, ok := t.records[key]
 	if ok {
 		return r, false, r.match(digest)
 	}
 	if len(t.records) >= t.Most && t.expire(time.Now()) == 0 {
-		return nil, false, errkind.New(errkind.Overloaded, "too many keys are remembered").After(time.Second)
+		return nil, false, errkind.New(errkind.Overloaded, "too many keys are remembered").WithRetryAfter(time.Second)
 	}
 	r = &Record[R]{Nonce: rand.Uint64(), Digest: digest, made: time.Now(), changed: make(chan struct{})}
 	t.records[key] = r
--- a/openai/messages.go
+++ b/openai/messages.go
@@ -1,5 +1,5 @@
-// Package openai holds the messages of the protocol that language-model users
-// already have.
+// Package openai defines the requests and responses of the OpenAI chat completions API, as far as
+// Birchlink supports it.
 package openai
 
 import (
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// ChatRequest is the body of POST /v1/chat/completions, as far as it is used.
+// ChatRequest is the body of POST /v1/chat/completions. Other fields of the API are ignored.
 type ChatRequest struct {
 	Model               string         `json:"model"`
 	Messages            []Message      `json:"messages"`
@@ -20,22 +20,24 @@
 	StreamOptions       *StreamOptions `json:"stream_options"`
 }
 
-// StreamOptions asks for the usage at the end of a stream.
+// StreamOptions holds the options of a streamed response. IncludeUsage requests a last chunk with the
+// token usage.
 type StreamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// Message is one turn of a conversation. Its content is a string or a list of
-// text parts.
+// Message is one message of a conversation.
 type Message struct {
 	Role    string  `json:"role"`
 	Content Content `json:"content"`
 }
 
-// Content is the text of a message.
+// Content is the text of a message. In JSON it is a string or a list of text parts, which are
+// concatenated.
 type Content string
 
-// UnmarshalJSON reads a string, a list of text parts, or null.
+// UnmarshalJSON decodes a string, a list of text parts, or null. Parts of any other type are an
+// error.
 func (c *Content) UnmarshalJSON(b []byte) error {
 	var s string
 	if err := json.Unmarshal(b, &s); err == nil {
@@ -60,7 +62,7 @@
 	return nil
 }
 
-// Prompt joins the messages to one text for an engine.
+// Prompt returns the messages as one text, with one line "role: content" for each message.
 func (r ChatRequest) Prompt() string {
 	var b strings.Builder
 	for _, m := range r.Messages {
@@ -69,20 +71,21 @@
 	return b.String()
 }
 
-// Usage counts tokens.
+// Usage holds the token counts of a request.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Delta is the part of a message that one chunk brings, or a whole message.
+// Delta is the part of a message in one chunk of a streamed response, or the complete message of any
+// other response.
 type Delta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
-// Choice is one answer; birchlink gives one.
+// Choice is one generated message. Birchlink returns one choice for each request.
 type Choice struct {
 	Index        int     `json:"index"`
 	Message      *Delta  `json:"message,omitempty"`
@@ -90,7 +93,7 @@
 	FinishReason *string `json:"finish_reason"`
 }
 
-// Completion is a whole answer, or one chunk of a streamed one.
+// Completion is a complete response, or one chunk of a streamed response.
 type Completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -100,26 +103,27 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// Model is one entry of GET /v1/models.
+// Model is one entry of the response to GET /v1/models.
 type Model struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
 	OwnedBy string `json:"owned_by"`
 }
 
-// Models is the answer to GET /v1/models.
+// Models is the response to GET /v1/models.
 type Models struct {
 	Object string  `json:"object"`
 	Data   []Model `json:"data"`
 }
 
-// Error is the error form, with birchlink's additions: whether the request ran,
-// its id, and where to resume it.
+// Error is an error response.
 type Error struct {
 	Error ErrorBody `json:"error"`
 }
 
-// ErrorBody is the inner part of Error.
+// ErrorBody describes the error. Birchlink adds three fields to those of the API: Run states
+// whether the request ran, RequestID identifies it, and Resume is the path from which its stream
+// can be resumed.
 type ErrorBody struct {
 	Message   string  `json:"message"`
 	Type      string  `json:"type"`
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -1,5 +1,6 @@
-// Package operator is the HTTP face towards operators, the balancer's checks
-// and whoever reads the metrics.
+// Package operator serves the HTTP API for operators, with which they read, check and change the
+// configuration, read the state of a box and explain its decisions. It also serves the health
+// checks of the load balancer and the metrics.
 package operator
 
 import (
@@ -31,26 +32,28 @@
 	"birchlink.dev/birchlink/view"
 )
 
-// Name is the name of the service.
+// Name is the name under which the service is registered in the kernel.
 const Name = "operator"
 
-const callLimit = 10 * time.Second
+const callTimeout = 10 * time.Second
 
-// Edit is an operator's new configuration, made from version Base.
+// Edit is a new configuration from an operator. Base is the version on which it is based, and Editor
+// names the operator.
 type Edit struct {
 	Base   uint64 `json:"base"`
 	Text   string `json:"text"`
 	Editor string `json:"editor"`
 }
 
-// Refusal says why an edit or a check was refused.
+// Refusal is the response to a request that was refused. Mistakes lists the errors of a
+// configuration.
 type Refusal struct {
 	Kind     string            `json:"kind"`
 	Message  string            `json:"message"`
 	Mistakes []iniread.Mistake `json:"mistakes,omitempty"`
 }
 
-// Status is what a box knows.
+// Status is the state of a box and what it knows of the other boxes and the endpoints.
 type Status struct {
 	Box         string           `json:"box"`
 	DataCentre  string           `json:"data_centre"`
@@ -66,7 +69,7 @@
 	Plan        placement.Plan   `json:"plan"`
 }
 
-// Operator is the service of one box.
+// Operator is the operator API server of one box.
 type Operator struct {
 	Address string
 	Key     string
@@ -85,7 +88,7 @@
 	listener  net.Listener
 }
 
-// New returns the operators' face of a box. Calls need the key.
+// New returns an Operator. Requests below /operator/ must have key as their bearer token.
 func New(address, key string, m metrics.Registry, log zerolog.Logger) *Operator {
 	return &Operator{Address: address, Key: key, Metrics: m, Log: log}
 }
@@ -93,25 +96,25 @@
 // Name returns the service's name.
 func (o *Operator) Name() string { return Name }
 
-// Start listens for operators.
+// Start begins to accept requests.
 func (o *Operator) Start(_ context.Context, k *kernel.Kernel) error {
-	if err := o.find(k); err != nil {
+	if err := o.bindServices(k); err != nil {
 		return err
 	}
 	var err error
 	if o.listener, err = net.Listen("tcp", o.Address); err != nil {
 		return fmt.Errorf("listen for operators: %w", err)
 	}
-	o.server = &http.Server{Handler: o.routes(), ReadHeaderTimeout: callLimit, WriteTimeout: 2 * callLimit}
+	o.server = &http.Server{Handler: o.routes(), ReadHeaderTimeout: callTimeout, WriteTimeout: 2 * callTimeout}
 	go func() {
 		if err := o.server.Serve(o.listener); !errors.Is(err, http.ErrServerClosed) {
-			o.Log.Error().Err(err).Msg("operators are no longer served")
+			o.Log.Error().Err(err).Msg("operator server failed")
 		}
 	}()
 	return nil
 }
 
-func (o *Operator) find(k *kernel.Kernel) error {
+func (o *Operator) bindServices(k *kernel.Kernel) error {
 	return errors.Join(
 		kernel.Bind(k, follower.Name, &o.follower),
 		kernel.Bind(k, member.Name, &o.members),
@@ -124,11 +127,11 @@
 	)
 }
 
-// Stop closes.
+// Stop closes the server and its connections.
 func (o *Operator) Stop(context.Context) error { return o.server.Close() }
 
-// Listening returns where operators are served, once it has started.
-func (o *Operator) Listening() string { return o.listener.Addr().String() }
+// Addr returns the address on which the server listens. It must be called after Start.
+func (o *Operator) Addr() string { return o.listener.Addr().String() }
 
 func (o *Operator) routes() http.Handler {
 	r := mux.NewRouter()
@@ -139,69 +142,69 @@
 		}
 	})
 	r.HandleFunc("/metrics", func(w http.ResponseWriter, _ *http.Request) { jsonhttp.Write(w, http.StatusOK, o.Metrics.GetAll()) })
-	r.HandleFunc("/operator/config", o.known(o.show)).Methods(http.MethodGet)
-	r.HandleFunc("/operator/config", o.known(o.put)).Methods(http.MethodPut)
-	r.HandleFunc("/operator/check", o.known(o.check)).Methods(http.MethodPost)
-	r.HandleFunc("/operator/status", o.known(o.status)).Methods(http.MethodGet)
-	r.HandleFunc("/operator/explain/{subject}", o.known(o.explain)).Methods(http.MethodGet)
+	r.HandleFunc("/operator/config", o.authenticated(o.showConfig)).Methods(http.MethodGet)
+	r.HandleFunc("/operator/config", o.authenticated(o.putConfig)).Methods(http.MethodPut)
+	r.HandleFunc("/operator/check", o.authenticated(o.checkConfig)).Methods(http.MethodPost)
+	r.HandleFunc("/operator/status", o.authenticated(o.showStatus)).Methods(http.MethodGet)
+	r.HandleFunc("/operator/explain/{subject}", o.authenticated(o.explain)).Methods(http.MethodGet)
 	return r
 }
 
-// known lets only operators in.
-func (o *Operator) known(h http.HandlerFunc) http.HandlerFunc {
+// authenticated returns a handler that calls h only for requests with the operators' key.
+func (o *Operator) authenticated(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if subtle.ConstantTimeCompare([]byte(r.Header.Get("Authorization")), []byte("Bearer "+o.Key)) != 1 {
-			refuse(w, errkind.New(errkind.UnknownAccount, "the operators' key is wrong"), nil)
+			writeRefusal(w, errkind.New(errkind.UnknownAccount, "the operators' key is wrong"), nil)
 			return
 		}
 		h(w, r)
 	}
 }
 
-func refuse(w http.ResponseWriter, err error, ms []iniread.Mistake) {
+func writeRefusal(w http.ResponseWriter, err error, ms []iniread.Mistake) {
 	e := errkind.Of(err)
-	jsonhttp.Write(w, e.Kind.Answer().Status, Refusal{Kind: e.Kind.String(), Message: e.Message, Mistakes: ms})
+	jsonhttp.Write(w, e.Kind.Response().Status, Refusal{Kind: e.Kind.String(), Message: e.Message, Mistakes: ms})
 }
 
-func (o *Operator) show(w http.ResponseWriter, _ *http.Request) {
+func (o *Operator) showConfig(w http.ResponseWriter, _ *http.Request) {
 	jsonhttp.Write(w, http.StatusOK, o.follower.Revision())
 }
 
-func (o *Operator) put(w http.ResponseWriter, r *http.Request) {
+func (o *Operator) putConfig(w http.ResponseWriter, r *http.Request) {
 	var e Edit
 	if !jsonhttp.Read(w, r, &e) {
 		return
 	}
-	c, cancel := context.WithTimeout(r.Context(), callLimit)
+	c, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
 	bs, _ := o.view.Boxes()
 	if ms := follower.Check(e.Text, bs); len(ms) > 0 {
-		refuse(w, errkind.New(errkind.ConfigInvalid, "%d mistakes", len(ms)), ms)
+		writeRefusal(w, errkind.New(errkind.ConfigInvalid, "%d mistakes", len(ms)), ms)
 		return
 	}
 	v, err := o.follower.Put(c, e.Base, e.Text, e.Editor, bs)
 	o.Log.Info().Str("event", "edit").Str("editor", e.Editor).Uint64("base", e.Base).Err(err).Msg("configuration edited")
 	if err != nil {
-		refuse(w, err, nil)
+		writeRefusal(w, err, nil)
 		return
 	}
 	jsonhttp.Write(w, http.StatusOK, v)
 }
 
-func (o *Operator) check(w http.ResponseWriter, r *http.Request) {
+func (o *Operator) checkConfig(w http.ResponseWriter, r *http.Request) {
 	var e Edit
 	if !jsonhttp.Read(w, r, &e) {
 		return
 	}
 	bs, _ := o.view.Boxes()
 	if ms := follower.Check(e.Text, bs); len(ms) > 0 {
-		refuse(w, errkind.New(errkind.ConfigInvalid, "%d mistakes", len(ms)), ms)
+		writeRefusal(w, errkind.New(errkind.ConfigInvalid, "%d mistakes", len(ms)), ms)
 		return
 	}
 	jsonhttp.Write(w, http.StatusOK, struct{}{})
 }
 
-func (o *Operator) status(w http.ResponseWriter, _ *http.Request) {
+func (o *Operator) showStatus(w http.ResponseWriter, _ *http.Request) {
 	m := o.members.Self()
 	s := Status{
 		Box: m.Box, DataCentre: m.DataCentre, Incarnation: m.Incarnation, Version: o.follower.Revision().Version,
@@ -218,16 +221,16 @@
 	jsonhttp.Write(w, http.StatusOK, s)
 }
 
-// explain gathers what every box that can be reached decided about a subject.
+// explain returns the decisions of all reachable boxes about a subject.
 func (o *Operator) explain(w http.ResponseWriter, r *http.Request) {
 	subject := mux.Vars(r)["subject"]
 	ds := o.decisions.Find(subject)
-	c, cancel := context.WithTimeout(r.Context(), callLimit/2)
+	c, cancel := context.WithTimeout(r.Context(), callTimeout/2)
 	defer cancel()
 	for _, m := range o.members.Up("") {
-		var more []decisions.Decision
-		if m.Box != o.members.Self().Box && o.peers.Client.Call(c, m.Address, "decisions.find", subject, &more) == nil {
-			ds = append(ds, more...)
+		var remote []decisions.Decision
+		if m.Box != o.members.Self().Box && o.peers.Client.Call(c, m.Address, "decisions.find", subject, &remote) == nil {
+			ds = append(ds, remote...)
 		}
 	}
 	jsonhttp.Write(w, http.StatusOK, ds)
--- a/plain/proxy.go
+++ b/plain/proxy.go
@@ -1,5 +1,6 @@
-// Package plain carries calls to plain services: one endpoint after another
-// where that is safe, and only whole answers back.
+// Package plain forwards requests to plain services, which are services that return one complete
+// response instead of a token stream. It retries a request at another endpoint if that cannot run a
+// non-repeatable request twice, and passes on only complete responses.
 package plain
 
 import (
@@ -33,18 +34,18 @@
 	"birchlink.dev/birchlink/view"
 )
 
-// Name is the name of the service.
+// Name is the name under which the service is registered in the kernel.
 const Name = "plain"
 
-// The bounds of a call.
 const (
-	maxAnswer   = 4 << 20
-	maxAttempts = 3
-	dialLimit   = time.Second
-	noneWait    = 250 * time.Millisecond
+	maxResponseBytes = 4 << 20
+	maxAttempts      = 3
+	dialTimeout      = time.Second
+	pollInterval     = 250 * time.Millisecond // between choices while no endpoint is available
 )
 
-// Request is one call of a plain service.
+// Request is a request to a plain service. Weight and Rate are those of its account; Rate is in
+// requests per second.
 type Request struct {
 	ID         string
 	Account    string
@@ -60,12 +61,12 @@
 	Deadline   time.Time
 }
 
-// Admission returns what admission needs to know of the request.
+// Admission returns the request in the form that admission control needs.
 func (q Request) Admission() admission.Request {
 	return admission.Request{Account: q.Account, Kind: q.Kind, Weight: q.Weight, Rate: q.Rate, Plain: true}
 }
 
-// Response is a whole answer.
+// Response is a complete response. Box is the name of the endpoint that sent it.
 type Response struct {
 	Status int
 	Header http.Header
@@ -73,37 +74,37 @@
 	Box    string
 }
 
-// Proxy is the service of one box.
+// Proxy forwards requests to plain services on behalf of one box.
 type Proxy struct {
-	view      *view.View
-	members   *member.Service
-	follower  *follower.Follower
-	decisions *decisions.Log
-	admission *admission.Admission
-	fresh     *observer.Observer
-	suspects  *suspects.Service
-	reused    *http.Client
-	single    *http.Client
-	live      atomic.Int64
+	view           *view.View
+	members        *member.Service
+	follower       *follower.Follower
+	decisions      *decisions.Log
+	admission      *admission.Admission
+	noticeObserver *observer.Observer
+	suspects       *suspects.Service
+	pooled         *http.Client
+	unpooled       *http.Client
+	inFlight       atomic.Int64
 }
 
-// New returns the proxy of a box.
+// New returns a Proxy.
 func New() *Proxy {
-	d := net.Dialer{Timeout: dialLimit}
-	// The library sends a request again by itself when a connection that was
-	// used before breaks. What may not be repeated gets a new connection.
+	d := net.Dialer{Timeout: dialTimeout}
+	// http.Transport retries some requests when a reused connection breaks. Requests that are not
+	// repeatable therefore get a new connection.
 	return &Proxy{
-		reused: &http.Client{CheckRedirect: asIs, Transport: &http.Transport{DialContext: d.DialContext, MaxIdleConnsPerHost: 32, DisableCompression: true}},
-		single: &http.Client{CheckRedirect: asIs, Transport: &http.Transport{DialContext: d.DialContext, DisableKeepAlives: true, DisableCompression: true}},
+		pooled:   &http.Client{CheckRedirect: noRedirect, Transport: &http.Transport{DialContext: d.DialContext, MaxIdleConnsPerHost: 32, DisableCompression: true}},
+		unpooled: &http.Client{CheckRedirect: noRedirect, Transport: &http.Transport{DialContext: d.DialContext, DisableKeepAlives: true, DisableCompression: true}},
 	}
 }
 
-func asIs(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // Name returns the service's name.
 func (p *Proxy) Name() string { return Name }
 
-// Start finds the services that the calls need.
+// Start binds the services that the proxy uses.
 func (p *Proxy) Start(_ context.Context, k *kernel.Kernel) error {
 	return errors.Join(
 		kernel.Bind(k, view.Name, &p.view),
@@ -111,40 +112,41 @@
 		kernel.Bind(k, follower.Name, &p.follower),
 		kernel.Bind(k, decisions.Name, &p.decisions),
 		kernel.Bind(k, admission.Name, &p.admission),
-		kernel.Bind(k, observer.Name, &p.fresh),
+		kernel.Bind(k, observer.Name, &p.noticeObserver),
 		kernel.Bind(k, suspects.Name, &p.suspects),
 	)
 }
 
-// Stop ends idle connections.
+// Stop closes idle connections.
 func (p *Proxy) Stop(context.Context) error {
-	p.reused.CloseIdleConnections()
+	p.pooled.CloseIdleConnections()
 	return nil
 }
 
-// Live returns how many calls are under way.
-func (p *Proxy) Live() int { return int(p.live.Load()) }
+// InFlight returns the number of requests in progress.
+func (p *Proxy) InFlight() int { return int(p.inFlight.Load()) }
 
-// Do carries a call to its whole answer.
+// Do forwards a request and returns its complete response. It retries the request at other endpoints
+// until the request's deadline, where recovery.Decide allows that.
 func (p *Proxy) Do(c context.Context, q Request) (*Response, error) {
-	p.live.Add(1)
-	defer p.live.Add(-1)
+	p.inFlight.Add(1)
+	defer p.inFlight.Add(-1)
 	c, cancel := context.WithDeadline(c, q.Deadline)
 	defer cancel()
 	avoid := map[string]bool{}
 	h := q.content()
 	st := recovery.State{Repeatable: q.Repeatable, Tries: recovery.MaxTries}
 	for st.Attempts = 1; ; st.Attempts++ {
-		s, err := p.wait(c, q, avoid, st)
+		s, err := p.waitForEndpoint(c, q, avoid, st)
 		if err != nil {
 			return nil, err
 		}
 		if err := p.suspects.Check(h); err != nil {
-			return nil, unrun(err, st)
+			return nil, quarantineError(err, st)
 		}
 		a, b, err := p.attempt(c, q, s, st.Attempts)
 		if err == nil {
-			p.answered(h, a)
+			p.recordAnswer(h, a)
 			return a, nil
 		}
 		if b == recovery.Cut && c.Err() == nil {
@@ -153,37 +155,38 @@
 		if errkind.Is(err, errkind.AnswerTooLarge) {
 			return nil, err
 		}
-		if err := p.again(c, q, &st, b, s.Name, err); err != nil {
+		if err := p.checkRetry(c, q, &st, b, s.Name, err); err != nil {
 			return nil, err
 		}
 		avoid[s.Name] = true
 	}
 }
 
-// content returns what a call asks for, whatever its ID is.
+// content returns a hash of the request that does not depend on its ID.
 func (q Request) content() content.Hash {
 	return content.Of(q.Account, &call.Call{Method: q.Method, Host: q.Service, Target: q.Path, Body: q.Body})
 }
 
-// answered notes a whole answer. A failure may come of a service that did not begin to run the
-// call.
-func (p *Proxy) answered(h content.Hash, a *Response) {
+// recordAnswer records a complete response for the quarantine. A response with a 5xx status is
+// ignored, because the service may have failed before it ran the request.
+func (p *Proxy) recordAnswer(h content.Hash, a *Response) {
 	if a.Status < http.StatusInternalServerError {
 		p.suspects.RecordAnswer(h)
 	}
 }
 
-// unrun returns the error of a call that goes to no further endpoint; only if none has run it may
-// that be said.
-func unrun(err error, st recovery.State) error {
+// quarantineError returns the error of a request that is refused because of its content. If an
+// attempt may have run, the error must not state that the request did not run.
+func quarantineError(err error, st recovery.State) error {
 	if st.Ran {
 		return errkind.New(errkind.EngineFailed, "%w", err)
 	}
 	return err
 }
 
-// again returns nil if the call may go to another endpoint.
-func (p *Proxy) again(c context.Context, q Request, st *recovery.State, b recovery.Break, box string, cause error) error {
+// checkRetry returns nil if the request may be sent to another endpoint after an attempt failed with
+// cause, and otherwise the error for the caller.
+func (p *Proxy) checkRetry(c context.Context, q Request, st *recovery.State, b recovery.Break, box string, cause error) error {
 	st.Break, st.Expired = b, c.Err() != nil
 	st.Ran = st.Ran || b != recovery.Unreachable && b != recovery.Refused
 	st.Budget = b == recovery.Unreachable || st.Attempts < maxAttempts && p.admission.Retry(q.Account)
@@ -193,37 +196,38 @@
 	case recovery.Elsewhere:
 		return nil
 	case recovery.Stop:
-		// A plain service has no cancel, so nothing can be confirmed.
+		// Plain services cannot cancel a request, so it cannot be confirmed that the attempt stopped.
 		return errkind.New(errkind.OutcomeUnknown, "the connection broke after the call was sent: %w", cause)
 	default:
 		return errkind.New(d.Kind, "%s: %w", d.Reason, cause)
 	}
 }
 
-// wait chooses an endpoint, and waits for one until the deadline if the call
-// was accepted while there was none.
-func (p *Proxy) wait(c context.Context, q Request, avoid map[string]bool, st recovery.State) (*view.Slot, error) {
+// waitForEndpoint chooses an endpoint. If none is available, it polls until one is or the deadline
+// passes, and fails at once if all endpoints back off beyond the deadline.
+func (p *Proxy) waitForEndpoint(c context.Context, q Request, avoid map[string]bool, st recovery.State) (*view.Slot, error) {
 	for {
-		p.fresh.Ensure(c)
+		p.noticeObserver.Ensure(c)
 		if s := p.choose(q, avoid, st.Attempts); s != nil {
 			return s, nil
 		}
 		clear(avoid)
-		if left := p.resting(q); left > time.Until(q.Deadline) {
-			return nil, noneLeft(q, st).After(left)
+		if left := p.backOffLeft(q); left > time.Until(q.Deadline) {
+			return nil, noEndpointError(q, st).WithRetryAfter(left)
 		}
-		t := time.NewTimer(noneWait)
+		t := time.NewTimer(pollInterval)
 		select {
 		case <-t.C:
 		case <-c.Done():
 			t.Stop()
-			return nil, noneLeft(q, st)
+			return nil, noEndpointError(q, st)
 		}
 	}
 }
 
-// noneLeft is the error of a call for which no endpoint is left in time.
-func noneLeft(q Request, st recovery.State) *errkind.Error {
+// noEndpointError returns the error of a request for which no endpoint is available before its
+// deadline.
+func noEndpointError(q Request, st recovery.State) *errkind.Error {
 	k := errkind.NoEndpoint
 	if st.Ran {
 		k = errkind.OutcomeUnknown
@@ -231,19 +235,19 @@
 	return errkind.New(k, "no endpoint of %s until the deadline", q.Service)
 }
 
-// resting returns when the first endpoint of a service takes calls again, if all have asked for
-// rest.
-func (p *Proxy) resting(q Request) time.Duration {
+// backOffLeft returns the time until the first back-off period of the service's endpoints ends. It
+// is 0 if any endpoint does not back off or there is none.
+func (p *Proxy) backOffLeft(q Request) time.Duration {
 	d := p.follower.Current()
 	if d == nil {
 		return 0
 	}
-	ss := p.allowed(d, q.Service, nil, func(s *view.Slot) bool { return s.State == fleet.Live })
+	ss := p.eligible(d, q.Service, nil, func(s *view.Slot) bool { return s.State == fleet.Live })
 	return rest.MinRemaining(&p.view.Rests, ss, (*view.Slot).Process, boottime.Now())
 }
 
-// choose picks an endpoint: of this data centre first, of others if there is
-// none here.
+// choose returns the least loaded endpoint in this box's data centre, or in any data centre if this
+// one has none available. It returns nil if there is none at all.
 func (p *Proxy) choose(q Request, avoid map[string]bool, attempt int) *view.Slot {
 	d := p.follower.Current()
 	if d == nil {
@@ -251,10 +255,10 @@
 	}
 	dc := p.members.Self().DataCentre
 	now := boottime.Now()
-	takes := func(s *view.Slot) bool { return p.view.Rests.Remaining(s.Process(), now) == 0 }
-	ss := p.allowed(d, q.Service, avoid, func(s *view.Slot) bool { return s.DataCentre == dc && s.Usable() && takes(s) })
+	available := func(s *view.Slot) bool { return p.view.Rests.Remaining(s.Process(), now) == 0 }
+	ss := p.eligible(d, q.Service, avoid, func(s *view.Slot) bool { return s.DataCentre == dc && s.Usable() && available(s) })
 	if len(ss) == 0 {
-		ss = p.allowed(d, q.Service, avoid, func(s *view.Slot) bool { return s.State == fleet.Live && takes(s) })
+		ss = p.eligible(d, q.Service, avoid, func(s *view.Slot) bool { return s.State == fleet.Live && available(s) })
 	}
 	ts := make([]router.Target, len(ss))
 	for i, s := range ss {
@@ -274,10 +278,12 @@
 	return ss[ch.Index]
 }
 
-func (p *Proxy) allowed(d *config.Document, service string, avoid map[string]bool, ok func(*view.Slot) bool) []*view.Slot {
+// eligible returns the endpoints of a service that the configuration allows, that are not in avoid
+// and that satisfy ok.
+func (p *Proxy) eligible(d *config.Document, service string, avoid map[string]bool, ok func(*view.Slot) bool) []*view.Slot {
 	var out []*view.Slot
 	for _, s := range p.view.Slots() {
-		if may, _ := d.Allowed(service, s.Box); s.Role != fleet.ServiceRole || s.Service != service || avoid[s.Name] || !ok(s) || !may {
+		if allowed, _ := d.Allowed(service, s.Box); s.Role != fleet.ServiceRole || s.Service != service || avoid[s.Name] || !ok(s) || !allowed {
 			continue
 		}
 		out = append(out, s)
@@ -285,46 +291,48 @@
 	return out
 }
 
-// attempt makes the call once and reads its whole answer.
+// attempt sends the request to an endpoint once and reads the complete response. On an error it also
+// returns how the attempt broke.
 func (p *Proxy) attempt(c context.Context, q Request, s *view.Slot, n int) (*Response, recovery.Break, error) {
 	s.Sent.Add(1)
 	defer s.Sent.Add(-1)
-	var wrote atomic.Bool
+	var connected atomic.Bool
 	x := httptrace.WithClientTrace(c, &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { wrote.Store(true) },
+		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
 	r, err := http.NewRequestWithContext(x, q.Method, "http://"+s.Address+q.Path, bytes.NewReader(q.Body))
 	if err != nil {
 		return nil, recovery.Unreachable, fmt.Errorf("make call: %w", err)
 	}
-	r.Header = outgoing(q, n)
-	h := p.single
+	r.Header = outgoingHeader(q, n)
+	h := p.unpooled
 	if q.Repeatable {
-		h = p.reused
+		h = p.pooled
 	}
 	a, err := h.Do(r)
 	if err != nil {
-		if wrote.Load() {
+		if connected.Load() {
 			return nil, recovery.Cut, fmt.Errorf("call %s: %w", s.Name, err)
 		}
 		return nil, recovery.Unreachable, fmt.Errorf("reach %s: %w", s.Name, err)
 	}
 	defer a.Body.Close()
 	if a.StatusCode == http.StatusServiceUnavailable {
-		// A service that refuses is the least loaded: it would get every call.
+		// An endpoint that refuses requests has the least load. Without a back-off period it would
+		// be chosen for every request.
 		p.view.Rests.Extend(s.Process(), rest.ParseRetryAfter(a.Header), boottime.Now())
 	}
-	return whole(a, s.Name)
+	return readResponse(a, s.Name)
 }
 
-// whole reads an answer to its end: one that is cut is no answer.
-func whole(a *http.Response, box string) (*Response, recovery.Break, error) {
-	b, err := io.ReadAll(io.LimitReader(a.Body, maxAnswer+1))
+// readResponse reads a response completely. A truncated response is an error.
+func readResponse(a *http.Response, box string) (*Response, recovery.Break, error) {
+	b, err := io.ReadAll(io.LimitReader(a.Body, maxResponseBytes+1))
 	if err != nil {
 		return nil, recovery.Cut, fmt.Errorf("the answer of %s was cut: %w", box, err)
 	}
-	if len(b) > maxAnswer {
-		return nil, recovery.Cut, errkind.New(errkind.AnswerTooLarge, "the answer of %s is over %d bytes", box, maxAnswer)
+	if len(b) > maxResponseBytes {
+		return nil, recovery.Cut, errkind.New(errkind.AnswerTooLarge, "the answer of %s is over %d bytes", box, maxResponseBytes)
 	}
 	if a.ContentLength >= 0 && int64(len(b)) != a.ContentLength && a.Request.Method != http.MethodHead {
 		return nil, recovery.Cut, errors.New("the answer of " + box + " is short")
@@ -332,19 +340,21 @@
 	return &Response{Status: a.StatusCode, Header: a.Header, Body: b, Box: box}, 0, nil
 }
 
-// hopHeaders belong to one connection or to birchlink and are not passed on.
-// Without its key the library cannot take a call for one to be repeated.
-var hopHeaders = []string{
+// droppedHeaders are not forwarded because they apply to one connection or are meant for Birchlink.
+// Idempotency-Key and X-Idempotency-Key are among them because http.Transport would treat a request
+// that has one as idempotent and retry it.
+var droppedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Authorization", "Idempotency-Key", "X-Idempotency-Key", "Birchlink-Ticket", "Birchlink-Repeatable", "Accept-Encoding",
 }
 
-func outgoing(q Request, attempt int) http.Header {
+// outgoingHeader returns the header of an attempt.
+func outgoingHeader(q Request, attempt int) http.Header {
 	h := q.Header.Clone()
 	if h == nil {
 		h = http.Header{}
 	}
-	for _, n := range hopHeaders {
+	for _, n := range droppedHeaders {
 		h.Del(n)
 	}
 	h.Set("Birchlink-Request-Id", q.ID)
--- a/recovery/decide.go
+++ b/recovery/decide.go
@@ -73,7 +73,7 @@
 	confirmed := notRun || s.Break == Halted
 	switch {
 	case s.Expired && !s.Ran:
-		return Decision{Fail, errkind.DeadlineShort, "deadline passed before it ran"}
+		return Decision{Fail, errkind.DeadlineTooShort, "deadline passed before it ran"}
 	case s.Expired && !s.Repeatable && !confirmed:
 		return Decision{Fail, errkind.OutcomeUnknown, "deadline passed and the run is not confirmed"}
 	case s.Expired:
--- a/recovery/decide_test.go
+++ b/recovery/decide_test.go
@@ -46,7 +46,7 @@
 			require.True(t, confirmed[s.Break], "%+v", s)
 		}
 		if d.Step == recovery.Fail && s.Ran {
-			require.NotEqual(t, errkind.NotRun, d.Kind.Answer().Run, "%+v", s)
+			require.NotEqual(t, errkind.NotRun, d.Kind.Response().Run, "%+v", s)
 		}
 		if s.Expired {
 			require.Equal(t, recovery.Fail, d.Step)
--- a/stream/choose.go
+++ b/stream/choose.go
@@ -148,7 +148,7 @@
 		return err
 	}
 	left := rest.MinRemaining(&r.k.view.Rests, cs, candidate.Process, boottime.Now())
-	return e.After(left)
+	return e.WithRetryAfter(left)
 }
 
 // pick takes the endpoint that a reclaim plan named, or asks the policy.
@@ -173,7 +173,7 @@
 		}
 	}
 	if r.s.abroad && (len(ms) == 0 || r.attempt >= maxAbroad) {
-		return errkind.New(errkind.Overloaded, "no room for kind %s, here or in %d other boxes that were asked", r.s.Kind, r.attempt).After(abroadRetry)
+		return errkind.New(errkind.Overloaded, "no room for kind %s, here or in %d other boxes that were asked", r.s.Kind, r.attempt).WithRetryAfter(abroadRetry)
 	}
 	if len(ms) == 0 || r.s.relayed {
 		return errkind.New(errkind.NoEndpoint, "no endpoint is live, allowed and loaded with %s", r.s.Workload)
--- a/stream/relay.go
+++ b/stream/relay.go
@@ -332,7 +332,7 @@
 func relayError(err error) error {
 	e := errkind.Of(err)
 	switch {
-	case e.Kind.Answer().Run == errkind.NotRun:
+	case e.Kind.Response().Run == errkind.NotRun:
 		return fmt.Errorf("%w: %w", engine.ErrNotRun, err)
 	case e.Kind == errkind.Unavailable, e.Kind == errkind.CallerGone:
 		return err
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -164,7 +164,7 @@
 	s.attach(1)
 	defer s.attach(-1)
 	if from < 0 || from > s.MaxTokens {
-		return errkind.New(errkind.HeaderRange, "no token %d in an answer of at most %d", from, s.MaxTokens)
+		return errkind.New(errkind.HeaderOutOfRange, "no token %d in an answer of at most %d", from, s.MaxTokens)
 	}
 	for {
 		ts, done, changed, err := s.view(from)
--- a/suspects/suspects.go
+++ b/suspects/suspects.go
@@ -104,7 +104,7 @@
 func (s *Service) Check(h content.Hash) error {
 	now := boottime.Now()
 	if left, refused := s.quarantine.Refuses(h, now); refused {
-		return errkind.New(errkind.Quarantined, "endpoints ended while they ran this request").After(left)
+		return errkind.New(errkind.Quarantined, "endpoints ended while they ran this request").WithRetryAfter(left)
 	}
 	s.quarantine.RecordSend(h, now)
 	return nil
