--- a/errkind/kind.go
+++ b/errkind/kind.go
@@ -52,8 +52,8 @@
 )
 
 // Response describes the error response for a kind. Name is the name of the kind that callers see,
-// and Retry reports whether a later retry may succeed, in which case the response has a Retry-After
-// header.
+// and Retry reports whether a later retry may succeed, in which case the response may have a
+// Retry-After header.
 type Response struct {
 	Name   string
 	Status int
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -53,7 +53,10 @@
 	Mistakes []iniread.Mistake `json:"mistakes,omitempty"`
 }
 
-// Status is the state of a box and what it knows of the other boxes and the endpoints.
+// Status is the state of a box and what it knows of the other boxes and the endpoints. Ready is
+// "yes" or the reason why the box is not ready. HorizonAge is the time since the moment up to which
+// all notices are known. DutyHolder is the incarnation of the box that holds the lease of the
+// placer, DutyFence is the fence of that lease, and Plan is the last plan that this box computed.
 type Status struct {
 	Box         string           `json:"box"`
 	DataCentre  string           `json:"data_centre"`
