--- a/claims/committer.go
+++ b/claims/committer.go
@@ -72,7 +72,7 @@
 	case r := <-w.done:
 		return r.claim, r.err
 	case <-c.Done():
-		return ledger.Claim{}, errkind.New(errkind.ClaimUnavailable, "the claim took too long").After(unavailableRetryAfter)
+		return ledger.Claim{}, errkind.New(errkind.ClaimUnavailable, "the claim took too long").WithRetryAfter(unavailableRetryAfter)
 	}
 }
 
@@ -114,7 +114,7 @@
 		}
 	}
 	for _, w := range ws {
-		w.done <- result{err: errkind.New(errkind.ClaimUnavailable, "%w; use a ticket while the platform is away", err).After(unavailableRetryAfter)}
+		w.done <- result{err: errkind.New(errkind.ClaimUnavailable, "%w; use a ticket while the platform is away", err).WithRetryAfter(unavailableRetryAfter)}
 	}
 }
 
@@ -172,7 +172,7 @@
 func (m *committer) swap(c context.Context) error {
 	b, err := m.page.Bytes()
 	if err == nil && len(b) > maxPageBytes {
-		err = errkind.New(errkind.ClaimUnavailable, "the page of claims is full").After(fullRetryAfter)
+		err = errkind.New(errkind.ClaimUnavailable, "the page of claims is full").WithRetryAfter(fullRetryAfter)
 	}
 	if err != nil {
 		m.page = nil
--- a/recovery/decide_test.go
+++ b/recovery/decide_test.go
@@ -46,7 +46,7 @@
 			require.True(t, confirmed[s.Interruption], "%+v", s)
 		}
 		if d.Step == recovery.Fail && s.MayHaveRun {
-			require.NotEqual(t, errkind.NotRun, d.Kind.Answer().Run, "%+v", s)
+			require.NotEqual(t, errkind.NotRun, d.Kind.Response().Run, "%+v", s)
 		}
 		if s.Expired {
 			require.Equal(t, recovery.Fail, d.Step)
--- a/stream/choose.go
+++ b/stream/choose.go
@@ -148,7 +148,7 @@
 		return err
 	}
 	left := rest.MinRemaining(&r.k.view.BackOffs, cs, candidate.ProcessID, boottime.Now())
-	return e.After(left)
+	return e.WithRetryAfter(left)
 }
 
 // pick returns the destination that a reclaim plan named, if it is a target, and asks the routing
@@ -174,7 +174,7 @@
 		}
 	}
 	if r.s.remoteOnly && (len(ms) == 0 || r.attempt >= maxRemoteAttempts) {
-		return errkind.New(errkind.Overloaded, "no room for kind %s, here or in %d other boxes that were asked", r.s.Kind, r.attempt).After(remoteRetryAfter)
+		return errkind.New(errkind.Overloaded, "no room for kind %s, here or in %d other boxes that were asked", r.s.Kind, r.attempt).WithRetryAfter(remoteRetryAfter)
 	}
 	if len(ms) == 0 || r.s.relayed {
 		return errkind.New(errkind.NoEndpoint, "no endpoint is live, allowed and loaded with %s", r.s.Workload)
