--- a/availability/availability.go
+++ b/availability/availability.go
@@ -91,7 +91,7 @@
 // IsRateLimited reports whether an endpoint has a rate limit for all boxes together.
 func (a *Availability) IsRateLimited(incarnation string, now time.Time) bool {
 	l, _ := a.Rates.Limit(incarnation, now)
-	return l.Named
+	return l.Limited
 }
 
 // CountBackingOff returns the number of endpoints that have asked this box for no requests.
@@ -106,7 +106,7 @@
 	if !ok || !now.Before(x.until) {
 		return 0
 	}
-	if l, _ := a.Rates.Limit(incarnation, now); !l.Named || l.PerSecond > x.perSecond {
+	if l, _ := a.Rates.Limit(incarnation, now); !l.Limited || l.PerSecond > x.perSecond {
 		return 0
 	}
 	return x.until.Sub(now)
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -227,7 +227,7 @@
 	e := &c.Endpoint
 	st := b.lookup(e.ID)
 	f := st.failureProbability(now)
-	d := time.Duration(f*f*float64(failurePenalty)) + time.Duration(coldFraction*float64(e.Cold))
+	d := time.Duration(f*f*float64(failurePenalty)) + time.Duration(coldFraction*float64(e.ColdLeft))
 	if c.RereadTokens > 0 {
 		d += rereadWeight * v.PrefillTime(c.RereadTokens)
 	}
--- a/catalog/table.go
+++ b/catalog/table.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Table finds routes, services and accounts of one document. It does not change.
+// Table is an immutable index of the routes, services and accounts of a document.
 type Table struct {
 	Document *Document
 
@@ -17,7 +17,7 @@
 	accounts map[string]*Account
 }
 
-// NewTable indexes a document.
+// NewTable returns an index of a document, which must not be modified afterwards.
 func NewTable(d *Document) *Table {
 	t := &Table{
 		Document: d, hosts: map[string][]*Route{}, services: map[string]*Service{},
@@ -44,8 +44,8 @@
 	return t
 }
 
-// Route returns the route of a host, which may carry a port, with the longest
-// prefix that begins the path, or nil.
+// Route returns the route of a host with the longest prefix of the path, or nil. The host may include
+// a port.
 func (t *Table) Route(host, path string) *Route {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -58,14 +58,15 @@
 	return nil
 }
 
-// Service returns the service of a name, or nil.
+// Service returns the service with a name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// ByKey returns the account that holds a key, or nil.
-func (t *Table) ByKey(key string) *Account { return t.keys[key] }
+// AccountByKey returns the account that an API key belongs to, or nil.
+func (t *Table) AccountByKey(key string) *Account { return t.keys[key] }
 
-// Account returns the account of a name, or nil.
+// Account returns the account with a name, or nil.
 func (t *Table) Account(name string) *Account { return t.accounts[name] }
 
-// NeedsKey reports whether a route's requests must carry a known key.
+// NeedsKey reports whether requests of a route must carry a known API key. Without configured
+// accounts, none needs one.
 func (t *Table) NeedsKey(r *Route) bool { return len(t.Document.Accounts) > 0 && !r.Public }
--- a/cloud/client.go
+++ b/cloud/client.go
@@ -10,30 +10,31 @@
 	"birchlink.dev/birchlink/jsonhttp"
 )
 
-// callLimit bounds one call of the cloud API or the box list.
-const callLimit = 2 * time.Second
+// callTimeout bounds one call to the cloud API or the box list.
+const callTimeout = 2 * time.Second
 
-// Client calls the cloud API and the box list.
+// Client calls the cloud API and the box list. Each call is bounded by two seconds.
 type Client struct {
-	cloud *jsonhttp.Client
-	list  *jsonhttp.Client
+	cloud   *jsonhttp.Client
+	boxList *jsonhttp.Client
 }
 
-// New returns a client for the two addresses.
+// New returns a client for the addresses of the cloud API and of the box list. caller identifies it
+// to both.
 func New(cloud, list, caller string) *Client {
-	return &Client{cloud: jsonhttp.New(cloud, caller, callLimit), list: jsonhttp.New(list, caller, callLimit)}
+	return &Client{cloud: jsonhttp.New(cloud, caller, callTimeout), boxList: jsonhttp.New(list, caller, callTimeout)}
 }
 
-// Boxes returns the box list, which lags.
+// Boxes returns the box list. It lags behind the state of the boxes.
 func (c *Client) Boxes(x context.Context) ([]fleet.Box, error) {
 	var bs []fleet.Box
-	if err := c.list.Do(x, http.MethodGet, "/boxes", nil, &bs); err != nil {
+	if err := c.boxList.Do(x, http.MethodGet, "/boxes", nil, &bs); err != nil {
 		return nil, fmt.Errorf("box list: %w", err)
 	}
 	return bs, nil
 }
 
-// Notices returns every box that has a reclaim notice now.
+// Notices returns all boxes that currently have a reclaim notice.
 func (c *Client) Notices(x context.Context) ([]fleet.Box, error) {
 	var bs []fleet.Box
 	if err := c.cloud.Do(x, http.MethodGet, "/notices", nil, &bs); err != nil {
@@ -42,7 +43,7 @@
 	return bs, nil
 }
 
-// Prices returns the prices and the supply at this moment.
+// Prices returns the current prices and supply.
 func (c *Client) Prices(x context.Context) ([]Price, error) {
 	var ps []Price
 	if err := c.cloud.Do(x, http.MethodGet, "/prices", nil, &ps); err != nil {
@@ -51,7 +52,7 @@
 	return ps, nil
 }
 
-// Start asks for a box. The cloud may refuse.
+// Start orders a box and returns it. The cloud may refuse.
 func (c *Client) Start(x context.Context, s Start) (fleet.Box, error) {
 	var b fleet.Box
 	if err := c.cloud.Do(x, http.MethodPost, "/start", s, &b); err != nil {
@@ -60,7 +61,7 @@
 	return b, nil
 }
 
-// Stop gives a box back.
+// Stop returns a box to the cloud.
 func (c *Client) Stop(x context.Context, box string) error {
 	if err := c.cloud.Do(x, http.MethodPost, "/stop/"+box, nil, nil); err != nil {
 		return fmt.Errorf("stop box: %w", err)
--- a/cloud/messages.go
+++ b/cloud/messages.go
@@ -1,9 +1,10 @@
-// Package cloud speaks the cloud API's published protocol.
+// Package cloud is a client of the cloud's published API: the box list, reclaim notices, prices, and
+// starting and stopping boxes.
 package cloud
 
 import "time"
 
-// Price is what one kind of box costs and how many more there are.
+// Price is the price per hour of one kind of box, and the number of boxes that are available.
 type Price struct {
 	DataCentre  string  `json:"data_centre"`
 	Class       string  `json:"class"`
@@ -12,15 +13,15 @@
 	Supply      int     `json:"supply"`
 }
 
-// Notice asks that boxes leave. It names boxes, or all reclaimable boxes of a
-// data centre.
+// Notice is a reclaim notice: the named boxes, or all reclaimable boxes of a data centre, must
+// leave after In.
 type Notice struct {
 	Boxes      []string      `json:"boxes"`
 	DataCentre string        `json:"data_centre"`
 	In         time.Duration `json:"in"`
 }
 
-// Start asks for a box of a kind.
+// Start is an order for one box.
 type Start struct {
 	DataCentre  string `json:"data_centre"`
 	Class       string `json:"class"`
--- a/cloudapi/orders.go
+++ b/cloudapi/orders.go
@@ -1,4 +1,5 @@
-// Package cloudapi says what birchlink calls at the cloud under a duty.
+// Package cloudapi defines the calls to the cloud that only the holder of a lease may make. Each call
+// carries a fencing token, so that a former holder's calls are refused.
 package cloudapi
 
 import (
@@ -6,21 +7,21 @@
 	"errors"
 )
 
-// The ways a call can be refused. After ErrUnknown it may have been carried
-// out, or may still be.
+// Errors of a call. After ErrUnknown the call may have taken effect or may still do so. ErrFenced also
+// means that no endpoint of the ordered kind is available; the cloud has one status for both.
 var (
-	ErrFenced  = errors.New("refused: an old fence, or none of the kind can be had")
-	ErrUnknown = errors.New("no answer: the call may be carried out")
+	ErrFenced  = errors.New("refused: stale fence, or no endpoint of this kind is available")
+	ErrUnknown = errors.New("no response: the call may still take effect")
 	ErrRefused = errors.New("the cloud refused the call")
 )
 
-// Duty says under whose fence a call is made.
-type Duty struct {
+// Lease identifies the holder on whose behalf a call is made, and its fencing token.
+type Lease struct {
 	Holder string
 	Fence  uint64
 }
 
-// Order asks for a number of endpoints of one kind in one data centre.
+// Order sets the number of endpoints of one kind in one data centre.
 type Order struct {
 	Service     string
 	DataCentre  string
@@ -28,9 +29,11 @@
 	Count       int
 }
 
-// Cloud takes the calls. Counts are requests by account that began to run in
-// the window of that number.
+// Cloud is the cloud's API for lease holders.
 type Cloud interface {
-	Order(c context.Context, d Duty, o Order) error
-	Report(c context.Context, d Duty, window int64, counts map[string]int) error
+	// Order sets a count of endpoints.
+	Order(c context.Context, l Lease, o Order) error
+
+	// Report sends the number of requests of each account that started to run in a window.
+	Report(c context.Context, l Lease, window int64, counts map[string]int) error
 }
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -157,7 +157,7 @@
 	q.Log = log
 	p.gossip.OnCrash = p.ended
 	p.gossip.Rates = &p.book.Availability.Rates
-	p.known.Roster.OnLeave(func(e endpoint.Endpoint) {
+	p.known.Roster.OnUnavailable(func(e endpoint.Endpoint) {
 		if !e.Draining {
 			q.RecordCrash(e.Incarnation(), "its record is gone", boottime.Now())
 		}
@@ -208,7 +208,7 @@
 	fs := figures.New(p.settings.Metrics, m, log)
 	fs.Gauge("configuration.version", func() int64 { v, _ := p.known.Raw(); return int64(v) })
 	fs.Gauge("endpoints.known", func() int64 { return int64(p.known.Roster.Len()) })
-	fs.Gauge("endpoints.leaving", func() int64 { return int64(p.known.Roster.Draining()) })
+	fs.Gauge("endpoints.leaving", func() int64 { return int64(p.known.Roster.CountDraining()) })
 	fs.Gauge("endpoints.resting", func() int64 { return int64(p.book.Availability.CountBackingOff(boottime.Now())) })
 	fs.Gauge("endpoints.limited", func() int64 { return int64(p.book.Availability.Rates.Len()) })
 	fs.Gauge("boxes.known", func() int64 { return p.boxes.Load() })
@@ -228,7 +228,7 @@
 	}
 	cl := platform.NewCloud(s.Cloud)
 	if s.Usage {
-		o := reporter.Options{Prefix: usagePrefix, WritersPrefix: relaysPrefix, Box: s.Box, Incarnation: p.incarnation, Due: s.ReportDue, Writes: p.writes, Now: p.clock.Now}
+		o := reporter.Options{Prefix: usagePrefix, WritersPrefix: relaysPrefix, Box: s.Box, Incarnation: p.incarnation, Due: s.ReportDue, IsWriter: p.writes, Now: p.clock.Now}
 		p.reporter = reporter.New(o, p.tally, p.store, cl, e, log)
 		ss = append(ss, p.reporter)
 	}
--- a/daemon/tell.go
+++ b/daemon/tell.go
@@ -20,7 +20,7 @@
 func (p *entryParts) tell() {
 	g, s := p.gossip, p.settings
 	g.Box, g.DataCentre, g.Address, g.Prefix, g.Seeds, g.Store = s.Box, s.DataCentre, s.Peers, relaysPrefix, s.Seeds, p.store
-	g.FirstStart, g.LinkMbps, g.UsedEndpoints = s.First, s.LinkMbps, p.known.Roster.WorksWith
+	g.FirstStart, g.LinkMbps, g.UsedEndpoints = s.First, s.LinkMbps, p.known.Roster.UsedEndpoints
 	g.LocalStatus = func() gossip.Status {
 		now := boottime.Now()
 		v, _ := p.known.Raw()
@@ -61,7 +61,7 @@
 	}, now)
 	if p.reporter != nil {
 		for _, u := range others.Usage {
-			p.reporter.Hear(u)
+			p.reporter.Merge(u)
 		}
 	}
 	if p.gossip.IsIsolated() {
--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -1,4 +1,6 @@
-// Package endpoint keeps the endpoints that the platform lists.
+// Package endpoint holds the set of endpoints that the platform lists. A Roster indexes them by
+// service, selects the subset that one box uses, and tracks endpoints that announce that they
+// drain before their records say so.
 package endpoint
 
 import (
@@ -6,35 +8,37 @@
 	"time"
 )
 
-// Endpoint is one incarnation of a server process. A process may start again under the ID
-// of the one before, and knows nothing of it then; Born tells them apart. Its Address may
-// later belong to another endpoint, also of another service.
+// Endpoint is one incarnation of a server process. A process that restarts under the same ID
+// shares no state with its predecessor; StartMillis distinguishes them. Its Address may later be
+// reused by another endpoint, also of another service.
 type Endpoint struct {
-	ID         string
-	Born       int64 // when the process started, in milliseconds since 1970; zero if it does not say
-	Service    string
-	Address    string
-	DataCentre string
-	Slots      int
-	Version    string // of its software; empty if it does not say
+	ID          string
+	StartMillis int64 // start time in Unix milliseconds; zero if unknown
+	Service     string
+	Address     string
+	DataCentre  string
+	Slots       int    // requests that it can run at the same time
+	Version     string // software version; empty if unknown
 
-	// Draining is set once the endpoint leaves: it gets no new work.
+	// Draining is set once the endpoint is leaving. It gets no new work.
 	Draining bool
 
-	// Reclaimable endpoints may be taken at short notice. Leaves is how long the
-	// endpoint still ran when it said that it drains; zero when it did not say.
+	// Reclaimable reports whether the cloud may take the endpoint back at short notice.
 	Reclaimable bool
-	Leaves      time.Duration
 
-	// Cold is how much longer it is slow from its start.
-	Cold time.Duration
+	// DrainPeriod is how long the endpoint keeps running from the announcement that it drains;
+	// zero if unknown.
+	DrainPeriod time.Duration
+
+	// ColdLeft is the remaining time after a start during which the endpoint is slower.
+	ColdLeft time.Duration
 }
 
-// Incarnation names the process: what was learnt of one holds for no other, though it has
-// the same ID.
+// Incarnation returns a name of the process: its ID and, if known, its start time. State learned
+// about one incarnation does not apply to another with the same ID.
 func (e Endpoint) Incarnation() string {
-	if e.Born == 0 {
+	if e.StartMillis == 0 {
 		return e.ID
 	}
-	return e.ID + "/" + strconv.FormatInt(e.Born, 36)
+	return e.ID + "/" + strconv.FormatInt(e.StartMillis, 36)
 }
--- a/endpoint/foreign.go
+++ b/endpoint/foreign.go
@@ -2,25 +2,25 @@
 
 import "fmt"
 
-// Reason says why a record names no endpoint.
+// Reason classifies why a stored record is not a valid endpoint record.
 type Reason string
 
-// The closed list of reasons.
+// The reasons. They are part of metric names.
 const (
-	Unreadable   Reason = "unreadable"    // its bytes cannot be read
-	WrongType    Reason = "wrong_type"    // a field is of another type
-	Missing      Reason = "missing"       // a field is missing, empty or out of its range
-	UnknownState Reason = "unknown_state" // it is in a state that no endpoint has
+	Unreadable   Reason = "unreadable"    // not decodable
+	WrongType    Reason = "wrong_type"    // a field has the wrong type
+	Missing      Reason = "missing"       // a field is missing, empty or out of range
+	UnknownState Reason = "unknown_state" // the state is not one that endpoints have
 )
 
-// ForeignError is the error of a record that no endpoint wrote.
-type ForeignError struct {
+// RecordError reports a record that does not describe an endpoint.
+type RecordError struct {
 	Reason Reason
-	Detail string // the field, or what was read
+	Detail string // the field, or the value that was read
 }
 
-// NewForeign returns an error for a reason.
-func NewForeign(r Reason, detail string) error { return &ForeignError{r, detail} }
+// NewRecordError returns a *RecordError.
+func NewRecordError(r Reason, detail string) error { return &RecordError{r, detail} }
 
-// Error returns the reason and the detail.
-func (f *ForeignError) Error() string { return fmt.Sprintf("%s: %.100s", f.Reason, f.Detail) }
+// Error returns the reason and the first 100 characters of the detail.
+func (f *RecordError) Error() string { return fmt.Sprintf("%s: %.100s", f.Reason, f.Detail) }
--- a/endpoint/leavers.go
+++ b/endpoint/leavers.go
@@ -7,40 +7,41 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// maxMarks is how many endpoints are remembered that said in an answer that they leave. A
-// mark is of use until the endpoint's record says so too, so that more are needed only where
-// more than two data centres' worth of the largest fleet leave while the store is away.
-const maxMarks = 4096
+// maxDrainMarks bounds the endpoints remembered as draining by their own responses. A mark is
+// needed until the endpoint's record says the same. The bound is exceeded only if more endpoints
+// than those of two data centres of the largest fleet drain while the store is unreachable.
+const maxDrainMarks = 4096
 
-// Leavers is what one box tells another of the endpoints that said in an answer that they
-// leave, while their records do not say so. Sum tells one set of them from another, so that
-// the set goes only to a box that has another.
-type Leavers struct {
+// DrainingSet is the set of endpoints that announced in a response that they drain while their
+// records do not say so, as exchanged between boxes. Sum identifies the set; Incarnations is sent
+// only to a box whose set has another sum.
+type DrainingSet struct {
 	Sum          uint64
 	Incarnations []string
 }
 
-// IDOf returns the ID of an endpoint from the name of its incarnation.
+// IDOf returns the endpoint ID in the name of an incarnation.
 func IDOf(incarnation string) string {
 	id, _, _ := strings.Cut(incarnation, "/")
 	return id
 }
 
-// Leave notes that an endpoint says that it leaves, ahead of its record: while the store is
-// away no record tells it, and 18 requests of 155 went to an endpoint that had said so for
-// two seconds or more (counted in the log of five seconds). It reports whether that is news.
-func (r *Roster) Leave(incarnation string) bool {
+// MarkDraining records that an endpoint announced in a response that it drains, and reports whether
+// that was unknown. The announcement precedes the endpoint's record, which does not change while the
+// store is unreachable: without marks, 18 of 155 requests went to endpoints that had announced
+// draining two seconds or more before.
+func (r *Roster) MarkDraining(incarnation string) bool {
 	r.mu.Lock()
 	e, listed := r.all[IDOf(incarnation)]
 	listed = listed && e.Incarnation() == incarnation
-	if listed && e.Draining || r.marked(incarnation) {
+	if listed && e.Draining || r.isMarked(incarnation) {
 		r.mu.Unlock()
 		return false
 	}
-	if r.marks == nil {
-		r.marks, _ = simplelru.NewLRU[string, struct{}](maxMarks, nil) // the size is above zero
+	if r.drainMarks == nil {
+		r.drainMarks, _ = simplelru.NewLRU[string, struct{}](maxDrainMarks, nil) // the size is above zero
 	}
-	r.marks.Add(incarnation, struct{}{})
+	r.drainMarks.Add(incarnation, struct{}{})
 	if !listed {
 		r.mu.Unlock()
 		return true
@@ -48,8 +49,8 @@
 	old := e
 	e.Draining = true
 	r.all[e.ID] = e
-	r.enter(old, e)
-	f := r.removed
+	r.updatePools(old, e)
+	f := r.onUnavailable
 	r.mu.Unlock()
 	if f != nil {
 		f(e)
@@ -57,58 +58,58 @@
 	return true
 }
 
-// marked reports whether an endpoint said that it leaves. The lock is held.
-func (r *Roster) marked(incarnation string) bool {
-	return r.marks != nil && r.marks.Contains(incarnation)
+// isMarked reports whether an endpoint is marked as draining. The caller holds r.mu.
+func (r *Roster) isMarked(incarnation string) bool {
+	return r.drainMarks != nil && r.drainMarks.Contains(incarnation)
 }
 
-// drains reports whether a record's endpoint drains, by what it says or what the endpoint
-// said before. A record that says so makes the mark needless: the other boxes get it, too. The
-// lock is held.
-func (r *Roster) drains(e Endpoint) bool {
-	if r.marks == nil || r.marks.Len() == 0 {
+// isDraining reports whether an endpoint drains according to its record or a mark. It removes the
+// mark if the record says so, since the other boxes read the record as well. The caller holds r.mu.
+func (r *Roster) isDraining(e Endpoint) bool {
+	if r.drainMarks == nil || r.drainMarks.Len() == 0 {
 		return e.Draining
 	}
 	if e.Draining {
-		r.marks.Remove(e.Incarnation())
+		r.drainMarks.Remove(e.Incarnation())
 		return true
 	}
-	return r.marked(e.Incarnation())
+	return r.isMarked(e.Incarnation())
 }
 
-// Leavers returns the endpoints of the roster that leave though their records do not say so;
-// to a box that has the sum known, without their names.
-func (r *Roster) Leavers(known uint64) Leavers {
+// DrainingSet returns the endpoints of the roster that drain although their records do not say so.
+// Incarnations is omitted if the sum of the set equals known.
+func (r *Roster) DrainingSet(known uint64) DrainingSet {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var l Leavers
-	if r.marks == nil {
+	var l DrainingSet
+	if r.drainMarks == nil {
 		return l
 	}
-	for _, m := range r.marks.Keys() {
+	for _, m := range r.drainMarks.Keys() {
 		if e, ok := r.all[IDOf(m)]; ok && e.Incarnation() == m {
 			l.Incarnations = append(l.Incarnations, m)
 		}
 	}
-	if l.Sum = sum(l.Incarnations); l.Sum == known {
+	if l.Sum = hashSet(l.Incarnations); l.Sum == known {
 		l.Incarnations = nil
 	}
 	return l
 }
 
-// Hear takes in what another box tells, and returns what of it is news.
-func (r *Roster) Hear(l Leavers) []string {
-	var news []string
+// Merge marks the endpoints of another box's set as draining, and returns the incarnations that
+// were unknown.
+func (r *Roster) Merge(l DrainingSet) []string {
+	var added []string
 	for _, m := range l.Incarnations {
-		if r.Leave(m) {
-			news = append(news, m)
+		if r.MarkDraining(m) {
+			added = append(added, m)
 		}
 	}
-	return news
+	return added
 }
 
-// Draining returns how many endpoints leave.
-func (r *Roster) Draining() int {
+// CountDraining returns the number of draining endpoints.
+func (r *Roster) CountDraining() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
@@ -120,8 +121,8 @@
 	return n
 }
 
-// sum returns a number that is the same for the same names in any order, and zero for none.
-func sum(names []string) uint64 {
+// hashSet returns a hash of the names that does not depend on their order; zero for no names.
+func hashSet(names []string) uint64 {
 	var s uint64
 	for _, n := range names {
 		s += xxhash.Sum64String(n)
--- a/endpoint/leavers_test.go
+++ b/endpoint/leavers_test.go
@@ -11,19 +11,19 @@
 	"birchlink.dev/birchlink/endpoint"
 )
 
-// An endpoint that said that it leaves drains, whatever its record says, also one that is entered
-// again; another process under its ID does not.
-func TestLeave(t *testing.T) {
+// An endpoint that announced draining stays draining whatever its record says, also after it is
+// removed and added again. Another process under its ID serves.
+func TestMarkDraining(t *testing.T) {
 	var r endpoint.Roster
 	var left []string
-	r.OnLeave(func(e endpoint.Endpoint) { left = append(left, e.Incarnation()) })
-	e := endpoint.Endpoint{ID: "e", Born: 1, Service: "s"}
+	r.OnUnavailable(func(e endpoint.Endpoint) { left = append(left, e.Incarnation()) })
+	e := endpoint.Endpoint{ID: "e", StartMillis: 1, Service: "s"}
 	r.Put(e)
 	require.Len(t, r.Serving("s"), 1)
-	require.True(t, r.Leave(e.Incarnation()))
-	require.False(t, r.Leave(e.Incarnation()))
+	require.True(t, r.MarkDraining(e.Incarnation()))
+	require.False(t, r.MarkDraining(e.Incarnation()))
 	require.Empty(t, r.Serving("s"))
-	require.Equal(t, 1, r.Draining())
+	require.Equal(t, 1, r.CountDraining())
 	require.Equal(t, []string{e.Incarnation()}, left)
 	e.Slots = 4
 	r.Put(e)
@@ -31,163 +31,164 @@
 	r.Remove("e")
 	r.Put(e)
 	require.Empty(t, r.Serving("s"))
-	r.Put(endpoint.Endpoint{ID: "e", Born: 2, Service: "s"})
+	r.Put(endpoint.Endpoint{ID: "e", StartMillis: 2, Service: "s"})
 	require.Len(t, r.Serving("s"), 1)
 }
 
-// What was heard of before a record came holds for the record.
-func TestLeaveBeforeItsRecord(t *testing.T) {
+// A mark received before the endpoint's record applies to the record.
+func TestMarkDrainingBeforeRecord(t *testing.T) {
 	var r endpoint.Roster
-	require.Equal(t, []string{"e"}, r.Hear(endpoint.Leavers{Incarnations: []string{"e"}}))
-	require.Empty(t, r.Leavers(0).Incarnations)
+	require.Equal(t, []string{"e"}, r.Merge(endpoint.DrainingSet{Incarnations: []string{"e"}}))
+	require.Empty(t, r.DrainingSet(0).Incarnations)
 	fill(&r, 1)
 	r.Put(endpoint.Endpoint{ID: "e", Service: "s"})
 	require.Len(t, r.Serving("s"), 1)
-	require.Equal(t, []string{"e"}, r.Leavers(0).Incarnations)
+	require.Equal(t, []string{"e"}, r.DrainingSet(0).Incarnations)
 }
 
-// The names go only to a box that has others, and are told no more once the record says so.
-func TestLeavers(t *testing.T) {
+// Names are sent only to a box whose set differs, and not after the record says the same.
+func TestDrainingSetExchange(t *testing.T) {
 	var a, b endpoint.Roster
 	fill(&a, 3)
 	fill(&b, 3)
-	require.Zero(t, a.Leavers(0).Sum)
-	a.Leave("e-2")
-	a.Leave("e-0")
-	l := a.Leavers(b.Leavers(0).Sum)
+	require.Zero(t, a.DrainingSet(0).Sum)
+	a.MarkDraining("e-2")
+	a.MarkDraining("e-0")
+	l := a.DrainingSet(b.DrainingSet(0).Sum)
 	require.Len(t, l.Incarnations, 2)
-	require.Len(t, b.Hear(l), 2)
-	require.Empty(t, b.Hear(l))
-	require.Equal(t, a.Leavers(0).Sum, b.Leavers(0).Sum)
-	require.Empty(t, a.Leavers(b.Leavers(0).Sum).Incarnations)
+	require.Len(t, b.Merge(l), 2)
+	require.Empty(t, b.Merge(l))
+	require.Equal(t, a.DrainingSet(0).Sum, b.DrainingSet(0).Sum)
+	require.Empty(t, a.DrainingSet(b.DrainingSet(0).Sum).Incarnations)
 	for _, id := range []string{"e-0", "e-2"} {
 		a.Put(endpoint.Endpoint{ID: id, Service: "s", Draining: true})
 	}
-	require.Zero(t, a.Leavers(0).Sum)
-	a.Hear(b.Leavers(0))
-	require.Zero(t, a.Leavers(0).Sum)
+	require.Zero(t, a.DrainingSet(0).Sum)
+	a.Merge(b.DrainingSet(0))
+	require.Zero(t, a.DrainingSet(0).Sum)
 	require.Len(t, a.Serving("s"), 1)
 }
 
-// More endpoints than are remembered leave: the oldest are forgotten, and no more is kept.
-func TestManyLeave(t *testing.T) {
+// If more than maxDrainMarks endpoints drain, the oldest marks are dropped.
+func TestDrainMarksAreBounded(t *testing.T) {
 	var r endpoint.Roster
 	fill(&r, 5000)
 	for i := range 5000 {
-		r.Leave(fmt.Sprint("e-", i))
+		r.MarkDraining(fmt.Sprint("e-", i))
 	}
 	require.Empty(t, r.Serving("s"))
-	require.Len(t, r.Leavers(0).Incarnations, 4096)
+	require.Len(t, r.DrainingSet(0).Incarnations, 4096)
 }
 
-// The times of the model, in steps of 10 ms.
+// The times of the simulation, in steps of 10 ms.
 const (
-	modelRound   = 50  // between two exchanges
-	modelHop     = 2   // from one box to the next
-	modelLength  = 900 // with faults until modelHealed
-	modelHealed  = 600
-	modelSettled = 160 // rounds of a member, of relays and of a member again, and a bit
+	exchangeInterval = 50  // between two exchanges
+	hopDelay         = 2   // of a message between two boxes
+	runLength        = 900 // of one seed
+	faultsEnd        = 600 // no fault is injected from then on
+	convergenceTime  = 160 // member to relay, relay to relay, relay to member: three exchanges and a margin
 )
 
-// node is a box of the model, with what it last heard of each other's set. The first ones are
-// relays.
+// node is a simulated box with the last sum received from each other one. The first fleetModel.relays
+// nodes are relays.
 type node struct {
 	endpoint.Roster
-	index  int
-	side   int // of a cut
-	down   bool
-	frozen bool
-	sums   map[int]uint64
-	fault  int // when its last fault ended
+	index     int
+	partition int // its side when the network is partitioned
+	down      bool
+	frozen    bool
+	knownSums map[int]uint64
+	lastFault int // when its last fault ended
 }
 
-// model is a fleet whose store is away: no record tells who leaves.
-type model struct {
-	rnd    *rand.Rand
-	now    int
-	cut    bool
-	cutEnd int
-	nodes  []*node
-	relays int
-	due    map[int][]func()
-	names  int // of endpoints, that were told
-	alone  int // when no relay was there last
+// fleetModel simulates a fleet whose store is unreachable, so that no record changes.
+type fleetModel struct {
+	rnd              *rand.Rand
+	now              int
+	partitioned      bool
+	partitionEnd     int
+	nodes            []*node
+	relays           int
+	pending          map[int][]func()
+	namesSent        int // number of incarnation names sent
+	lastWithoutRelay int // the last time at which all relays were down or frozen
 }
 
-const modelEndpoints = 12
+const endpointCount = 12
 
-func (m *model) begin(n *node) {
-	*n = node{index: n.index, side: n.side, sums: map[int]uint64{}, fault: m.now}
-	fill(&n.Roster, modelEndpoints)
+func (m *fleetModel) start(n *node) {
+	*n = node{index: n.index, partition: n.partition, knownSums: map[int]uint64{}, lastFault: m.now}
+	fill(&n.Roster, endpointCount)
 }
 
-func (m *model) reach(a, b *node) bool {
-	return !a.down && !b.down && !a.frozen && !b.frozen && (!m.cut || a.side == b.side)
+func (m *fleetModel) canReach(a, b *node) bool {
+	return !a.down && !b.down && !a.frozen && !b.frozen && (!m.partitioned || a.partition == b.partition)
 }
 
-// relayOf returns the first relay that a member reaches, from its own.
-func (m *model) relayOf(n *node) *node {
+// relayOf returns the first reachable relay, in an order that starts at the member's own.
+func (m *fleetModel) relayOf(n *node) *node {
 	for i := range m.relays {
-		if r := m.nodes[(n.index+i)%m.relays]; m.reach(n, r) {
+		if r := m.nodes[(n.index+i)%m.relays]; m.canReach(n, r) {
 			return r
 		}
 	}
 	return nil
 }
 
-// send lets a box hear another after a hop; then goes on if that was news.
-func (m *model) send(from, to *node, l endpoint.Leavers, then func(news []string)) {
-	m.names += len(l.Incarnations)
-	m.due[m.now+modelHop] = append(m.due[m.now+modelHop], func() {
-		if !m.reach(from, to) {
+// send delivers a set after hopDelay, and calls then with the names that were unknown, if any.
+func (m *fleetModel) send(from, to *node, l endpoint.DrainingSet, then func(added []string)) {
+	m.namesSent += len(l.Incarnations)
+	m.pending[m.now+hopDelay] = append(m.pending[m.now+hopDelay], func() {
+		if !m.canReach(from, to) {
 			return
 		}
-		if news := to.Hear(l); len(news) > 0 {
-			then(news)
+		if added := to.Merge(l); len(added) > 0 {
+			then(added)
 		}
 	})
 }
 
-// tell passes news on at once: a member to its relay, relays to all others.
-func (m *model) tell(n *node, news []string) {
-	l := endpoint.Leavers{Incarnations: news}
+// broadcast forwards new names at once: a member to its relay, a relay to all other relays and to its
+// members.
+func (m *fleetModel) broadcast(n *node, added []string) {
+	l := endpoint.DrainingSet{Incarnations: added}
 	if n.index >= m.relays {
 		if r := m.relayOf(n); r != nil {
-			m.send(n, r, l, func(news []string) { m.tell(r, news) })
+			m.send(n, r, l, func(added []string) { m.broadcast(r, added) })
 		}
 		return
 	}
 	for _, r := range m.nodes[:m.relays] {
 		if r != n {
-			m.send(n, r, l, func(news []string) { m.tellMembers(r, news) })
+			m.send(n, r, l, func(added []string) { m.broadcastToMembers(r, added) })
 		}
 	}
-	m.tellMembers(n, news)
+	m.broadcastToMembers(n, added)
 }
 
-func (m *model) tellMembers(r *node, news []string) {
+func (m *fleetModel) broadcastToMembers(r *node, added []string) {
 	for _, n := range m.nodes[m.relays:] {
 		if m.relayOf(n) == r {
-			m.send(r, n, endpoint.Leavers{Incarnations: news}, func([]string) {})
+			m.send(r, n, endpoint.DrainingSet{Incarnations: added}, func([]string) {})
 		}
 	}
 }
 
-// exchange is one box's call of another in a round.
-func (m *model) exchange(a, b *node) {
-	if !m.reach(a, b) {
+// exchange is one call between two boxes that swaps their sets.
+func (m *fleetModel) exchange(a, b *node) {
+	if !m.canReach(a, b) {
 		return
 	}
-	l := a.Leavers(a.sums[b.index])
-	b.sums[a.index] = l.Sum
-	b.Hear(l)
-	l2 := b.Leavers(l.Sum)
-	a.sums[b.index] = l2.Sum
-	a.Hear(l2)
-	m.names += len(l.Incarnations) + len(l2.Incarnations)
+	l := a.DrainingSet(a.knownSums[b.index])
+	b.knownSums[a.index] = l.Sum
+	b.Merge(l)
+	l2 := b.DrainingSet(l.Sum)
+	a.knownSums[b.index] = l2.Sum
+	a.Merge(l2)
+	m.namesSent += len(l.Incarnations) + len(l2.Incarnations)
 }
 
-func (m *model) round() {
+func (m *fleetModel) exchangeAll() {
 	for _, n := range m.nodes {
 		if n.index >= m.relays {
 			if r := m.relayOf(n); r != nil {
@@ -201,8 +202,8 @@
 	}
 }
 
-// strike does some fault, or ends one.
-func (m *model) strike() {
+// injectFault starts or ends a random fault.
+func (m *fleetModel) injectFault() {
 	n := m.nodes[m.rnd.IntN(len(m.nodes))]
 	switch m.rnd.IntN(5) {
 	case 0:
@@ -210,103 +211,103 @@
 	case 1:
 		n.frozen = true
 	case 2, 3:
-		m.mend(n)
+		m.recover(n)
 	case 4:
-		m.cut = !m.cut
-		m.cutEnd = m.now
+		m.partitioned = !m.partitioned
+		m.partitionEnd = m.now
 	}
 }
 
-func (m *model) mend(n *node) {
+func (m *fleetModel) recover(n *node) {
 	switch {
 	case n.down:
-		m.begin(n)
+		m.start(n)
 	case n.frozen:
-		n.frozen, n.fault = false, m.now
+		n.frozen, n.lastFault = false, m.now
 	}
 }
 
-func newModel(seed uint64) *model {
-	m := &model{rnd: rand.New(rand.NewPCG(seed, 7)), due: map[int][]func(){}, cutEnd: -modelSettled, alone: -modelSettled}
+func newFleetModel(seed uint64) *fleetModel {
+	m := &fleetModel{rnd: rand.New(rand.NewPCG(seed, 7)), pending: map[int][]func(){}, partitionEnd: -convergenceTime, lastWithoutRelay: -convergenceTime}
 	boxes := 3 + m.rnd.IntN(40)
 	if seed%20 == 0 {
 		boxes = 300
 	}
 	m.relays = min(2+m.rnd.IntN(5), boxes)
 	for i := range boxes {
-		n := &node{index: i, side: m.rnd.IntN(2)}
-		m.begin(n)
-		n.fault = -modelSettled
+		n := &node{index: i, partition: m.rnd.IntN(2)}
+		m.start(n)
+		n.lastFault = -convergenceTime
 		m.nodes = append(m.nodes, n)
 	}
 	return m
 }
 
-// TestAnyFleet plays fleets whose boxes are killed, freeze and are cut off while endpoints say to
-// some box or other that they leave. Boxes without a fault meanwhile all know within 1.6 s; and
-// once all faults are over, all that one living box knows is known to all.
-func TestAnyFleet(t *testing.T) {
+// TestDrainingSetsConverge simulates fleets whose boxes are killed, frozen and partitioned while
+// endpoints announce to random boxes that they drain. All boxes without a fault know of an
+// announcement within 1.6 s. After all faults have ended, all boxes have the same set.
+func TestDrainingSetsConverge(t *testing.T) {
 	seeds := uint64(120)
 	if testing.Short() {
 		seeds = 20
 	}
 	for seed := range seeds {
-		m := newModel(seed)
-		told := map[string]int{} // when
-		teller := map[string]*node{}
-		for ; m.now < modelLength; m.now++ {
-			for _, f := range m.due[m.now] {
+		m := newFleetModel(seed)
+		announced := map[string]int{} // time of the announcement
+		receiver := map[string]*node{}
+		for ; m.now < runLength; m.now++ {
+			for _, f := range m.pending[m.now] {
 				f()
 			}
-			delete(m.due, m.now)
-			if m.now%modelRound == 0 {
-				m.round()
+			delete(m.pending, m.now)
+			if m.now%exchangeInterval == 0 {
+				m.exchangeAll()
 			}
 			switch {
-			case m.now == modelHealed:
-				m.cutEnd = m.now
-				m.cut = false
+			case m.now == faultsEnd:
+				m.partitionEnd = m.now
+				m.partitioned = false
 				for _, n := range m.nodes {
-					m.mend(n)
+					m.recover(n)
 				}
-			case m.now < modelHealed && m.rnd.IntN(40) == 0:
-				m.strike()
+			case m.now < faultsEnd && m.rnd.IntN(40) == 0:
+				m.injectFault()
 			}
-			if n := m.nodes[m.rnd.IntN(len(m.nodes))]; m.now < modelHealed && m.rnd.IntN(50) == 0 && !n.down && !n.frozen {
-				e := fmt.Sprint("e-", m.rnd.IntN(modelEndpoints))
-				if n.Leave(e) {
-					if _, ok := told[e]; !ok {
-						told[e], teller[e] = m.now, n
+			if n := m.nodes[m.rnd.IntN(len(m.nodes))]; m.now < faultsEnd && m.rnd.IntN(50) == 0 && !n.down && !n.frozen {
+				e := fmt.Sprint("e-", m.rnd.IntN(endpointCount))
+				if n.MarkDraining(e) {
+					if _, ok := announced[e]; !ok {
+						announced[e], receiver[e] = m.now, n
 					}
-					m.tell(n, []string{e})
+					m.broadcast(n, []string{e})
 				}
 			}
 			if !slices.ContainsFunc(m.nodes[:m.relays], func(n *node) bool { return !n.down && !n.frozen }) {
-				m.alone = m.now
+				m.lastWithoutRelay = m.now
 			}
-			m.check(t, seed, told, teller)
+			m.checkPropagation(t, seed, announced, receiver)
 		}
-		sum := m.nodes[0].Leavers(0).Sum
+		sum := m.nodes[0].DrainingSet(0).Sum
 		for _, n := range m.nodes {
-			require.Equal(t, sum, n.Leavers(0).Sum, "seed %d: box %d of %d", seed, n.index, len(m.nodes))
+			require.Equal(t, sum, n.DrainingSet(0).Sum, "seed %d: box %d of %d", seed, n.index, len(m.nodes))
 		}
-		names := m.names
-		m.round()
-		require.Equal(t, names, m.names, "seed %d: names are told that are known", seed)
+		names := m.namesSent
+		m.exchangeAll()
+		require.Equal(t, names, m.namesSent, "seed %d: names are sent that the receiver has", seed)
 	}
 }
 
-// check holds that boxes without a fault since before an endpoint's word know of it in time. Where
-// all relays are away nobody passes it on until members take their places, seconds later, which
-// the model leaves out.
-func (m *model) check(t *testing.T, seed uint64, told map[string]int, teller map[string]*node) {
-	for e, at := range told {
-		sound := func(n *node) bool { return !n.down && !n.frozen && n.fault+modelSettled <= at }
-		if m.now != at+modelSettled || m.cut || m.cutEnd+modelSettled > at || m.alone+modelSettled > at || !sound(teller[e]) {
+// checkPropagation requires that every box without a fault since before an announcement knows of it
+// after convergenceTime. Announcements made while all relays were unavailable are skipped: members
+// take over the relay slots only seconds later, which the simulation does not model.
+func (m *fleetModel) checkPropagation(t *testing.T, seed uint64, announced map[string]int, receiver map[string]*node) {
+	for e, at := range announced {
+		healthy := func(n *node) bool { return !n.down && !n.frozen && n.lastFault+convergenceTime <= at }
+		if m.now != at+convergenceTime || m.partitioned || m.partitionEnd+convergenceTime > at || m.lastWithoutRelay+convergenceTime > at || !healthy(receiver[e]) {
 			continue
 		}
 		for _, n := range m.nodes {
-			if sound(n) {
+			if healthy(n) {
 				got, ok := n.Get(e)
 				require.True(t, ok && got.Draining, "seed %d: box %d of %d does not know of %s", seed, n.index, len(m.nodes), e)
 			}
--- a/endpoint/pool.go
+++ b/endpoint/pool.go
@@ -7,83 +7,84 @@
 	"birchlink.dev/birchlink/rendezvous"
 )
 
-// A box works with partSize endpoints of a service, or all where there are no more: at least
-// partOwn of its own data centre, if it has so many. What a box is told of others' load, and what
-// a choice costs it, follows these and not the fleet. 128 are some hundred times what a box of the
-// largest fleet has under way, so that few of its choices meet another's, and as many in other
-// data centres as in its own carry it on if its own has none.
+// A box uses a subset of at most subsetSize endpoints of a service, at least minLocalSubset of them
+// in its own data centre if it has that many. The load reports that a box receives and the cost of a
+// choice grow with the subset and not with the fleet. 128 is about a hundred times the number of
+// requests that a box of the largest fleet has in flight, so few of its choices collide with those
+// of other boxes. The half in other data centres keeps the box going if its own has no endpoints.
 const (
-	partSize = 128
-	partOwn  = 64
+	subsetSize     = 128
+	minLocalSubset = 64
 )
 
-// pool is the endpoints of one service that take work.
+// pool holds the endpoints of one service that take work.
 type pool struct {
 	members []member
-	hashes  []uint64       // of the members' IDs, which are read one after the other
-	at      map[string]int // where each stands among members, by ID
+	hashes  []uint64       // of the members' IDs; a separate slice keeps them contiguous
+	index   map[string]int // position in members, by ID
 
-	list   []Endpoint // all by ID; nil if not asked for since a change
-	part   []Endpoint // those that the box works with; nil if not asked for since a change of them
-	lowest weights    // the least of part
+	serving   []Endpoint // all members ordered by ID; nil after a change
+	subset    []Endpoint // the endpoints that the box uses; nil after a change of them
+	threshold thresholds // for membership in subset
 }
 
 // member is one endpoint of a pool.
 type member struct {
-	id  string
-	own bool // of the box's data centre
+	id    string
+	local bool // of the box's data centre
 }
 
-// weights are those from which on an endpoint is one of a part, in the box's data centre and in
-// the others; zero for any.
-type weights struct{ own, far uint64 }
+// thresholds are the lowest weights that are in a subset, for endpoints in the box's data centre and
+// in other ones. Zero accepts any weight.
+type thresholds struct{ local, remote uint64 }
 
-func (w weights) of(m member) uint64 {
-	if m.own {
-		return w.own
+func (w thresholds) forMember(m member) uint64 {
+	if m.local {
+		return w.local
 	}
-	return w.far
+	return w.remote
 }
 
-// put enters an endpoint, or takes in that it has changed.
+// put adds an endpoint, or invalidates the lists that hold it if it is a member already.
 func (p *pool) put(m member, box uint64) {
-	p.list = nil
-	if _, had := p.at[m.id]; had {
-		p.change(m.id)
+	p.serving = nil
+	if _, exists := p.index[m.id]; exists {
+		p.invalidateSubset(m.id)
 		return
 	}
 	hash := rendezvous.Hash(m.id)
-	p.at[m.id] = len(p.members)
+	p.index[m.id] = len(p.members)
 	p.members, p.hashes = append(p.members, m), append(p.hashes, hash)
-	if len(p.part) < partSize || rendezvous.WeightByHash(box, hash) >= p.lowest.of(m) {
-		p.part = nil
+	if len(p.subset) < subsetSize || rendezvous.WeightByHash(box, hash) >= p.threshold.forMember(m) {
+		p.subset = nil
 	}
 }
 
-// remove takes an endpoint out.
+// remove deletes an endpoint from the pool.
 func (p *pool) remove(id string) {
-	i, had := p.at[id]
-	if !had {
+	i, exists := p.index[id]
+	if !exists {
 		return
 	}
-	p.list = nil
-	p.change(id)
+	p.serving = nil
+	p.invalidateSubset(id)
 	last := len(p.members) - 1
 	p.members[i], p.hashes[i] = p.members[last], p.hashes[last]
-	p.at[p.members[i].id] = i
+	p.index[p.members[i].id] = i
 	p.members, p.hashes = p.members[:last], p.hashes[:last]
-	delete(p.at, id)
+	delete(p.index, id)
 }
 
-// change has the part made anew if an endpoint is one of it.
-func (p *pool) change(id string) {
-	if slices.ContainsFunc(p.part, func(e Endpoint) bool { return e.ID == id }) {
-		p.part = nil
+// invalidateSubset discards the subset if it contains the endpoint.
+func (p *pool) invalidateSubset(id string) {
+	if slices.ContainsFunc(p.subset, func(e Endpoint) bool { return e.ID == id }) {
+		p.subset = nil
 	}
 }
 
-// home returns the ID of the member with the highest weight for a key.
-func (p *pool) home(key uint64) string {
+// preferred returns the ID of the member with the highest rendezvous weight for a key, or "" if the
+// pool is empty.
+func (p *pool) preferred(key uint64) string {
 	best, top := -1, uint64(0)
 	for i, h := range p.hashes {
 		if w := rendezvous.WeightByHash(key, h); best < 0 || w > top {
@@ -96,66 +97,67 @@
 	return p.members[best].id
 }
 
-// choose returns the IDs of those that a box works with: the first of its data centre and of the
-// others in an order of the box's own, which stays when others come and go.
-func (p *pool) choose(box uint64) []string {
-	var own, far highest
+// chooseSubset returns the IDs of the endpoints that a box uses: those of its data centre and of the
+// other ones with the highest rendezvous weights for the box. Other endpoints that are added or
+// removed do not change this order.
+func (p *pool) chooseSubset(box uint64) []string {
+	var local, remote topMembers
 	for i, m := range p.members {
-		among := &far
-		if m.own {
-			among = &own
+		dst := &remote
+		if m.local {
+			dst = &local
 		}
-		among.add(m.id, rendezvous.WeightByHash(box, p.hashes[i]))
+		dst.add(m.id, rendezvous.WeightByHash(box, p.hashes[i]))
 	}
-	most := max(partOwn, partSize-len(far.ranked))
-	own.cut(most)
-	far.cut(partSize - len(own.ranked))
-	p.lowest = weights{far: far.lowest()}
-	if len(own.ranked) == most {
-		p.lowest.own = own.lowest()
+	maxLocal := max(minLocalSubset, subsetSize-len(remote.entries))
+	local.truncate(maxLocal)
+	remote.truncate(subsetSize - len(local.entries))
+	p.threshold = thresholds{remote: remote.minWeight()}
+	if len(local.entries) == maxLocal {
+		p.threshold.local = local.minWeight()
 	}
-	ids := append(own.ids(), far.ids()...)
+	ids := append(local.ids(), remote.ids()...)
 	slices.SortFunc(ids, strings.Compare)
 	return ids
 }
 
-// highest keeps the partSize members with the highest weights, best first.
-type highest struct{ ranked []ranked }
+// topMembers keeps the subsetSize members with the highest weights, in descending order.
+type topMembers struct{ entries []weightedMember }
 
-type ranked struct {
+type weightedMember struct {
 	id     string
 	weight uint64
 }
 
-func (h *highest) add(id string, weight uint64) {
-	if len(h.ranked) == partSize {
-		if weight <= h.ranked[partSize-1].weight {
+func (h *topMembers) add(id string, weight uint64) {
+	if len(h.entries) == subsetSize {
+		if weight <= h.entries[subsetSize-1].weight {
 			return
 		}
-		h.ranked = h.ranked[:partSize-1]
+		h.entries = h.entries[:subsetSize-1]
 	}
-	i, _ := slices.BinarySearchFunc(h.ranked, weight, func(r ranked, w uint64) int {
+	i, _ := slices.BinarySearchFunc(h.entries, weight, func(r weightedMember, w uint64) int {
 		if r.weight > w {
 			return -1
 		}
 		return 1
 	})
-	h.ranked = slices.Insert(h.ranked, i, ranked{id, weight})
+	h.entries = slices.Insert(h.entries, i, weightedMember{id, weight})
 }
 
-func (h *highest) cut(n int) { h.ranked = h.ranked[:min(n, len(h.ranked))] }
+func (h *topMembers) truncate(n int) { h.entries = h.entries[:min(n, len(h.entries))] }
 
-// lowest returns the least weight; zero for none.
-func (h *highest) lowest() uint64 {
-	if len(h.ranked) == 0 {
+// minWeight returns the lowest weight, or zero if there are no members.
+func (h *topMembers) minWeight() uint64 {
+	if len(h.entries) == 0 {
 		return 0
 	}
-	return h.ranked[len(h.ranked)-1].weight
+	return h.entries[len(h.entries)-1].weight
 }
 
-func (h *highest) ids() []string {
-	out := make([]string, len(h.ranked))
-	for i, r := range h.ranked {
+func (h *topMembers) ids() []string {
+	out := make([]string, len(h.entries))
+	for i, r := range h.entries {
 		out[i] = r.id
 	}
 	return out
--- a/endpoint/pool_test.go
+++ b/endpoint/pool_test.go
@@ -11,8 +11,8 @@
 	"birchlink.dev/birchlink/endpoint"
 )
 
-// spread enters endpoints of a service, dealt over five data centres.
-func spread(r *endpoint.Roster, n int) {
+// fillDataCentres adds n endpoints of a service, distributed evenly over five data centres.
+func fillDataCentres(r *endpoint.Roster, n int) {
 	for i := range n {
 		r.Put(endpoint.Endpoint{ID: fmt.Sprint("e", i), Service: "s", DataCentre: fmt.Sprint("dc", i%5)})
 	}
@@ -26,7 +26,7 @@
 	return out
 }
 
-func own(es []endpoint.Endpoint, dc string) int {
+func countIn(es []endpoint.Endpoint, dc string) int {
 	n := 0
 	for i := range es {
 		if es[i].DataCentre == dc {
@@ -36,44 +36,45 @@
 	return n
 }
 
-// In a small fleet a box works with all endpoints; in one of 10,000 with 128, half of them nearby.
-func TestPart(t *testing.T) {
+// In a small fleet a box uses all endpoints; in one of 10,000 it uses 128, half of them in its own
+// data centre.
+func TestSubset(t *testing.T) {
 	r := endpoint.Roster{Box: "b", DataCentre: "dc1"}
-	spread(&r, 128)
-	part, whole := r.Part("s")
-	require.True(t, whole)
-	require.Equal(t, ids(r.Serving("s")), ids(part))
-	require.Nil(t, r.WorksWith())
-	spread(&r, 10_000)
-	part, whole = r.Part("s")
-	require.False(t, whole)
-	require.Len(t, part, 128)
-	require.Equal(t, 64, own(part, "dc1"))
-	require.Equal(t, ids(part), r.WorksWith())
+	fillDataCentres(&r, 128)
+	subset, complete := r.Subset("s")
+	require.True(t, complete)
+	require.Equal(t, ids(r.Serving("s")), ids(subset))
+	require.Nil(t, r.UsedEndpoints())
+	fillDataCentres(&r, 10_000)
+	subset, complete = r.Subset("s")
+	require.False(t, complete)
+	require.Len(t, subset, 128)
+	require.Equal(t, 64, countIn(subset, "dc1"))
+	require.Equal(t, ids(subset), r.UsedEndpoints())
 }
 
-// A box whose data centre has few endpoints works with them and with more of the others'.
-func TestPartWithFewNearby(t *testing.T) {
+// A box whose data centre has few endpoints uses all of them, and more in other data centres.
+func TestSubsetWithFewLocalEndpoints(t *testing.T) {
 	r := endpoint.Roster{Box: "b", DataCentre: "far"}
-	spread(&r, 1000)
+	fillDataCentres(&r, 1000)
 	r.Put(endpoint.Endpoint{ID: "near", Service: "s", DataCentre: "far"})
-	part, _ := r.Part("s")
-	require.Len(t, part, 128)
-	require.Equal(t, 1, own(part, "far"))
+	subset, _ := r.Subset("s")
+	require.Len(t, subset, 128)
+	require.Equal(t, 1, countIn(subset, "far"))
 	r.Put(endpoint.Endpoint{ID: "nearer", Service: "s", DataCentre: "far"})
-	part, _ = r.Part("s")
-	require.Equal(t, 2, own(part, "far"))
+	subset, _ = r.Subset("s")
+	require.Equal(t, 2, countIn(subset, "far"))
 }
 
-// What the boxes of a data centre work with covers its endpoints: of 197 boxes 10 to 53 work with
-// each of 400, where 31.5 would be even.
-func TestPartsCoverTheFleet(t *testing.T) {
+// The subsets of the boxes of a data centre cover its endpoints: of 197 boxes, 10 to 53 use each of
+// the 400 endpoints; an even distribution would be 31.5.
+func TestSubsetsCoverFleet(t *testing.T) {
 	boxes := map[string]int{}
 	for i := range 197 {
 		r := endpoint.Roster{Box: fmt.Sprint("box", i), DataCentre: "dc0"}
-		spread(&r, 2000)
-		part, _ := r.Part("s")
-		for _, e := range part {
+		fillDataCentres(&r, 2000)
+		subset, _ := r.Subset("s")
+		for _, e := range subset {
 			boxes[e.ID]++
 		}
 	}
@@ -84,66 +85,66 @@
 	}
 }
 
-// However endpoints come, drain and go, a box works with those that it would with if it had just
-// read them all, so that few change with each.
-func TestPartStays(t *testing.T) {
-	chance := rand.New(rand.NewPCG(1, 0))
+// The subset depends only on the current endpoints and not on the order of changes before, so that
+// one change replaces few endpoints of the subset.
+func TestSubsetIsStable(t *testing.T) {
+	rnd := rand.New(rand.NewPCG(1, 0))
 	r := endpoint.Roster{Box: "b", DataCentre: "dc1"}
-	spread(&r, 300)
+	fillDataCentres(&r, 300)
 	changed := 0
-	before, _ := r.Part("s")
+	before, _ := r.Subset("s")
 	for step := range 2000 {
-		e := endpoint.Endpoint{ID: fmt.Sprint("e", chance.IntN(400)), Service: "s", Born: int64(step), Slots: step}
-		e.DataCentre = fmt.Sprint("dc", chance.IntN(5))
-		switch chance.IntN(4) {
+		e := endpoint.Endpoint{ID: fmt.Sprint("e", rnd.IntN(400)), Service: "s", StartMillis: int64(step), Slots: step}
+		e.DataCentre = fmt.Sprint("dc", rnd.IntN(5))
+		switch rnd.IntN(4) {
 		case 0:
 			r.Remove(e.ID)
 		case 1:
-			r.Leave(e.ID)
+			r.MarkDraining(e.ID)
 		default:
 			r.Put(e)
 		}
-		part, _ := r.Part("s")
+		subset, _ := r.Subset("s")
 		fresh := endpoint.Roster{Box: "b", DataCentre: "dc1"}
 		for _, x := range r.Serving("s") {
 			fresh.Put(x)
 		}
-		want, _ := fresh.Part("s")
-		require.Equal(t, want, part, "step %d", step)
-		home, ok := r.Home("s", "key")
-		other, _ := fresh.Home("s", "key")
+		want, _ := fresh.Subset("s")
+		require.Equal(t, want, subset, "step %d", step)
+		preferred, ok := r.Preferred("s", "key")
+		other, _ := fresh.Preferred("s", "key")
 		require.True(t, ok)
-		require.Equal(t, other, home)
-		for _, id := range ids(part) {
+		require.Equal(t, other, preferred)
+		for _, id := range ids(subset) {
 			if !slices.Contains(ids(before), id) {
 				changed++
 			}
 		}
-		before = part
+		before = subset
 	}
 	require.Less(t, changed, 2*2000)
 }
 
-// BenchmarkHome finds the home of a key among 10,000 endpoints.
+// BenchmarkHome measures Preferred with 10,000 endpoints.
 func BenchmarkHome(b *testing.B) {
 	var r endpoint.Roster
-	spread(&r, 10_000)
+	fillDataCentres(&r, 10_000)
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Home("s", "key")
+		r.Preferred("s", "key")
 	}
 }
 
-// BenchmarkPart makes a part of 10,000 endpoints anew.
+// BenchmarkPart measures rebuilding the subset of 10,000 endpoints.
 func BenchmarkPart(b *testing.B) {
 	r := endpoint.Roster{Box: "b", DataCentre: "dc1"}
-	spread(&r, 10_000)
-	part, _ := r.Part("s")
-	e := part[0]
+	fillDataCentres(&r, 10_000)
+	subset, _ := r.Subset("s")
+	e := subset[0]
 	b.ReportAllocs()
 	for b.Loop() {
 		e.Slots++
 		r.Put(e)
-		r.Part("s")
+		r.Subset("s")
 	}
 }
--- a/endpoint/roster.go
+++ b/endpoint/roster.go
@@ -11,93 +11,95 @@
 	"birchlink.dev/birchlink/rendezvous"
 )
 
-// Roster is the set of endpoints known to one box. Its zero value is empty.
+// Roster is the set of endpoints known to one box. The zero value is an empty roster ready to use.
+// It is safe for concurrent use.
 //
-// Lists of those that serve are made when they are asked for: a box that reads all
-// records would otherwise make one for each. Entering 3,000 endpoints takes 2.0 ms
-// and 2.3 MB so, and 1.5 s and 1.65 GB with a list for each (BenchmarkFill).
+// The lists of serving endpoints are built on demand, because a box that reads all records would
+// otherwise build one per record: adding 3,000 endpoints takes 2.0 ms and 2.3 MB, and 1.5 s and
+// 1.65 GB with a list for each (BenchmarkFill).
 type Roster struct {
-	// Box and DataCentre are those of the box: by them it works with other endpoints than
-	// its neighbours. They are set before the first endpoint is entered.
+	// Box and DataCentre identify this box. Boxes use different subsets of the endpoints,
+	// selected by these fields. They must be set before the first endpoint is added.
 	Box        string
 	DataCentre string
 
-	mu       sync.Mutex
-	all      map[string]Endpoint
-	pools    map[string]*pool                 // by service, those that take work
-	marks    *simplelru.LRU[string, struct{}] // incarnations that said that they leave, ahead of their records
-	removed  func(Endpoint)
-	replaced func(Endpoint)
+	mu            sync.Mutex
+	all           map[string]Endpoint
+	pools         map[string]*pool                 // by service, without draining endpoints
+	drainMarks    *simplelru.LRU[string, struct{}] // incarnations that announced draining before their records did
+	onUnavailable func(Endpoint)
+	onReplaced    func(Endpoint)
 }
 
-// OnLeave sets what is called, outside the lock, when an endpoint drains or goes.
-func (r *Roster) OnLeave(f func(Endpoint)) {
+// OnUnavailable sets the function that is called when an endpoint starts to drain, or is removed
+// without having drained. It is called without the lock held.
+func (r *Roster) OnUnavailable(f func(Endpoint)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.removed = f
+	r.onUnavailable = f
 }
 
-// OnReplaced sets what is called, outside the lock, with an endpoint in whose place another
-// has started under its ID.
+// OnReplaced sets the function that is called with the old endpoint when a new process has started
+// under its ID. It is called without the lock held.
 func (r *Roster) OnReplaced(f func(old Endpoint)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.replaced = f
+	r.onReplaced = f
 }
 
-// Put enters or replaces an endpoint. One that drains never serves again; one that has
-// started anew is another.
+// Put adds or updates an endpoint. A draining endpoint stays draining until a new process starts
+// under its ID; that process is a different endpoint.
 func (r *Roster) Put(e Endpoint) {
 	r.mu.Lock()
-	old, had := r.all[e.ID]
-	anew := had && old.Born != e.Born
-	had = had && !anew
-	e.Draining = r.drains(e) || had && old.Draining
+	old, exists := r.all[e.ID]
+	restarted := exists && old.StartMillis != e.StartMillis
+	exists = exists && !restarted
+	e.Draining = r.isDraining(e) || exists && old.Draining
 	if r.all == nil {
 		r.all = map[string]Endpoint{}
 	}
 	if e != old {
 		r.all[e.ID] = e
-		r.enter(old, e)
+		r.updatePools(old, e)
 	}
-	f, replaced := r.removed, r.replaced
+	f, onReplaced := r.onUnavailable, r.onReplaced
 	r.mu.Unlock()
-	if anew && replaced != nil {
-		replaced(old)
+	if restarted && onReplaced != nil {
+		onReplaced(old)
 	}
-	if e.Draining && (!had || !old.Draining) && f != nil {
+	if e.Draining && (!exists || !old.Draining) && f != nil {
 		f(e)
 	}
 }
 
-// Remove takes an endpoint out.
+// Remove deletes an endpoint.
 func (r *Roster) Remove(id string) {
 	r.mu.Lock()
-	e, had := r.all[id]
+	e, exists := r.all[id]
 	delete(r.all, id)
 	r.pool(e.Service).remove(id)
-	f := r.removed
+	f := r.onUnavailable
 	r.mu.Unlock()
-	if had && !e.Draining && f != nil {
+	if exists && !e.Draining && f != nil {
 		f(e)
 	}
 }
 
-// Len returns how many endpoints are known.
+// Len returns the number of endpoints, including draining ones.
 func (r *Roster) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.all)
 }
 
-// IDs returns the endpoints known.
+// IDs returns the IDs of all endpoints in ascending order.
 func (r *Roster) IDs() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Sorted(maps.Keys(r.all))
 }
 
-// Get returns an endpoint by ID.
+// Get returns the endpoint with an ID.
 func (r *Roster) Get(id string) (Endpoint, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,8 +107,8 @@
 	return e, ok
 }
 
-// enter takes over a change of an endpoint into its service's pool. The lock is held.
-func (r *Roster) enter(old, e Endpoint) {
+// updatePools applies a change of an endpoint to the pools of its services. The caller holds r.mu.
+func (r *Roster) updatePools(old, e Endpoint) {
 	if old.ID != "" && (old.Service != e.Service || old.DataCentre != e.DataCentre || e.Draining) {
 		r.pool(old.Service).remove(e.ID)
 	}
@@ -115,70 +117,70 @@
 	}
 }
 
-// pool returns the pool of a service. The lock is held.
+// pool returns the pool of a service, creating it if needed. The caller holds r.mu.
 func (r *Roster) pool(service string) *pool {
 	if r.pools == nil {
 		r.pools = map[string]*pool{}
 	}
 	p := r.pools[service]
 	if p == nil {
-		p = &pool{at: map[string]int{}}
+		p = &pool{index: map[string]int{}}
 		r.pools[service] = p
 	}
 	return p
 }
 
-// Serving returns all endpoints of a service that take work, by ID. The slice is
-// shared and must not be changed.
+// Serving returns all endpoints of a service that are not draining, ordered by ID. The slice is
+// shared and must not be modified.
 func (r *Roster) Serving(service string) []Endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.pool(service)
-	if p.list == nil {
+	if p.serving == nil {
 		ids := make([]string, len(p.members))
 		for i, m := range p.members {
 			ids[i] = m.id
 		}
 		slices.Sort(ids)
-		p.list = r.named(ids)
+		p.serving = r.lookup(ids)
 	}
-	return p.list
+	return p.serving
 }
 
-// Part returns the endpoints of a service that this box works with, and whether that is all that
-// take work. The slice is shared and must not be changed.
-func (r *Roster) Part(service string) (part []Endpoint, whole bool) {
+// Subset returns the endpoints of a service that this box uses, ordered by ID, and reports whether
+// these are all that take work. The slice is shared and must not be modified.
+func (r *Roster) Subset(service string) (subset []Endpoint, complete bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.pool(service)
-	if p.part == nil {
-		p.part = r.named(p.choose(rendezvous.Hash(r.Box)))
+	if p.subset == nil {
+		p.subset = r.lookup(p.chooseSubset(rendezvous.Hash(r.Box)))
 	}
-	return p.part, len(p.part) == len(p.members)
+	return p.subset, len(p.subset) == len(p.members)
 }
 
-// Home returns the endpoint of a service that all boxes prefer for what a key names, and false if
-// none takes work.
-func (r *Roster) Home(service, key string) (Endpoint, bool) {
+// Preferred returns the endpoint of a service that all boxes prefer for a key, and false if none
+// takes work.
+func (r *Roster) Preferred(service, key string) (Endpoint, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e, ok := r.all[r.pool(service).home(rendezvous.Hash(key))]
+	e, ok := r.all[r.pool(service).preferred(rendezvous.Hash(key))]
 	return e, ok
 }
 
-// WorksWith returns the IDs of the endpoints that this box works with, of all services; none if
-// these are all that take work.
-func (r *Roster) WorksWith() []string {
+// UsedEndpoints returns the IDs of the endpoints of all services that this box uses, or nil if it
+// uses all that take work.
+func (r *Roster) UsedEndpoints() []string {
 	r.mu.Lock()
 	services := slices.Sorted(maps.Keys(r.pools))
 	r.mu.Unlock()
 	var ids []string
 	all := true
 	for _, s := range services {
-		part, whole := r.Part(s)
-		all = all && whole
-		for i := range part {
-			ids = append(ids, part[i].ID)
+		subset, complete := r.Subset(s)
+		all = all && complete
+		for i := range subset {
+			ids = append(ids, subset[i].ID)
 		}
 	}
 	if all {
@@ -187,8 +189,8 @@
 	return ids
 }
 
-// named returns endpoints by their IDs. The lock is held.
-func (r *Roster) named(ids []string) []Endpoint {
+// lookup returns the endpoints with the given IDs. The caller holds r.mu.
+func (r *Roster) lookup(ids []string) []Endpoint {
 	es := make([]Endpoint, len(ids))
 	for i, id := range ids {
 		es[i] = r.all[id]
@@ -196,7 +198,7 @@
 	return es
 }
 
-// All returns every endpoint, also those that drain.
+// All returns all endpoints, including draining ones, ordered by ID.
 func (r *Roster) All() []Endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/endpoint/roster_test.go
+++ b/endpoint/roster_test.go
@@ -15,9 +15,8 @@
 	}
 }
 
-// Entering an endpoint takes no step for each of the others, so that a box which
-// reads all records takes one for each.
-func TestPutIgnoresTheOthers(t *testing.T) {
+// Put does no work per endpoint already known, so that reading all records takes linear time.
+func TestPutCostIsConstant(t *testing.T) {
 	var r endpoint.Roster
 	fill(&r, 1000)
 	require.Len(t, r.Serving("s"), 1000)
@@ -28,8 +27,8 @@
 	}), 1.0)
 }
 
-// The list is made anew after a change of its service alone.
-func TestServingIsKept(t *testing.T) {
+// The list is rebuilt only after a change of its own service, and the old slice is not modified.
+func TestServingIsCached(t *testing.T) {
 	var r endpoint.Roster
 	fill(&r, 3)
 	first := r.Serving("s")
@@ -45,11 +44,11 @@
 	require.Len(t, r.Serving("t"), 2)
 }
 
-// One that drains never serves again, whatever is entered later.
-func TestDrainingStays(t *testing.T) {
+// A draining endpoint never serves again, whatever later records say.
+func TestDrainingIsPermanent(t *testing.T) {
 	var r endpoint.Roster
 	left := 0
-	r.OnLeave(func(endpoint.Endpoint) { left++ })
+	r.OnUnavailable(func(endpoint.Endpoint) { left++ })
 	fill(&r, 2)
 	require.Len(t, r.Serving("s"), 2)
 	r.Put(endpoint.Endpoint{ID: "e-0", Service: "s", Draining: true})
@@ -61,14 +60,14 @@
 	require.Empty(t, r.Serving("s"))
 }
 
-// A process that starts under the ID of one that drained, or that ended, is another: it serves,
-// and what is known of the one before is forgotten.
-func TestBornAnew(t *testing.T) {
+// A process that starts under the ID of a draining or terminated one is a different endpoint: it
+// serves, and the old incarnation is reported as replaced.
+func TestRestartUnderSameID(t *testing.T) {
 	var r endpoint.Roster
 	var replaced []string
 	r.OnReplaced(func(e endpoint.Endpoint) { replaced = append(replaced, e.Incarnation()) })
-	first := endpoint.Endpoint{ID: "e", Born: 1, Service: "s", Draining: true}
-	second := endpoint.Endpoint{ID: "e", Born: 2, Service: "s"}
+	first := endpoint.Endpoint{ID: "e", StartMillis: 1, Service: "s", Draining: true}
+	second := endpoint.Endpoint{ID: "e", StartMillis: 2, Service: "s"}
 	r.Put(first)
 	require.Empty(t, r.Serving("s"))
 	r.Put(second)
@@ -78,7 +77,7 @@
 	require.Len(t, replaced, 1)
 }
 
-// BenchmarkFill is what a box does that reads all records and then sends a request.
+// BenchmarkFill measures reading all records followed by one request.
 func BenchmarkFill(b *testing.B) {
 	for _, n := range []int{100, 300, 1000, 3000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
--- a/endpoint/statement.go
+++ b/endpoint/statement.go
@@ -2,23 +2,25 @@
 
 import "time"
 
-// Limit is the rate of requests that an endpoint takes from all boxes together. The zero value
-// is none.
+// Limit is the rate of requests that an endpoint accepts from all boxes together. The zero value
+// means no limit.
 type Limit struct {
-	Named     bool
+	Limited   bool
 	PerSecond float64
 }
 
-// Statement is what one answer says of the endpoint that gave it.
+// Statement is what a response reports about the state of the endpoint that sent it.
 type Statement struct {
-	// Leaving says that the endpoint ends soon.
+	// Leaving reports that the endpoint terminates soon.
 	Leaving bool
 
-	// Rest is for how long the endpoint wants no work from the box that asked.
-	Rest time.Duration
+	// BackOff is how long the endpoint wants no work from the box that asked.
+	BackOff time.Duration
 
-	// Limit holds for as long as answers name it. Unreadable is a limit that is no number, in
-	// quotes; it neither sets a limit nor ends one.
-	Limit      Limit
-	Unreadable string
+	// Limit is in force for as long as responses state it.
+	Limit Limit
+
+	// InvalidLimit is a stated limit that is not a number, quoted. It neither sets nor
+	// removes a limit.
+	InvalidLimit string
 }
--- a/engine/rest_test.go
+++ b/engine/backoff_test.go
@@ -11,9 +11,9 @@
 	"birchlink.dev/birchlink/engine"
 )
 
-// An engine that refuses says for how long it wants nothing; one that does not say so did not run
-// the attempt either.
-func TestRefusalAsksForRest(t *testing.T) {
+// A refusal with a valid Retry-After returns a *BackOffError; one with an invalid value returns
+// ErrNotRun alone.
+func TestGenerateReturnsBackOff(t *testing.T) {
 	after := "2"
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", after)
@@ -23,12 +23,12 @@
 	c := engine.NewClient("entry-1")
 	t.Cleanup(c.Close)
 	_, err := c.Generate(t.Context(), s.Listener.Addr().String(), engine.Request{})
-	var e *engine.RestError
+	var e *engine.BackOffError
 	require.ErrorAs(t, err, &e)
-	require.Equal(t, 2*time.Second, e.For)
+	require.Equal(t, 2*time.Second, e.Duration)
 	require.ErrorIs(t, err, engine.ErrNotRun)
 	after = "later"
 	_, err = c.Generate(t.Context(), s.Listener.Addr().String(), engine.Request{})
-	require.NotErrorAs(t, err, new(*engine.RestError))
+	require.NotErrorAs(t, err, new(*engine.BackOffError))
 	require.ErrorIs(t, err, engine.ErrNotRun)
 }
--- a/engine/client.go
+++ b/engine/client.go
@@ -17,76 +17,77 @@
 	"birchlink.dev/birchlink/rest"
 )
 
-// callLimit bounds a call that is no stream.
-const callLimit = 2 * time.Second
+// callTimeout bounds a call that does not stream its response.
+const callTimeout = 2 * time.Second
 
-// maxLine bounds one line of a stream, in bytes.
-const maxLine = 64 << 10
+// maxLineBytes bounds one line of a stream.
+const maxLineBytes = 64 << 10
 
-// The ways in which an engine says that it will not stream.
+// Errors of calls to an engine. ErrNotListening is always wrapped together with ErrUnreachable.
 var (
-	ErrNotRun      = errors.New("the engine did not run it")
-	ErrRestarted   = errors.New("the engine is another process now")
-	ErrUnreachable = errors.New("no connection to the engine")
-	ErrEnded       = errors.New("nothing listens at the engine's address")
+	ErrNotRun       = errors.New("the engine did not run it")
+	ErrRestarted    = errors.New("the engine is another process now")
+	ErrUnreachable  = errors.New("no connection to the engine")
+	ErrNotListening = errors.New("nothing listens at the engine's address")
 )
 
-// RestError says that an engine did not run it, and for how long it wants nothing.
-type RestError struct{ For time.Duration }
+// BackOffError reports that an engine did not run an attempt, and for how long it wants no further
+// work. It wraps ErrNotRun.
+type BackOffError struct{ Duration time.Duration }
 
-// Error returns what the engine asks for.
-func (e *RestError) Error() string {
-	return ErrNotRun.Error() + ", and asks for rest: " + e.For.String()
+// Error returns a text with the requested duration.
+func (e *BackOffError) Error() string {
+	return ErrNotRun.Error() + ", and asks for rest: " + e.Duration.String()
 }
 
 // Unwrap returns ErrNotRun.
-func (e *RestError) Unwrap() error { return ErrNotRun }
+func (e *BackOffError) Unwrap() error { return ErrNotRun }
 
-// Client calls model engines by address.
+// Client calls model engines by address. It is safe for concurrent use.
 type Client struct {
-	Caller string
+	Caller string // name of this caller, sent with each request
 
 	streams *http.Client
 	calls   *http.Client
 }
 
-// NewClient returns a client that names its caller.
+// NewClient returns a client that identifies itself as caller.
 func NewClient(caller string) *Client {
 	d := net.Dialer{Timeout: time.Second}
 	t := &http.Transport{DialContext: d.DialContext, MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second}
-	return &Client{Caller: caller, streams: &http.Client{Transport: t}, calls: &http.Client{Transport: t, Timeout: callLimit}}
+	return &Client{Caller: caller, streams: &http.Client{Transport: t}, calls: &http.Client{Transport: t, Timeout: callTimeout}}
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.streams.CloseIdleConnections() }
 
-// Stream is an open stream of lines.
+// Stream is an open response stream of lines. It is not safe for concurrent use.
 type Stream struct {
-	body io.ReadCloser
-	scan *bufio.Scanner
+	body    io.ReadCloser
+	scanner *bufio.Scanner
 }
 
-// Next returns the next line. The error is io.EOF at the end of the stream,
-// which is no proof that the answer was whole.
+// Next returns the next line. At the end of the stream it returns io.EOF, also if the answer is
+// incomplete; only a line with End set completes it.
 func (s *Stream) Next() (Line, error) {
-	if !s.scan.Scan() {
-		if err := s.scan.Err(); err != nil {
+	if !s.scanner.Scan() {
+		if err := s.scanner.Err(); err != nil {
 			return Line{}, fmt.Errorf("read line: %w", err)
 		}
 		return Line{}, io.EOF
 	}
 	var l Line
-	if err := json.Unmarshal(s.scan.Bytes(), &l); err != nil {
+	if err := json.Unmarshal(s.scanner.Bytes(), &l); err != nil {
 		return Line{}, fmt.Errorf("decode line: %w", err)
 	}
 	return l, nil
 }
 
-// Close ends the stream. The engine goes on with the attempt.
+// Close closes the stream. The engine continues the attempt.
 func (s *Stream) Close() error { return s.body.Close() }
 
-// Generate begins an attempt. ErrNotRun and ErrUnreachable mean that it did not
-// run; after another error it may have.
+// Generate starts an attempt. ErrNotRun and ErrUnreachable mean that it did not run; after any other
+// error it may have run.
 func (c *Client) Generate(x context.Context, address string, q Request) (*Stream, error) {
 	s, err := c.open(x, address, "/generate", q)
 	if errors.Is(err, ErrRestarted) {
@@ -95,8 +96,8 @@
 	return s, err
 }
 
-// Resume reads an attempt from a token on. ErrNotRun means that the engine
-// never saw the attempt and will refuse it.
+// Resume reads an attempt from the token a.From on. ErrNotRun means that the engine never received
+// the attempt and will refuse it.
 func (c *Client) Resume(x context.Context, address string, a Attempt) (*Stream, error) {
 	return c.open(x, address, "/resume", a)
 }
@@ -113,24 +114,24 @@
 	r.Header.Set(jsonhttp.CallerHeader, c.Caller)
 	a, err := c.streams.Do(r)
 	if err != nil {
-		return nil, classify(err)
+		return nil, transportError(err)
 	}
 	if a.StatusCode != http.StatusOK {
 		defer a.Body.Close()
 		if d := rest.ParseRetryAfter(a.Header); d > 0 && a.StatusCode == http.StatusServiceUnavailable {
-			return nil, &RestError{d}
+			return nil, &BackOffError{d}
 		}
-		return nil, refusal(a.StatusCode)
+		return nil, statusError(a.StatusCode)
 	}
 	s := bufio.NewScanner(a.Body)
-	s.Buffer(nil, maxLine)
-	return &Stream{body: a.Body, scan: s}, nil
+	s.Buffer(nil, maxLineBytes)
+	return &Stream{body: a.Body, scanner: s}, nil
 }
 
-func classify(err error) error {
+func transportError(err error) error {
 	var o *net.OpError
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return fmt.Errorf("%w: %w: %w", ErrUnreachable, ErrEnded, err)
+		return fmt.Errorf("%w: %w: %w", ErrUnreachable, ErrNotListening, err)
 	}
 	if errors.As(err, &o) && o.Op == "dial" {
 		return fmt.Errorf("%w: %w", ErrUnreachable, err)
@@ -138,7 +139,7 @@
 	return fmt.Errorf("call engine: %w", err)
 }
 
-func refusal(status int) error {
+func statusError(status int) error {
 	switch status {
 	case http.StatusPreconditionFailed:
 		return ErrRestarted
@@ -154,23 +155,23 @@
 	err := h.Do(x, http.MethodPost, path, in, out)
 	var s *jsonhttp.StatusError
 	if errors.As(err, &s) {
-		return fmt.Errorf("%w: %w", refusal(s.Status), err)
+		return fmt.Errorf("%w: %w", statusError(s.Status), err)
 	}
 	if err != nil {
-		return classify(err)
+		return transportError(err)
 	}
 	return nil
 }
 
-// Cancel stops an attempt and returns its final state. Without an error the
-// attempt will not go on.
+// Cancel stops an attempt and returns its final state. If the error is nil, the attempt does not
+// continue.
 func (c *Client) Cancel(x context.Context, address string, a Attempt) (Cancelled, error) {
 	var s Cancelled
 	err := c.call(x, address, "/cancel", a, &s)
 	return s, err
 }
 
-// Export stops an attempt and returns a handle of its KV cache.
+// Export stops an attempt and returns a handle for its KV cache.
 func (c *Client) Export(x context.Context, address string, a Attempt) (Export, error) {
 	var e Export
 	err := c.call(x, address, "/export", a, &e)
@@ -178,14 +179,14 @@
 	return e, err
 }
 
-// Import makes an engine fetch exported KV cache.
+// Import makes an engine fetch an exported KV cache.
 func (c *Client) Import(x context.Context, address string, e Export) error {
 	return c.call(x, address, "/import", e, nil)
 }
 
-// Order gives an engine its orders. ErrFenced means that a later giver's orders
-// are in force.
-func (c *Client) Order(x context.Context, address string, o Orders) error {
+// SetOrders replaces the orders of an engine. It returns ErrFenced if the engine has orders with a
+// higher fence.
+func (c *Client) SetOrders(x context.Context, address string, o Orders) error {
 	h := jsonhttp.Client{Base: "http://" + address, Caller: c.Caller, HTTP: c.streams}
 	err := h.Do(x, http.MethodPost, "/orders", o, nil)
 	var s *jsonhttp.StatusError
@@ -195,10 +196,10 @@
 	return err
 }
 
-// ErrFenced is returned when an engine has orders with a higher fence.
+// ErrFenced reports that an engine has orders with a higher fence.
 var ErrFenced = errors.New("a later giver's orders are in force")
 
-// Orders reads back what orders an engine has.
+// Orders returns the current orders of an engine.
 func (c *Client) Orders(x context.Context, address string) (Orders, error) {
 	var o Orders
 	h := jsonhttp.Client{Base: "http://" + address, Caller: c.Caller, HTTP: c.calls}
--- a/engine/messages.go
+++ b/engine/messages.go
@@ -1,11 +1,11 @@
-// Package engine speaks the published protocol of the model engines: streams
-// of tokens by attempt, resume, cancel, KV export and import, load, cache
-// events and fenced orders.
+// Package engine implements a client of the model engines' published HTTP protocol. An attempt to
+// answer a request streams tokens and can be resumed, cancelled, or moved by exporting and importing
+// its KV cache. Fenced orders set which workloads an engine loads.
 package engine
 
-// Request asks for tokens From to MaxTokens-1 of an answer. Incarnation names
-// the engine process that the caller means; another one refuses the request,
-// so that it did not run. KV names imported cache entries.
+// Request asks for the tokens From to MaxTokens-1 of an answer. Incarnation identifies the intended
+// engine process; any other process refuses the request without running it. KV is the handle of an
+// imported KV cache, if any.
 type Request struct {
 	RequestID   string `json:"request_id"`
 	Attempt     int    `json:"attempt"`
@@ -18,8 +18,8 @@
 	KV          string `json:"kv,omitempty"`
 }
 
-// Line is one line of a stream: a token of an attempt, or its end mark. Prefill
-// counts the tokens that the attempt had to compute before its first.
+// Line is one line of a stream: a token of an attempt, or its end mark. Prefill is the number of
+// tokens that the attempt had to process before it generated its first one.
 type Line struct {
 	RequestID string `json:"r"`
 	Attempt   int    `json:"a"`
@@ -30,7 +30,7 @@
 	Prefill   int    `json:"prefill,omitempty"`
 }
 
-// Attempt names one attempt of a request at an engine.
+// Attempt identifies one attempt of a request at an engine. From is the first token to resume at.
 type Attempt struct {
 	RequestID   string `json:"request_id"`
 	Attempt     int    `json:"attempt"`
@@ -38,11 +38,10 @@
 	From        int    `json:"from,omitempty"`
 }
 
-// State is what an engine says of an attempt after a cancel.
+// State is the state of an attempt that an engine reports in response to a cancel.
 type State string
 
-// The states of an attempt. NotStarted is final: the engine will refuse the
-// attempt if it arrives later.
+// The states of an attempt. NotStarted is final: the engine refuses the attempt if it arrives later.
 const (
 	NotStarted State = "not_started"
 	Queued     State = "queued"
@@ -51,14 +50,15 @@
 	Done       State = "done"
 )
 
-// Cancelled is the answer to a cancel.
+// Cancelled is the response to a cancel: the state of the attempt and the number of tokens that it
+// generated.
 type Cancelled struct {
 	State  State `json:"state"`
 	Tokens int   `json:"tokens"`
 }
 
-// Export describes KV cache that was taken out of an engine: it covers the
-// prompt and the answer's tokens before index Tokens.
+// Export describes the KV cache exported from the engine at the address Source. It covers the prompt
+// and the answer's tokens before index Tokens.
 type Export struct {
 	Handle string `json:"handle"`
 	Tokens int    `json:"tokens"`
@@ -66,14 +66,15 @@
 	Source string `json:"source,omitempty"`
 }
 
-// Orders says what an engine shall have loaded. Fence grows with each giver.
+// Orders lists the workloads that an engine must keep loaded. Fence is the fencing token of the
+// leader that issued them; it grows with each leader.
 type Orders struct {
 	Fence     uint64   `json:"fence"`
 	Workloads []string `json:"workloads"`
 }
 
-// CacheEvent says that the engine holds or dropped a prompt's prefix. Gaps in
-// Seq mean that events were lost.
+// CacheEvent reports that an engine cached or evicted a prompt prefix. Gaps in Seq mean that events
+// were lost.
 type CacheEvent struct {
 	Seq    uint64 `json:"seq"`
 	Prefix uint64 `json:"prefix"`
--- a/forward/flights.go
+++ b/forward/flights.go
@@ -63,5 +63,5 @@
 // isServing reports whether this incarnation of an endpoint is the current one and is not draining.
 func (f *Forwarder) isServing(e endpoint.Endpoint) bool {
 	now, ok := f.Roster.Get(e.ID)
-	return ok && !now.Draining && now.Born == e.Born
+	return ok && !now.Draining && now.StartMillis == e.StartMillis
 }
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -54,12 +54,12 @@
 	ms, _ := strconv.Atoi(h.Get("Rest"))
 	if v := h.Get("Limit"); v != "" {
 		f, err := strconv.ParseFloat(v, 64)
-		o.Limit = endpoint.Limit{Named: err == nil, PerSecond: f}
+		o.Limit = endpoint.Limit{Limited: err == nil, PerSecond: f}
 		if err != nil {
-			o.Unreadable = v
+			o.InvalidLimit = v
 		}
 	}
-	o.Leaving, o.Rest = h.Get("Leaving") != "", time.Duration(ms)*time.Millisecond
+	o.Leaving, o.BackOff = h.Get("Leaving") != "", time.Duration(ms)*time.Millisecond
 	return o
 }
 
@@ -178,7 +178,7 @@
 		s.endpoints[words[1]].drain = func() { s.f.Roster.Put(endpoint.Endpoint{ID: words[1], Draining: true}) }
 		s.f.Roster.Put(endpoint.Endpoint{ID: words[1], Service: "s", Slots: 4, Address: s.endpoints[words[1]].listener.Addr().String()})
 		s.endpoints[words[1]].replace = func() {
-			s.f.Roster.Put(endpoint.Endpoint{ID: words[1], Born: 2, Service: "s", Slots: 4, Address: s.endpoints["anew"].listener.Addr().String()})
+			s.f.Roster.Put(endpoint.Endpoint{ID: words[1], StartMillis: 2, Service: "s", Slots: 4, Address: s.endpoints["anew"].listener.Addr().String()})
 		}
 	case "process": // a process that is not registered as an endpoint
 		s.endpoints[words[1]] = newFakeEndpoint(s.t, words[1], words[2:])
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -115,7 +115,7 @@
 // retryAfter returns the time until the first endpoint of a service accepts requests. It is zero
 // if one does now or none is known.
 func (f *Forwarder) retryAfter(service string) time.Duration {
-	es, all := f.Roster.Part(service)
+	es, all := f.Roster.Subset(service)
 	left := f.Balancer.RetryAfter(es, boottime.Now())
 	if left == 0 || all {
 		return left
--- a/forward/permit.go
+++ b/forward/permit.go
@@ -38,8 +38,8 @@
 	now := boottime.Now()
 	available := &r.f.Balancer.Availability
 	l, age := available.Rates.Limit(e.Incarnation(), now)
-	r.hasPermit = l.Named
-	if !l.Named {
+	r.hasPermit = l.Limited
+	if !l.Limited {
 		return true
 	}
 	a := r.f.RequestPermit(c, throttle.Question{Endpoint: e.Incarnation(), PerSecond: l.PerSecond, Age: age})
@@ -51,7 +51,7 @@
 		p.refused, p.retryAfter = true, a.After
 	}
 	metrics.GetOrRegisterCounter("permits.refused", r.f.Metrics).Inc(1)
-	r.f.Log.Info().Str("event", "permit").Str("request", r.q.Call.ID).Str("endpoint", e.ID).Int64("born", e.Born).Float64("per_second", l.PerSecond).
+	r.f.Log.Info().Str("event", "permit").Str("request", r.q.Call.ID).Str("endpoint", e.ID).Int64("born", e.StartMillis).Float64("per_second", l.PerSecond).
 		Dur("age", age).Float64("part", a.Part).Dur("after", a.After).Msg("the endpoint's rate is used up; another is chosen")
 	return false
 }
--- a/forward/response.go
+++ b/forward/response.go
@@ -28,7 +28,7 @@
 func (r *run) readResponse(a *exchange.Response, n *balance.Attempt, w *watchdog, sent time.Time) attemptResult {
 	o := r.f.Codec.Outcome(a.Status, a.Header)
 	r.handleOutcome(o)
-	n.BackOff(o.Rest, boottime.Now())
+	n.BackOff(o.BackOff, boottime.Now())
 	if o.NotRun {
 		n.Refused(boottime.Now())
 		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxResponseSize))
@@ -74,9 +74,9 @@
 func (r *run) handleOutcome(o call.Outcome) {
 	r.trace.Outcome = o
 	e := r.trace.Choice.Endpoint
-	if o.Rest > 0 {
+	if o.BackOff > 0 {
 		metrics.GetOrRegisterCounter("answers.says_rest", r.f.Metrics).Inc(1)
-		r.f.Log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.Born).Str("request", r.q.Call.ID).Dur("rest", o.Rest).Msg("rests")
+		r.f.Log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.StartMillis).Str("request", r.q.Call.ID).Dur("rest", o.BackOff).Msg("rests")
 	}
 	if !o.Elsewhere {
 		r.handleRateLimit(o.Statement, e)
@@ -85,8 +85,8 @@
 		return
 	}
 	metrics.GetOrRegisterCounter("answers.says_leaving", r.f.Metrics).Inc(1)
-	if r.f.Roster.Leave(e.Incarnation()) {
-		r.f.Log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.Born).Str("request", r.q.Call.ID).
+	if r.f.Roster.MarkDraining(e.Incarnation()) {
+		r.f.Log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.StartMillis).Str("request", r.q.Call.ID).
 			Str("seen", "it said so in an answer").Msg("leaves")
 		r.f.OnDraining(e)
 	}
@@ -95,18 +95,18 @@
 // handleRateLimit processes the rate limit that a response reports for its endpoint. A limit that
 // was set, lowered or removed is broadcast to all boxes.
 func (r *run) handleRateLimit(s endpoint.Statement, e endpoint.Endpoint) {
-	if s.Unreadable != "" {
+	if s.InvalidLimit != "" {
 		metrics.GetOrRegisterCounter("answers.says_unreadable_limit", r.f.Metrics).Inc(1)
 		return
 	}
-	if s.Limit.Named {
+	if s.Limit.Limited {
 		metrics.GetOrRegisterCounter("answers.says_limit", r.f.Metrics).Inc(1)
 	}
 	w, changed := r.f.Balancer.Availability.Rates.Observe(e.Incarnation(), s.Limit, boottime.Now())
 	if !changed {
 		return
 	}
-	r.f.Log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.Born).Str("request", r.q.Call.ID).Bool("limited", w.Named).
+	r.f.Log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.StartMillis).Str("request", r.q.Call.ID).Bool("limited", w.Named).
 		Float64("per_second", w.PerSecond).Str("seen", "it said so in an answer").Msg("takes a rate")
 	r.f.OnLimitChange(w)
 }
--- a/forward/run.go
+++ b/forward/run.go
@@ -260,9 +260,9 @@
 // find chooses among the endpoints assigned to this box or, if none of them accepts the request,
 // among all endpoints of the service. It reports in known whether there are any endpoints.
 func (f *Forwarder) find(service string, q balance.Query) (ch balance.Choice, known, ok bool) {
-	es, all := f.Roster.Part(service)
+	es, all := f.Roster.Subset(service)
 	if k := q.PreferredKey(); k != "" && !all {
-		q.Preferred, _ = f.Roster.Home(service, k)
+		q.Preferred, _ = f.Roster.Preferred(service, k)
 	}
 	ch, ok = f.Balancer.Choose(es, q, boottime.Now())
 	if ok || all {
--- a/forward/trace.go
+++ b/forward/trace.go
@@ -43,13 +43,13 @@
 	if t.Outcome.Leaving {
 		e.Bool("says_leaving", true)
 	}
-	if t.Outcome.Rest > 0 {
-		e.Dur("says_rest", t.Outcome.Rest)
+	if t.Outcome.BackOff > 0 {
+		e.Dur("says_rest", t.Outcome.BackOff)
 	}
-	if l := t.Outcome.Limit; l.Named {
+	if l := t.Outcome.Limit; l.Limited {
 		e.Float64("says_limit", l.PerSecond)
 	}
-	if t.Outcome.Unreadable != "" {
-		e.Str("says_unreadable_limit", t.Outcome.Unreadable)
+	if t.Outcome.InvalidLimit != "" {
+		e.Str("says_unreadable_limit", t.Outcome.InvalidLimit)
 	}
 }
--- a/front/chat.go
+++ b/front/chat.go
@@ -142,7 +142,7 @@
 
 func newWriter(s *session, q openai.ChatRequest, id string) *writer {
 	return &writer{
-		s: s, id: id, model: q.Model, stream: q.Stream, prompt: engine.PromptTokens(q.Prompt()),
+		s: s, id: id, model: q.Model, stream: q.Stream, prompt: engine.EstimatePromptTokens(q.Prompt()),
 		usage: q.StreamOptions != nil && q.StreamOptions.IncludeUsage, out: http.NewResponseController(s.w),
 	}
 }
--- a/gossip/leavers_test.go
+++ b/gossip/leavers_test.go
@@ -35,10 +35,10 @@
 		return countBoxes(bs, func(b *box) bool { return len(b.known.Roster.IDs()) == 3 && b.othersTotal().Boxes == 6 }) == 7
 	})
 	b := anyMember(bs)
-	require.True(t, b.known.Roster.Leave("x"))
+	require.True(t, b.known.Roster.MarkDraining("x"))
 	b.BroadcastLeaving("x")
 	waitUntil(t, func() bool { return countBoxes(bs, func(b *box) bool { return b.isDraining("x") }) == 7 })
-	require.True(t, b.known.Roster.Leave("y"))
+	require.True(t, b.known.Roster.MarkDraining("y"))
 	waitUntil(t, func() bool { return countBoxes(bs, func(b *box) bool { return b.isDraining("y") }) == 7 })
 	bs = append(bs, startBox(t, m, "late", "dc1"))
 	waitUntil(t, func() bool { return bs[7].isDraining("x") && bs[7].isDraining("y") })
--- a/gossip/member.go
+++ b/gossip/member.go
@@ -129,7 +129,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s.Knows, s.Judged = g.reply.Peers.Sum, g.reply.Judged
-	s.Leavers = g.known.Roster.Leavers(g.reply.Leavers.Sum)
+	s.Leavers = g.known.Roster.DrainingSet(g.reply.Leavers.Sum)
 	s.Rates = g.Rates.Report(g.reply.Rates.Sum, boottime.Now())
 	if s.Works.Sum == g.reply.Works {
 		s.Works.IDs = nil
--- a/gossip/news.go
+++ b/gossip/news.go
@@ -57,8 +57,8 @@
 }
 
 // mergeLeavers takes in leaving endpoints reported by another box, and returns those that are new.
-func (g *Gossip) mergeLeavers(l endpoint.Leavers) []string {
-	fresh := g.known.Roster.Hear(l)
+func (g *Gossip) mergeLeavers(l endpoint.DrainingSet) []string {
+	fresh := g.known.Roster.Merge(l)
 	for _, e := range fresh {
 		g.log.Info().Str("event", "endpoint").Str("endpoint", e).Str("seen", "another box was told").Msg("leaves")
 	}
@@ -141,7 +141,7 @@
 // handleNotification takes in a notification of a member or of another relay.
 func (g *Gossip) handleNotification(_ context.Context, in notification) (bool, error) {
 	suspected := g.Quarantine.Merge(in.Suspects, boottime.Now())
-	fresh := notification{Leaving: g.mergeLeavers(endpoint.Leavers{Incarnations: in.Leaving}), Rates: g.mergeRates(in.Rates)}
+	fresh := notification{Leaving: g.mergeLeavers(endpoint.DrainingSet{Incarnations: in.Leaving}), Rates: g.mergeRates(in.Rates)}
 	for _, e := range in.Ended {
 		if g.markCrashReported(e) {
 			fresh.Ended = append(fresh.Ended, e)
--- a/gossip/relay.go
+++ b/gossip/relay.go
@@ -116,7 +116,7 @@
 	if w.Judged = quarantine.Sum(verdicts); w.Judged != in.Judged {
 		w.Verdicts = verdicts
 	}
-	w.Leavers = g.known.Roster.Leavers(in.Leavers.Sum)
+	w.Leavers = g.known.Roster.DrainingSet(in.Leavers.Sum)
 	w.Rates = g.Rates.Report(in.Rates.Sum, now)
 	w.Orders = g.Rollouts.Orders()
 	w.Others.Version, _ = g.known.Raw()
@@ -132,7 +132,7 @@
 	g.mergeRelayStatus(in)
 	s := g.relayStatus()
 	s.Limits, s.Now = g.Quota.IssueLease(in.Box, boottime.Now()), g.Clock.Now()
-	s.Leavers = g.known.Roster.Leavers(in.Leavers.Sum)
+	s.Leavers = g.known.Roster.DrainingSet(in.Leavers.Sum)
 	s.Rates = g.Rates.Report(in.Rates.Sum, boottime.Now())
 	return s, nil
 }
@@ -185,7 +185,7 @@
 			out := status
 			out.Limits, out.Now = g.Quota.IssueLease(s.box, boottime.Now()), g.Clock.Now()
 			last := g.lastRelayStatus(s.box)
-			out.Leavers = g.known.Roster.Leavers(last.Leavers.Sum)
+			out.Leavers = g.known.Roster.DrainingSet(last.Leavers.Sum)
 			out.Rates = g.Rates.Report(last.Rates.Sum, boottime.Now())
 			if err := g.call(c, s.address, "gossip.relay", out, &in); err == nil {
 				g.mergeRelayStatus(in)
--- a/ingress/serve.go
+++ b/ingress/serve.go
@@ -98,7 +98,7 @@
 		return q, absent(errkind.UnknownService, stale, "no route for %s%s", c.Host, c.Path)
 	}
 	if t.NeedsKey(q.Route) {
-		if q.Account = t.ByKey(c.Key); q.Account == nil {
+		if q.Account = t.AccountByKey(c.Key); q.Account == nil {
 			return q, absent(errkind.UnknownAccount, stale, "the key is not an account's")
 		}
 	}
@@ -191,12 +191,12 @@
 // size is what a request counts against its account's rate.
 func size(q forward.Request) float64 {
 	switch {
-	case !q.Account.Tokens:
+	case !q.Account.InTokens:
 		return 1
 	case q.Call.Counted:
 		return float64(q.Call.PromptTokens + q.Call.AnswerTokens)
 	default:
-		return float64(q.Account.PlainTokens)
+		return float64(q.Account.DefaultTokens)
 	}
 }
 
--- a/known/known.go
+++ b/known/known.go
@@ -278,7 +278,7 @@
 	case d.err != nil:
 		k.foreign(i, d.err)
 	case k.lacksBirth(d.endpoint):
-		k.foreign(i, endpoint.NewForeign(endpoint.Missing, "born"))
+		k.foreign(i, endpoint.NewRecordError(endpoint.Missing, "born"))
 	default:
 		k.enter(d.endpoint, i.Revision, many)
 	}
@@ -290,10 +290,10 @@
 func (k *Known) lacksBirth(e endpoint.Endpoint) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if e.Born != 0 {
+	if e.StartMillis != 0 {
 		k.born[e.ID] = true
 	}
-	return e.Born == 0 && k.born[e.ID]
+	return e.StartMillis == 0 && k.born[e.ID]
 }
 
 // foreign takes out the endpoint of a key that another has written: it gets no new work. An
@@ -308,7 +308,7 @@
 	k.mu.Unlock()
 	k.Roster.Remove(id)
 	reason := endpoint.Unreadable
-	var f *endpoint.ForeignError
+	var f *endpoint.RecordError
 	if errors.As(err, &f) {
 		reason = f.Reason
 	}
@@ -327,12 +327,12 @@
 	k.mu.Unlock()
 	old, had := k.Roster.Get(e.ID)
 	k.Roster.Put(e)
-	if had && (old.Draining || !e.Draining) && old.Born == e.Born || many && !had && !e.Draining {
+	if had && (old.Draining || !e.Draining) && old.StartMillis == e.StartMillis || many && !had && !e.Draining {
 		return
 	}
-	k.log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.Born).Str("service", e.Service).Str("address", e.Address).
+	k.log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.StartMillis).Str("service", e.Service).Str("address", e.Address).
 		Str("data_centre", e.DataCentre).Bool("draining", e.Draining).Bool("reclaimable", e.Reclaimable).
-		Dur("leaves", e.Leaves).Uint64("revision", revision).Msg("known")
+		Dur("leaves", e.DrainPeriod).Uint64("revision", revision).Msg("known")
 }
 
 // vanish removes an endpoint whose record is gone: at once, or when the
--- a/known/known_test.go
+++ b/known/known_test.go
@@ -38,10 +38,10 @@
 	},
 	Endpoint: func(key string, b []byte) (endpoint.Endpoint, error) {
 		if string(b) == "foreign" {
-			return endpoint.Endpoint{}, endpoint.NewForeign(endpoint.UnknownState, "foreign")
+			return endpoint.Endpoint{}, endpoint.NewRecordError(endpoint.UnknownState, "foreign")
 		}
 		e := endpoint.Endpoint{ID: strings.TrimPrefix(key, "e/"), Service: "s", Draining: string(b) == "draining"}
-		_, _ = fmt.Sscanf(string(b), "born %d", &e.Born) // a record of another form says nothing of it
+		_, _ = fmt.Sscanf(string(b), "born %d", &e.StartMillis) // a record of another form says nothing of it
 		return e, nil
 	},
 }
@@ -265,7 +265,7 @@
 		m.Set("e/other", "ready")
 		wait.For(t.Context(), applied)
 		require.Len(t, b.Roster.Serving("s"), 2)
-		require.True(t, b.Roster.Leave("one/7"))
+		require.True(t, b.Roster.MarkDraining("one/7"))
 		for range 2 {
 			m.Set("e/one", "ready")
 			wait.For(t.Context(), applied)
--- a/limit/permit.go
+++ b/limit/permit.go
@@ -41,7 +41,7 @@
 	now := boottime.Now()
 	l.Rates.Merge([]stated.Statement{{Incarnation: x.Endpoint, Named: true, PerSecond: x.PerSecond, Age: x.Age}}, now)
 	latest, _ := l.Rates.Limit(x.Endpoint, now)
-	if !latest.Named {
+	if !latest.Limited {
 		return throttle.Answer{OK: true}
 	}
 	x.PerSecond = latest.PerSecond
--- a/observer/observer.go
+++ b/observer/observer.go
@@ -30,21 +30,21 @@
 // The times of the protocol. A horizon older than staleAfter makes a box ask
 // the cloud itself, a load report older than that the endpoint.
 const (
-	readEvery   = time.Second
-	readLimit   = 900 * time.Millisecond
-	staleAfter  = 3 * time.Second
-	watchers    = 2
-	fullPushes  = 10
-	demandEvery = 3
+	readInterval     = time.Second
+	readTimeout      = 900 * time.Millisecond
+	staleAfter       = 3 * time.Second
+	readersPerTarget = 2
+	fullPushEvery    = 10
+	demandPushEvery  = 3
 )
 
 // pushBudget is what a box's pushes may take of its control traffic, in bytes a
 // second, sent and received. The time between pushes follows from it, so that
 // more boxes or endpoints make the view older and not the traffic more.
-const pushBudget = 4500
+const pushBytesPerSecond = 4500
 
 // overheadBytes is what a push takes beyond its body: its frame and its answer.
-const overheadBytes = 64
+const pushOverheadBytes = 64
 
 // Push is what one box tells the others of its data centre. Ages are used in
 // place of times, so that the boxes' clocks need not agree.
@@ -63,36 +63,36 @@
 
 // Observer is the service of one box.
 type Observer struct {
-	Platform *cloud.Client
-	Log      zerolog.Logger
-
-	view    *view.View
-	members *member.Service
-	peers   *peer.Node
-	demand  *admission.Admission
-	http    *jsonhttp.Client
-
-	mu      sync.Mutex
-	told    map[uint32]view.Facts
-	rows    map[uint32]view.Row
-	lastTo  uint64
-	pushed  map[uint32]view.Row
-	fresh   bool
-	nextAt  time.Time
-	period  time.Duration
-	pushes  int
-	asking  sync.Mutex
-	asked   time.Time
-	cancel  context.CancelFunc
-	group   sync.WaitGroup
-	noticed chan struct{}
+	Cloud *cloud.Client
+	Log   zerolog.Logger
+
+	view         *view.View
+	members      *member.Service
+	peers        *peer.Node
+	demandSource *admission.Admission
+	http         *jsonhttp.Client
+
+	mu           sync.Mutex
+	facts        map[uint32]view.Facts
+	pendingRows  map[uint32]view.Row
+	sentDigest   uint64
+	sentRows     map[uint32]view.Row
+	factsChanged bool
+	nextPush     time.Time
+	pushPeriod   time.Duration
+	pushCount    int
+	refreshMu    sync.Mutex
+	refreshedAt  time.Time
+	cancel       context.CancelFunc
+	group        sync.WaitGroup
+	pushNow      chan struct{}
 }
 
 // New returns the observer of a box.
 func New(p *cloud.Client, log zerolog.Logger) *Observer {
 	return &Observer{
-		Platform: p, Log: log, told: map[uint32]view.Facts{}, rows: map[uint32]view.Row{}, pushed: map[uint32]view.Row{},
-		noticed: make(chan struct{}, 1),
+		Cloud: p, Log: log, facts: map[uint32]view.Facts{}, pendingRows: map[uint32]view.Row{}, sentRows: map[uint32]view.Row{},
+		pushNow: make(chan struct{}, 1),
 	}
 }
 
@@ -105,15 +105,15 @@
 		kernel.Bind(k, view.Name, &o.view),
 		kernel.Bind(k, member.Name, &o.members),
 		kernel.Bind(k, peer.Name, &o.peers),
-		kernel.Bind(k, admission.Name, &o.demand),
+		kernel.Bind(k, admission.Name, &o.demandSource),
 	); err != nil {
 		return err
 	}
-	o.http = &jsonhttp.Client{HTTP: &http.Client{Timeout: readLimit}, Caller: o.members.Self().Box}
-	peer.Handle(o.peers.Server, "view.push", o.take)
-	peer.Handle(o.peers.Server, "view.all", o.giveAll)
-	o.fetchAll(c)
-	o.readPlatform(c)
+	o.http = &jsonhttp.Client{HTTP: &http.Client{Timeout: readTimeout}, Caller: o.members.Self().Box}
+	peer.Handle(o.peers.Server, "view.push", o.handlePush)
+	peer.Handle(o.peers.Server, "view.all", o.handleFetch)
+	o.fetchFromAnyPeer(c)
+	o.readCloud(c)
 	o.readLoads(c)
 	x, cancel := context.WithCancel(context.Background())
 	o.cancel = cancel
@@ -130,26 +130,26 @@
 }
 
 func (o *Observer) loop(c context.Context) {
-	t := time.NewTicker(readEvery)
+	t := time.NewTicker(readInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-c.Done():
 			return
-		case <-o.noticed:
+		case <-o.pushNow:
 			o.push(c, true)
 			continue
 		case <-t.C:
 		}
-		o.round(c)
+		o.update(c)
 	}
 }
 
-func (o *Observer) round(c context.Context) {
+func (o *Observer) update(c context.Context) {
 	var g sync.WaitGroup
-	mine, _ := o.members.Owner("notices", watchers)
-	if mine || o.Stale() {
-		g.Go(func() { o.readPlatform(c) })
+	mine, _ := o.members.Owner("notices", readersPerTarget)
+	if mine || o.IsStale() {
+		g.Go(func() { o.readCloud(c) })
 	}
 	g.Go(func() { o.readLoads(c) })
 	g.Wait()
@@ -157,33 +157,33 @@
 }
 
 // Stale reports whether notices may have been missed.
-func (o *Observer) Stale() bool { return time.Since(o.view.Horizon()) > staleAfter }
+func (o *Observer) IsStale() bool { return time.Since(o.view.Horizon()) > staleAfter }
 
 // Ensure asks the cloud itself if the horizon is old, before new work is sent.
 // Those that come meanwhile wait for the one that asks. It reports whether the
 // horizon is fresh now.
-func (o *Observer) Ensure(c context.Context) bool {
-	if !o.Stale() {
+func (o *Observer) EnsureFresh(c context.Context) bool {
+	if !o.IsStale() {
 		return true
 	}
-	o.asking.Lock()
-	defer o.asking.Unlock()
+	o.refreshMu.Lock()
+	defer o.refreshMu.Unlock()
 	// Another may have asked meanwhile: it found the answer, or just now none.
-	if !o.Stale() || time.Since(o.asked) < readEvery {
-		return !o.Stale()
+	if !o.IsStale() || time.Since(o.refreshedAt) < readInterval {
+		return !o.IsStale()
 	}
-	o.readPlatform(c)
-	o.asked = time.Now()
-	return !o.Stale()
+	o.readCloud(c)
+	o.refreshedAt = time.Now()
+	return !o.IsStale()
 }
 
 // readPlatform reads the box list and the notices.
-func (o *Observer) readPlatform(c context.Context) {
-	c, cancel := context.WithTimeout(c, readLimit)
+func (o *Observer) readCloud(c context.Context) {
+	c, cancel := context.WithTimeout(c, readTimeout)
 	defer cancel()
 	var g sync.WaitGroup
 	g.Go(func() {
-		bs, err := o.Platform.Boxes(c)
+		bs, err := o.Cloud.Boxes(c)
 		if err != nil {
 			o.Log.Warn().Err(err).Msg("box list not read")
 			return
@@ -196,7 +196,7 @@
 
 func (o *Observer) readNotices(c context.Context) {
 	asOf := time.Now()
-	bs, err := o.Platform.Notices(c)
+	bs, err := o.Cloud.Notices(c)
 	if err != nil {
 		o.Log.Warn().Err(err).Msg("notices not read")
 		return
@@ -206,13 +206,13 @@
 		m[b.Name] = b.Deadline
 	}
 	if o.view.SetNotices(m, asOf) > 0 {
-		o.wake()
+		o.requestPush()
 	}
 }
 
-func (o *Observer) wake() {
+func (o *Observer) requestPush() {
 	select {
-	case o.noticed <- struct{}{}:
+	case o.pushNow <- struct{}{}:
 	default:
 	}
 }
@@ -220,7 +220,7 @@
 // readLoads reads the endpoints of the own data centre that this box observes,
 // and those of which nobody has told it for some time.
 func (o *Observer) readLoads(c context.Context) {
-	c, cancel := context.WithTimeout(c, readLimit)
+	c, cancel := context.WithTimeout(c, readTimeout)
 	defer cancel()
 	dc := o.members.Self().DataCentre
 	var g sync.WaitGroup
@@ -228,8 +228,8 @@
 		if s.DataCentre != dc {
 			continue
 		}
-		mine, _ := o.members.Owner(s.Name, watchers)
-		if mine || time.Since(s.Seen) > o.loadStale() {
+		mine, _ := o.members.Owner(s.Name, readersPerTarget)
+		if mine || time.Since(s.Seen) > o.loadStaleAfter() {
 			g.Go(func() { o.readLoad(c, s) })
 		}
 	}
@@ -238,10 +238,10 @@
 
 // loadStale is how old a load report may be before a box reads the endpoint
 // itself: unchanged rows are told only with every full push.
-func (o *Observer) loadStale() time.Duration {
+func (o *Observer) loadStaleAfter() time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return staleAfter + 2*fullPushes*max(o.period, readEvery)
+	return staleAfter + 2*fullPushEvery*max(o.pushPeriod, readInterval)
 }
 
 func (o *Observer) readLoad(c context.Context, s *view.Slot) {
@@ -255,20 +255,20 @@
 		Box: s.Name, Incarnation: l.Incarnation, Loaded: l.Loaded, Slots: l.Slots,
 		TokensPerSecond: l.TokensPerSecond, ChecksFence: l.ChecksFence,
 	}
-	o.note(f, view.Row{ID: view.ID(s.Name), Running: uint16(l.Running), Waiting: uint16(l.Waiting)})
+	o.recordLoad(f, view.Row{ID: view.ID(s.Name), Running: uint16(l.Running), Waiting: uint16(l.Waiting)})
 }
 
 // note enters a report in the view and keeps what the others must be told.
-func (o *Observer) note(f view.Facts, r view.Row) {
+func (o *Observer) recordLoad(f view.Facts, r view.Row) {
 	o.mu.Lock()
-	old, known := o.told[r.ID]
+	old, known := o.facts[r.ID]
 	same := known && old.Incarnation == f.Incarnation && slices.Equal(old.Loaded, f.Loaded) && old.Slots == f.Slots
 	if !same {
-		o.told[r.ID] = f
-		o.fresh = true
-		o.nextAt = time.Time{}
+		o.facts[r.ID] = f
+		o.factsChanged = true
+		o.nextPush = time.Time{}
 	}
-	o.rows[r.ID] = r
+	o.pendingRows[r.ID] = r
 	o.mu.Unlock()
 	if !same {
 		o.view.SetFacts([]view.Facts{f})
@@ -281,15 +281,15 @@
 	self := o.members.Self()
 	ms := o.members.Up(self.DataCentre)
 	o.mu.Lock()
-	if !now && time.Now().Before(o.nextAt) {
+	if !now && time.Now().Before(o.nextPush) {
 		o.mu.Unlock()
 		return
 	}
-	p := o.message(self.Box)
-	o.period = interval(p, len(ms)-1)
-	o.nextAt = time.Now().Add(o.period)
+	p := o.buildPush(self.Box)
+	o.pushPeriod = pushInterval(p, len(ms)-1)
+	o.nextPush = time.Now().Add(o.pushPeriod)
 	o.mu.Unlock()
-	c, cancel := context.WithTimeout(c, readLimit)
+	c, cancel := context.WithTimeout(c, readTimeout)
 	defer cancel()
 	var g sync.WaitGroup
 	for _, m := range ms {
@@ -301,68 +301,68 @@
 }
 
 // interval is how long the push must suffice: others send as much here.
-func interval(p Push, others int) time.Duration {
+func pushInterval(p Push, others int) time.Duration {
 	b, err := msgpack.Marshal(p)
 	if err != nil {
-		return readEvery
+		return readInterval
 	}
-	return time.Duration(float64(2*others*(len(b)+overheadBytes)) / pushBudget * float64(time.Second))
+	return time.Duration(float64(2*others*(len(b)+pushOverheadBytes)) / pushBytesPerSecond * float64(time.Second))
 }
 
 // message builds a push: rows that changed since the last, and after some
 // pushes all of them with their facts. The caller holds the lock.
-func (o *Observer) message(box string) Push {
+func (o *Observer) buildPush(box string) Push {
 	p := Push{
 		From: box, HorizonAge: time.Since(o.view.Horizon()), Digest: o.view.Digest(),
 		Notices: o.view.Notices(),
 	}
-	full := o.fresh || o.pushes%fullPushes == 0
-	if o.pushes%demandEvery == 0 {
-		p.Demand = o.demand.Demand()
+	full := o.factsChanged || o.pushCount%fullPushEvery == 0
+	if o.pushCount%demandPushEvery == 0 {
+		p.Demand = o.demandSource.Demand()
 	}
-	o.pushes++
-	o.fresh = false
-	for id, r := range o.rows {
-		if r != o.pushed[id] || full {
+	o.pushCount++
+	o.factsChanged = false
+	for id, r := range o.pendingRows {
+		if r != o.sentRows[id] || full {
 			p.Rows = append(p.Rows, r)
-			o.pushed[id] = r
+			o.sentRows[id] = r
 		}
 		if full {
-			p.Facts = append(p.Facts, o.told[id])
+			p.Facts = append(p.Facts, o.facts[id])
 		}
 	}
-	clear(o.rows)
-	if p.Digest != o.lastTo {
+	clear(o.pendingRows)
+	if p.Digest != o.sentDigest {
 		p.Boxes, _ = o.view.Boxes()
-		o.lastTo = p.Digest
+		o.sentDigest = p.Digest
 	}
 	return p
 }
 
-func (o *Observer) take(c context.Context, p Push) (struct{}, error) {
+func (o *Observer) handlePush(c context.Context, p Push) (struct{}, error) {
 	fresh := o.view.SetNotices(p.Notices, time.Now().Add(-p.HorizonAge))
 	if fresh > 0 {
-		o.wake()
+		o.requestPush()
 	}
-	mine, _ := o.members.Owner("notices", watchers)
+	mine, _ := o.members.Owner("notices", readersPerTarget)
 	if len(p.Boxes) > 0 && !mine {
 		o.view.SetBoxes(p.Boxes)
 	}
 	o.view.SetFacts(p.Facts)
 	missing := o.view.SetRows(p.Rows)
 	if p.Demand.Accounts != nil {
-		o.demand.SetDemand(p.From, p.Demand)
+		o.demandSource.SetDemand(p.From, p.Demand)
 	}
-	lacksBoxes := p.Digest != o.view.Digest() && len(p.Boxes) == 0 && !mine && p.HorizonAge < time.Since(o.view.Horizon())+readEvery
+	lacksBoxes := p.Digest != o.view.Digest() && len(p.Boxes) == 0 && !mine && p.HorizonAge < time.Since(o.view.Horizon())+readInterval
 	if len(missing) > 0 || lacksBoxes {
-		if m, ok := o.memberOf(p.From); ok {
+		if m, ok := o.findMember(p.From); ok {
 			o.group.Go(func() { o.fetch(context.WithoutCancel(c), m.Address) })
 		}
 	}
 	return struct{}{}, nil
 }
 
-func (o *Observer) memberOf(box string) (member.Member, bool) {
+func (o *Observer) findMember(box string) (member.Member, bool) {
 	for _, m := range o.members.Up("") {
 		if m.Box == box {
 			return m, true
@@ -371,7 +371,7 @@
 	return member.Member{}, false
 }
 
-func (o *Observer) giveAll(context.Context, struct{}) (Push, error) {
+func (o *Observer) handleFetch(context.Context, struct{}) (Push, error) {
 	p := Push{
 		From: o.members.Self().Box, HorizonAge: time.Since(o.view.Horizon()),
 		Digest: o.view.Digest(), Notices: o.view.Notices(), Facts: o.view.Facts(nil),
@@ -382,7 +382,7 @@
 
 // fetch takes the whole view of another box.
 func (o *Observer) fetch(c context.Context, address string) bool {
-	c, cancel := context.WithTimeout(c, readLimit)
+	c, cancel := context.WithTimeout(c, readTimeout)
 	defer cancel()
 	var p Push
 	if err := o.peers.Client.Call(c, address, "view.all", struct{}{}, &p); err != nil || len(p.Boxes) == 0 {
@@ -395,7 +395,7 @@
 }
 
 // fetchAll asks the others of the data centre until one has a view to give.
-func (o *Observer) fetchAll(c context.Context) {
+func (o *Observer) fetchFromAnyPeer(c context.Context) {
 	self := o.members.Self()
 	for _, m := range o.members.Up(self.DataCentre) {
 		if m.Box != self.Box && o.fetch(c, m.Address) {
--- a/observer/push_test.go
+++ b/observer/push_test.go
@@ -13,7 +13,7 @@
 )
 
 // full is a push as a busy box of a size sends it.
-func full(rows, accounts int) Push {
+func samplePush(rows, accounts int) Push {
 	p := Push{From: "kariakoo-hall-entry-39", HorizonAge: time.Second, Digest: 1 << 60, Demand: admission.Demand{Accounts: map[string]float32{}}}
 	for i := range rows {
 		p.Rows = append(p.Rows, view.Row{ID: 1<<31 + uint32(i), Running: 200, Waiting: 300})
@@ -26,14 +26,14 @@
 
 // Whatever the size, what a box sends and receives in pushes stays within its
 // budget.
-func TestPushesStayWithinTheBudget(t *testing.T) {
+func TestPushIntervalKeepsBudget(t *testing.T) {
 	for _, boxes := range []int{2, 6, 39, 100} {
 		for _, rows := range []int{0, 3, 6, 50} {
-			p := full(rows, 24)
+			p := samplePush(rows, 24)
 			b, err := msgpack.Marshal(p)
 			require.NoError(t, err)
-			traffic := float64(2*(boxes-1)*(len(b)+overheadBytes)) / interval(p, boxes-1).Seconds()
-			require.LessOrEqual(t, traffic, float64(pushBudget)+1, "%d boxes, %d rows", boxes, rows)
+			traffic := float64(2*(boxes-1)*(len(b)+pushOverheadBytes)) / pushInterval(p, boxes-1).Seconds()
+			require.LessOrEqual(t, traffic, float64(pushBytesPerSecond)+1, "%d boxes, %d rows", boxes, rows)
 		}
 	}
 }
@@ -42,13 +42,13 @@
 func BenchmarkPush(b *testing.B) {
 	for _, n := range []struct{ boxes, rows, accounts int }{{6, 3, 5}, {39, 6, 0}, {39, 6, 24}} {
 		b.Run(fmt.Sprintf("boxes=%d/rows=%d/accounts=%d", n.boxes, n.rows, n.accounts), func(b *testing.B) {
-			p := full(n.rows, n.accounts)
+			p := samplePush(n.rows, n.accounts)
 			var v []byte
 			for b.Loop() {
 				v, _ = msgpack.Marshal(p)
 			}
 			b.ReportMetric(float64(len(v)), "bytes/push")
-			b.ReportMetric(interval(p, n.boxes-1).Seconds(), "s-between")
+			b.ReportMetric(pushInterval(p, n.boxes-1).Seconds(), "s-between")
 		})
 	}
 }
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -299,7 +299,7 @@
 		return
 	}
 	delete(o.scaleDowns, p)
-	err := o.Cloud.Order(c, cloudapi.Duty{Holder: o.Box, Fence: fence}, cloudapi.Order{
+	err := o.Cloud.Order(c, cloudapi.Lease{Holder: o.Box, Fence: fence}, cloudapi.Order{
 		Service: p.service, DataCentre: p.dataCentre, Reclaimable: p.reclaimable, Count: n,
 	})
 	previous := o.lastOrders[p]
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -50,9 +50,9 @@
 	outOfSupply bool // no reclaimable endpoints are available
 }
 
-func (l *cloud) Report(context.Context, cloudapi.Duty, int64, map[string]int) error { return nil }
+func (l *cloud) Report(context.Context, cloudapi.Lease, int64, map[string]int) error { return nil }
 
-func (l *cloud) Order(_ context.Context, _ cloudapi.Duty, o cloudapi.Order) error {
+func (l *cloud) Order(_ context.Context, _ cloudapi.Lease, o cloudapi.Order) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := kind{o.DataCentre, o.Reclaimable}
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -235,7 +235,7 @@
 		}()
 		c, cancel := context.WithTimeout(c, orderTimeout)
 		defer cancel()
-		err := p.engines.Order(c, e.Address, engine.Orders{Fence: fence, Workloads: a.Workloads})
+		err := p.engines.SetOrders(c, e.Address, engine.Orders{Fence: fence, Workloads: a.Workloads})
 		if errors.Is(err, engine.ErrFenced) {
 			p.Log.Warn().Str("box", e.Name).Msg("a later holder has the duty")
 		} else if err != nil {
--- a/plain/proxy.go
+++ b/plain/proxy.go
@@ -204,7 +204,7 @@
 // was accepted while there was none.
 func (p *Proxy) wait(c context.Context, q Request, avoid map[string]bool, st recovery.State) (*view.Slot, error) {
 	for {
-		p.fresh.Ensure(c)
+		p.fresh.EnsureFresh(c)
 		if s := p.choose(q, avoid, st.Attempts); s != nil {
 			return s, nil
 		}
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -17,7 +17,7 @@
 
 var terms = quota.Terms{Window: 8 * time.Second, Overage: 0.1, Slack: 72000}
 
-var account = &catalog.Account{Name: "a", Tokens: true, Rate: 100000, Burst: 100000}
+var account = &catalog.Account{Name: "a", InTokens: true, Rate: 100000, Burst: 100000}
 
 // windowLimit is the number of units that any window may hold.
 func windowLimit() float64 {
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -304,7 +304,7 @@
 // limit.
 func TestNewAccount(t *testing.T) {
 	f := newSettledFleet(smallFleet, 1)
-	b := catalog.Account{Name: "b", Tokens: true, Rate: 50000, Burst: 50000}
+	b := catalog.Account{Name: "b", InTokens: true, Rate: 50000, Burst: 50000}
 	f.accounts = append(f.accounts, b)
 	f.idle(3 * time.Second)
 	admitted := 0.0
--- a/quota/rates_test.go
+++ b/quota/rates_test.go
@@ -47,7 +47,7 @@
 // up to now.
 func (e *limitedEndpoint) highestLimit(now time.Time) float64 {
 	m := math.Inf(1)
-	if e.limit.Named {
+	if e.limit.Limited {
 		m = e.limit.PerSecond
 	}
 	for _, p := range e.pastLimits {
@@ -144,11 +144,11 @@
 // setLimit changes the limit that an endpoint reports.
 func (f *fleet) setLimit(e *limitedEndpoint, perSecond float64) {
 	old := math.Inf(1)
-	if e.limit.Named {
+	if e.limit.Limited {
 		old = e.limit.PerSecond
 	}
 	e.pastLimits = append(e.pastLimits, pastLimit{old, f.now})
-	e.limit = endpoint.Limit{Named: perSecond > 0, PerSecond: max(perSecond, 0)}
+	e.limit = endpoint.Limit{Limited: perSecond > 0, PerSecond: max(perSecond, 0)}
 }
 
 // requestPermit asks for permission to send one request to an endpoint, as a box does, and skips the
@@ -156,7 +156,7 @@
 func (f *fleet) requestPermit(i int, e *limitedEndpoint) bool {
 	n := f.nodes[i]
 	l, age := n.available.Rates.Limit(e.ID, f.now)
-	if !l.Named {
+	if !l.Limited {
 		return true
 	}
 	x := throttle.Question{Endpoint: e.ID, PerSecond: l.PerSecond, Age: age}
@@ -190,7 +190,7 @@
 func (f *fleet) answerPermit(n *node, x throttle.Question) throttle.Answer {
 	n.available.Rates.Merge([]stated.Statement{{Incarnation: x.Endpoint, Named: true, PerSecond: x.PerSecond, Age: x.Age}}, f.now)
 	l, _ := n.available.Rates.Limit(x.Endpoint, f.now)
-	if !l.Named {
+	if !l.Limited {
 		return throttle.Answer{OK: true}
 	}
 	x.PerSecond = l.PerSecond
--- a/reporter/reporter.go
+++ b/reporter/reporter.go
@@ -33,14 +33,14 @@
 // parts after collectDelay, and waits for missing ones until collectMargin
 // before the report is due; the rest is for the call itself.
 const (
-	partDelay     = 800 * time.Millisecond
+	writeDelay    = 800 * time.Millisecond
 	collectDelay  = 1200 * time.Millisecond
 	collectMargin = 3500 * time.Millisecond
-	step          = 400 * time.Millisecond
+	retryInterval = 400 * time.Millisecond
 )
 
 // keptWindows is how many windows stay in the store.
-const keptWindows = 8
+const retainedWindows = 8
 
 // Options says where things stand. Incarnation tells this process from those
 // before it on the same box, whose counts stand beside its own.
@@ -55,7 +55,7 @@
 	WritersPrefix string
 
 	// Writes reports whether this box is one of them; nil is always.
-	Writes func() bool
+	IsWriter func() bool
 
 	// Now returns the time of day by which windows are numbered; nil is the box's own.
 	Now func() time.Time
@@ -75,8 +75,8 @@
 	fence  uint64
 	sent   map[int64]bool
 
-	mu   sync.Mutex
-	told map[int64]map[string]map[string]int // by window and source
+	mu     sync.Mutex
+	remote map[int64]map[string]map[string]int // by window and source
 }
 
 // New returns the reporter of a box.
@@ -94,8 +94,8 @@
 func (r *Reporter) Start(context.Context, *kernel.Kernel) error {
 	c, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
-	r.group.Go(func() { r.write(c) })
-	r.group.Go(func() { r.report(c) })
+	r.group.Go(func() { r.writeLoop(c) })
+	r.group.Go(func() { r.reportLoop(c) })
 	return nil
 }
 
@@ -103,27 +103,27 @@
 func (r *Reporter) Stop(c context.Context) error {
 	r.cancel()
 	r.group.Wait()
-	return r.put(c, r.Tally.WindowAt(r.Now()))
+	return r.writeCounts(c, r.Tally.WindowAt(r.Now()))
 }
 
 // Hear keeps what another process told of its counts, in case it ends or is cut
 // off before it has written them.
-func (r *Reporter) Hear(p tally.Report) {
-	oldest := r.Tally.WindowAt(r.Now()) - keptWindows
+func (r *Reporter) Merge(p tally.Report) {
+	oldest := r.Tally.WindowAt(r.Now()) - retainedWindows
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.told == nil {
-		r.told = map[int64]map[string]map[string]int{}
+	if r.remote == nil {
+		r.remote = map[int64]map[string]map[string]int{}
 	}
-	maps.DeleteFunc(r.told, func(w int64, _ map[string]map[string]int) bool { return w < oldest })
+	maps.DeleteFunc(r.remote, func(w int64, _ map[string]map[string]int) bool { return w < oldest })
 	for w, counts := range p.Windows {
 		if w < oldest {
 			continue
 		}
-		if r.told[w] == nil {
-			r.told[w] = map[string]map[string]int{}
+		if r.remote[w] == nil {
+			r.remote[w] = map[string]map[string]int{}
 		}
-		r.told[w][p.Source] = higher(r.told[w][p.Source], counts)
+		r.remote[w][p.Source] = maxCounts(r.remote[w][p.Source], counts)
 	}
 }
 
@@ -131,58 +131,58 @@
 func (r *Reporter) Source() string { return r.Box + "." + r.Incarnation }
 
 // write puts this box's part into the store after each window.
-func (r *Reporter) write(c context.Context) {
+func (r *Reporter) writeLoop(c context.Context) {
 	next := r.Tally.WindowAt(r.Now())
 	for {
-		wait.For(c, r.Tally.WindowEnd(next).Add(partDelay).Sub(r.Now()))
+		wait.For(c, r.Tally.WindowEnd(next).Add(writeDelay).Sub(r.Now()))
 		if c.Err() != nil {
 			return
 		}
-		if r.Writes != nil && !r.Writes() {
+		if r.IsWriter != nil && !r.IsWriter() {
 			next++
-			r.Tally.Forget(next - keptWindows)
+			r.Tally.Forget(next - retainedWindows)
 			continue
 		}
-		if err := r.put(c, next); err != nil {
+		if err := r.writeCounts(c, next); err != nil {
 			if r.Now().Sub(r.Tally.WindowEnd(next)) < r.Due {
-				wait.For(c, step)
+				wait.For(c, retryInterval)
 				continue
 			}
 			r.log.Warn().Str("event", "usage").Int64("window", next).Err(err).Msg("this box's part is lost")
 		}
 		next++
-		r.Tally.Forget(next - keptWindows)
+		r.Tally.Forget(next - retainedWindows)
 	}
 }
 
-func (r *Reporter) part(window int64) string {
-	return r.parts(window) + r.Source()
+func (r *Reporter) countsKey(window int64) string {
+	return r.countsPrefix(window) + r.Source()
 }
 
-func (r *Reporter) parts(window int64) string {
+func (r *Reporter) countsPrefix(window int64) string {
 	return r.Prefix + "part/" + strconv.FormatInt(window, 10) + "/"
 }
 
-func (r *Reporter) sum(window int64) string {
+func (r *Reporter) sumKey(window int64) string {
 	return r.Prefix + "sum/" + strconv.FormatInt(window, 10)
 }
 
 // put writes a window's part, and drops an old one of this process.
-func (r *Reporter) put(c context.Context, window int64) error {
-	all := r.heard(window)
+func (r *Reporter) writeCounts(c context.Context, window int64) error {
+	all := r.remoteCounts(window)
 	all[r.Source()] = r.Tally.Counts(window)
 	b, err := json.Marshal(all)
 	if err != nil {
 		return fmt.Errorf("encode counts: %w", err)
 	}
 	_, err = r.Store.Commit(c, store.Change{
-		Put:    []store.Put{{Key: r.part(window), Value: b}},
-		Delete: []string{r.part(window - keptWindows)},
+		Put:    []store.Put{{Key: r.countsKey(window), Value: b}},
+		Delete: []string{r.countsKey(window - retainedWindows)},
 	})
 	return err
 }
 
-func encode(counts map[string]int) ([]byte, error) {
+func encodeCounts(counts map[string]int) ([]byte, error) {
 	if counts == nil {
 		counts = map[string]int{}
 	}
@@ -194,17 +194,17 @@
 }
 
 // report sends what is due while this box holds the duty.
-func (r *Reporter) report(c context.Context) {
+func (r *Reporter) reportLoop(c context.Context) {
 	for c.Err() == nil {
-		wait.For(c, step)
+		wait.For(c, retryInterval)
 		if fence, ok := r.Election.Act(); ok {
-			r.round(c, fence)
+			r.reportDue(c, fence)
 		}
 	}
 }
 
 // round looks at the windows that have ended and are still due.
-func (r *Reporter) round(c context.Context, fence uint64) {
+func (r *Reporter) reportDue(c context.Context, fence uint64) {
 	if fence != r.fence {
 		r.fence, r.sent = fence, map[int64]bool{}
 	}
@@ -213,7 +213,7 @@
 		if r.sent[w] || now.After(r.Tally.WindowEnd(w).Add(r.Due)) {
 			continue
 		}
-		if err := r.send(c, fence, w); err != nil {
+		if err := r.sendReport(c, fence, w); err != nil {
 			r.log.Info().Str("event", "usage").Int64("window", w).Uint64("fence", fence).Err(err).Msg("not reported yet")
 			if errors.Is(err, cloudapi.ErrFenced) {
 				r.Election.Drop(fence)
@@ -223,10 +223,10 @@
 	}
 }
 
-var errMissing = errors.New("parts are missing")
+var errMissingCounts = errors.New("parts are missing")
 
-func (r *Reporter) send(c context.Context, fence uint64, window int64) error {
-	counts, err := r.fixed(c, window)
+func (r *Reporter) sendReport(c context.Context, fence uint64, window int64) error {
+	counts, err := r.storedSum(c, window)
 	if err != nil {
 		return err
 	}
@@ -234,7 +234,7 @@
 	if !ok || f != fence {
 		return errors.New("the duty is no longer held")
 	}
-	if err := r.Cloud.Report(c, cloudapi.Duty{Holder: r.Box, Fence: fence}, window, counts); err != nil {
+	if err := r.Cloud.Report(c, cloudapi.Lease{Holder: r.Box, Fence: fence}, window, counts); err != nil {
 		return err
 	}
 	r.sent[window] = true
@@ -244,26 +244,26 @@
 
 // fixed returns the sum of a window as it stands in the store, and puts it
 // there if it does not stand yet.
-func (r *Reporter) fixed(c context.Context, window int64) (map[string]int, error) {
-	i, err := r.Store.Get(c, r.sum(window))
+func (r *Reporter) storedSum(c context.Context, window int64) (map[string]int, error) {
+	i, err := r.Store.Get(c, r.sumKey(window))
 	if err != nil {
 		return nil, err
 	}
 	if i.Revision != 0 {
-		return decode(i.Value)
+		return decodeCounts(i.Value)
 	}
 	counts, err := r.collect(c, window)
 	if err != nil {
 		return nil, err
 	}
-	b, err := encode(counts)
+	b, err := encodeCounts(counts)
 	if err != nil {
 		return nil, err
 	}
 	_, err = r.Store.Commit(c, store.Change{
-		If:     []store.Condition{{Key: r.sum(window)}},
-		Put:    []store.Put{{Key: r.sum(window), Value: b}},
-		Delete: []string{r.sum(window - keptWindows)},
+		If:     []store.Condition{{Key: r.sumKey(window)}},
+		Put:    []store.Put{{Key: r.sumKey(window), Value: b}},
+		Delete: []string{r.sumKey(window - retainedWindows)},
 	})
 	if err != nil {
 		// Whoever fixed it, it is read in the next round.
@@ -275,7 +275,7 @@
 // collect adds the parts up once each box that is there has written its own, or
 // when there is no more time to wait for one.
 func (r *Reporter) collect(c context.Context, window int64) (map[string]int, error) {
-	parts, _, err := r.Store.Range(c, r.parts(window))
+	parts, _, err := r.Store.Range(c, r.countsPrefix(window))
 	if err != nil {
 		return nil, err
 	}
@@ -284,16 +284,16 @@
 		return nil, err
 	}
 	if len(parts) < max(len(writers), 1) && r.Now().Sub(r.Tally.WindowEnd(window)) < r.Due-collectMargin {
-		return nil, fmt.Errorf("%w: %d of %d", errMissing, len(parts), len(writers))
+		return nil, fmt.Errorf("%w: %d of %d", errMissingCounts, len(parts), len(writers))
 	}
-	all := r.heard(window)
+	all := r.remoteCounts(window)
 	for _, p := range parts {
 		var by map[string]map[string]int
 		if err := json.Unmarshal(p.Value, &by); err != nil {
 			return nil, fmt.Errorf("decode %s: %w", p.Key, err)
 		}
 		for source, counts := range by {
-			all[source] = higher(all[source], counts)
+			all[source] = maxCounts(all[source], counts)
 		}
 	}
 	sum := map[string]int{}
@@ -307,7 +307,7 @@
 
 // higher merges two counts of one process: they only grow, so of each the higher
 // is the later.
-func higher(a, b map[string]int) map[string]int {
+func maxCounts(a, b map[string]int) map[string]int {
 	out := map[string]int{}
 	maps.Copy(out, a)
 	for k, n := range b {
@@ -317,15 +317,15 @@
 }
 
 // heard returns what the processes told of a window.
-func (r *Reporter) heard(window int64) map[string]map[string]int {
+func (r *Reporter) remoteCounts(window int64) map[string]map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := map[string]map[string]int{}
-	maps.Copy(out, r.told[window])
+	maps.Copy(out, r.remote[window])
 	return out
 }
 
-func decode(b []byte) (map[string]int, error) {
+func decodeCounts(b []byte) (map[string]int, error) {
 	var m map[string]int
 	if err := json.Unmarshal(b, &m); err != nil {
 		return nil, fmt.Errorf("decode counts: %w", err)
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -28,18 +28,18 @@
 )
 
 // cloud keeps what was reported, and checks fences as the real one does.
-type cloud struct {
-	mu      sync.Mutex
-	highest uint64
-	reports map[int64][]map[string]int
-	at      map[int64]time.Time
-	lose    int // answers
-	refused int
+type fakeCloud struct {
+	mu            sync.Mutex
+	highest       uint64
+	reports       map[int64][]map[string]int
+	reportedAt    map[int64]time.Time
+	answersToDrop int // answers
+	refused       int
 }
 
-func (l *cloud) Order(context.Context, cloudapi.Duty, cloudapi.Order) error { return nil }
+func (l *fakeCloud) Order(context.Context, cloudapi.Lease, cloudapi.Order) error { return nil }
 
-func (l *cloud) Report(_ context.Context, d cloudapi.Duty, w int64, counts map[string]int) error {
+func (l *fakeCloud) Report(_ context.Context, d cloudapi.Lease, w int64, counts map[string]int) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if d.Fence < l.highest {
@@ -48,11 +48,11 @@
 	}
 	l.highest = d.Fence
 	l.reports[w] = append(l.reports[w], maps.Clone(counts))
-	if l.at[w].IsZero() {
-		l.at[w] = time.Now()
+	if l.reportedAt[w].IsZero() {
+		l.reportedAt[w] = time.Now()
 	}
-	if l.lose > 0 {
-		l.lose--
+	if l.answersToDrop > 0 {
+		l.answersToDrop--
 		return cloudapi.ErrUnknown
 	}
 	return nil
@@ -66,7 +66,7 @@
 	reporter *reporter.Reporter
 }
 
-func newBox(t *testing.T, m *memstore.Memory, l *cloud, name string) *box {
+func newBox(t *testing.T, m *memstore.Memory, l *fakeCloud, name string) *box {
 	t.Helper()
 	b := &box{name: name, tally: &tally.Tally{Window: window}}
 	b.election = &election.Election{Store: m, Key: "duty", Box: name, Term: term, Log: zerolog.Nop()}
@@ -84,11 +84,11 @@
 	_ = b.election.Stop(context.Background())
 }
 
-func run(t *testing.T, f func(t *testing.T, m *memstore.Memory, l *cloud, a, b *box)) {
+func runWithTwoBoxes(t *testing.T, f func(t *testing.T, m *memstore.Memory, l *fakeCloud, a, b *box)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Memory{}
-		l := &cloud{reports: map[int64][]map[string]int{}, at: map[int64]time.Time{}}
+		l := &fakeCloud{reports: map[int64][]map[string]int{}, reportedAt: map[int64]time.Time{}}
 		a := newBox(t, m, l, "a")
 		wait.For(t.Context(), time.Second)
 		b := newBox(t, m, l, "b")
@@ -99,7 +99,7 @@
 
 // next waits for a new window to begin, and counts three requests in it on box a
 // and four on box b.
-func next(t *testing.T, a, b *box) int64 {
+func countInNextWindow(t *testing.T, a, b *box) int64 {
 	t.Helper()
 	w := a.tally.WindowAt(time.Now()) + 1
 	wait.For(t.Context(), time.Until(a.tally.WindowEnd(w-1).Add(time.Second)))
@@ -113,22 +113,22 @@
 }
 
 // same requires that a window was reported in time, and only with these counts.
-func (l *cloud) same(t *testing.T, w int64, end time.Time, counts map[string]int) {
+func (l *fakeCloud) requireReported(t *testing.T, w int64, end time.Time, counts map[string]int) {
 	t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	require.NotEmpty(t, l.reports[w])
-	require.LessOrEqual(t, l.at[w].Sub(end), due)
+	require.LessOrEqual(t, l.reportedAt[w].Sub(end), due)
 	for _, r := range l.reports[w] {
 		require.Equal(t, counts, r)
 	}
 }
 
-func TestSumOfAllBoxes(t *testing.T) {
-	run(t, func(t *testing.T, _ *memstore.Memory, l *cloud, a, b *box) {
-		w := next(t, a, b)
+func TestReportSumsAllBoxes(t *testing.T) {
+	runWithTwoBoxes(t, func(t *testing.T, _ *memstore.Memory, l *fakeCloud, a, b *box) {
+		w := countInNextWindow(t, a, b)
 		wait.For(t.Context(), 2*window)
-		l.same(t, w, a.tally.WindowEnd(w), map[string]int{"x": 7})
+		l.requireReported(t, w, a.tally.WindowEnd(w), map[string]int{"x": 7})
 		a.stop(t)
 		b.stop(t)
 	})
@@ -136,29 +136,29 @@
 
 // A report whose answer is lost is sent again with the same counts, also by the
 // box that takes the duty over.
-func TestHolderGoesAfterALostAnswer(t *testing.T) {
-	run(t, func(t *testing.T, _ *memstore.Memory, l *cloud, a, b *box) {
-		w := next(t, a, b)
+func TestSuccessorReportsSameCounts(t *testing.T) {
+	runWithTwoBoxes(t, func(t *testing.T, _ *memstore.Memory, l *fakeCloud, a, b *box) {
+		w := countInNextWindow(t, a, b)
 		l.mu.Lock()
-		l.lose = 1
+		l.answersToDrop = 1
 		l.mu.Unlock()
 		wait.For(t.Context(), time.Until(a.tally.WindowEnd(w).Add(time.Second)))
 		a.stop(t)
 		b.tally.Add("x", a.tally.WindowEnd(w-1).Add(time.Second)) // comes too late to count
 		wait.For(t.Context(), 2*window)
-		l.same(t, w, a.tally.WindowEnd(w), map[string]int{"x": 7})
+		l.requireReported(t, w, a.tally.WindowEnd(w), map[string]int{"x": 7})
 		b.stop(t)
 	})
 }
 
 // What a box told before it was killed counts, though it never wrote it.
-func TestBoxKilledBeforeItWrote(t *testing.T) {
-	run(t, func(t *testing.T, m *memstore.Memory, l *cloud, a, b *box) {
-		w := next(t, a, b)
-		a.reporter.Hear(b.tally.Recent(b.reporter.Source(), w))
+func TestCountsOfKilledBoxAreReported(t *testing.T) {
+	runWithTwoBoxes(t, func(t *testing.T, m *memstore.Memory, l *fakeCloud, a, b *box) {
+		w := countInNextWindow(t, a, b)
+		a.reporter.Merge(b.tally.Recent(b.reporter.Source(), w))
 		kill(t, m, b)
 		wait.For(t.Context(), 2*window)
-		l.same(t, w, a.tally.WindowEnd(w), map[string]int{"x": 7})
+		l.requireReported(t, w, a.tally.WindowEnd(w), map[string]int{"x": 7})
 		a.stop(t)
 	})
 }
@@ -168,28 +168,28 @@
 	t.Helper()
 	m.Unset("boxes/" + b.name)
 	b.tally.Forget(1 << 60)
-	b.reporter.Store = away{}
+	b.reporter.Store = unreachableStore{}
 	_ = b.reporter.Stop(context.Background())
 	_ = b.election.Stop(context.Background())
 }
 
 // away is a store that is never reached.
-type away struct{ store.Store }
+type unreachableStore struct{ store.Store }
 
-func (away) Commit(context.Context, store.Change) (uint64, error) {
+func (unreachableStore) Commit(context.Context, store.Change) (uint64, error) {
 	return 0, errors.New("killed")
 }
 
 // Without the store for a while, the report still comes in time.
-func TestStoreAwayForAWhile(t *testing.T) {
-	run(t, func(t *testing.T, m *memstore.Memory, l *cloud, a, b *box) {
-		w := next(t, a, b)
+func TestReportSurvivesStoreOutage(t *testing.T) {
+	runWithTwoBoxes(t, func(t *testing.T, m *memstore.Memory, l *fakeCloud, a, b *box) {
+		w := countInNextWindow(t, a, b)
 		wait.For(t.Context(), time.Until(a.tally.WindowEnd(w).Add(-100*time.Millisecond)))
 		m.SetDown(true)
 		wait.For(t.Context(), 4500*time.Millisecond)
 		m.SetDown(false)
 		wait.For(t.Context(), 2*window)
-		l.same(t, w, a.tally.WindowEnd(w), map[string]int{"x": 7})
+		l.requireReported(t, w, a.tally.WindowEnd(w), map[string]int{"x": 7})
 		a.stop(t)
 		b.stop(t)
 	})
--- a/scaling/plan_test.go
+++ b/scaling/plan_test.go
@@ -11,7 +11,7 @@
 	"birchlink.dev/birchlink/scaling"
 )
 
-var service = &catalog.Scaling{Min: 1, Max: 6, ReclaimablePrice: 0.2, Prices: map[string]float64{"a": 0.85, "b": 1.2, "c": 1}}
+var service = &catalog.Scaling{Min: 1, Max: 6, ReclaimablePriceRatio: 0.2, Prices: map[string]float64{"a": 0.85, "b": 1.2, "c": 1}}
 
 // capacity is such that five endpoints carry 30,000 tokens per second in each of three data
 // centres.
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -212,7 +212,7 @@
 	p, err := w.Get(args[0])
 	ts.Check(err)
 	f := fields(ts, args[1:2])
-	err = engine.NewClient("script").Order(w.c, p.Address, engine.Orders{Fence: uint64(number(ts, f["fence"])), Workloads: args[2:]})
+	err = engine.NewClient("script").SetOrders(w.c, p.Address, engine.Orders{Fence: uint64(number(ts, f["fence"])), Workloads: args[2:]})
 	if (err != nil) != neg {
 		ts.Fatalf("order: %v", err)
 	}
--- a/stand/engine/cache.go
+++ b/stand/engine/cache.go
@@ -23,12 +23,12 @@
 func (s *Server) prefill(q engine.Request) (int, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := engine.PromptTokens(q.Prompt) + q.From
+	n := engine.EstimatePromptTokens(q.Prompt) + q.From
 	if x, ok := s.kv[q.KV]; ok && q.KV != "" {
 		delete(s.kv, q.KV)
 		return max(q.From-x.Tokens, 0), true
 	}
-	p := engine.Prefix(q.Model, q.Prompt)
+	p := engine.PrefixHash(q.Model, q.Prompt)
 	i := slices.Index(s.cache, p)
 	if i >= 0 {
 		s.cache = append(slices.Delete(s.cache, i, i+1), p)
@@ -74,7 +74,7 @@
 	}
 	c := a.halt()
 	_, u, _ := a.view()
-	n := engine.PromptTokens(u.Prompt) + c.Tokens
+	n := engine.EstimatePromptTokens(u.Prompt) + c.Tokens
 	x := engine.Export{Handle: uuid.NewString(), Tokens: c.Tokens, Bytes: int64(n) * bytesPerKVToken}
 	s.mu.Lock()
 	s.kv[x.Handle] = x
--- a/stated/rates.go
+++ b/stated/rates.go
@@ -71,15 +71,15 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	old := r.records[incarnation]
-	if !l.Named && (!old.Named || now.Sub(old.at) < limitTTL) {
+	if !l.Limited && (!old.Limited || now.Sub(old.at) < limitTTL) {
 		return Statement{}, false
 	}
 	if r.records == nil {
 		r.records = map[string]record{}
 	}
 	r.records[incarnation] = record{l, now}
-	urgent = old.Named != l.Named || l.PerSecond < (1-urgentDrop)*old.PerSecond
-	return Statement{Incarnation: incarnation, Named: l.Named, PerSecond: l.PerSecond}, urgent
+	urgent = old.Limited != l.Limited || l.PerSecond < (1-urgentDrop)*old.PerSecond
+	return Statement{Incarnation: incarnation, Named: l.Limited, PerSecond: l.PerSecond}, urgent
 }
 
 // Merge takes in statements from other boxes. It returns those that add a limit or remove one.
@@ -99,8 +99,8 @@
 		if r.records == nil {
 			r.records = map[string]record{}
 		}
-		r.records[s.Incarnation] = record{endpoint.Limit{Named: s.Named, PerSecond: s.PerSecond}, at}
-		if s.Named != old.Named {
+		r.records[s.Incarnation] = record{endpoint.Limit{Limited: s.Named, PerSecond: s.PerSecond}, at}
+		if s.Named != old.Limited {
 			changes = append(changes, s)
 		}
 	}
@@ -113,7 +113,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec := r.records[incarnation]
-	if !rec.Named {
+	if !rec.Limited {
 		return endpoint.Limit{}, 0
 	}
 	return rec.Limit, max(now.Sub(rec.at), 0)
@@ -127,7 +127,7 @@
 	p := Report{Sum: r.sum()}
 	for inc, rec := range r.records {
 		if age := max(now.Sub(rec.at), 0); p.Sum != sum || age < recentWindow {
-			p.Words = append(p.Words, Statement{Incarnation: inc, Named: rec.Named, PerSecond: rec.PerSecond, Age: age})
+			p.Words = append(p.Words, Statement{Incarnation: inc, Named: rec.Limited, PerSecond: rec.PerSecond, Age: age})
 		}
 	}
 	slices.SortFunc(p.Words, newestFirst)
@@ -152,7 +152,7 @@
 func (r *Rates) sum() uint64 {
 	var s uint64
 	for inc, rec := range r.records {
-		if rec.Named {
+		if rec.Limited {
 			s += xxhash.Sum64String(inc)
 		}
 	}
@@ -165,7 +165,7 @@
 	defer r.mu.Unlock()
 	n := 0
 	for _, rec := range r.records {
-		if rec.Named {
+		if rec.Limited {
 			n++
 		}
 	}
@@ -177,6 +177,6 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	maps.DeleteFunc(r.records, func(inc string, rec record) bool {
-		return !known(inc) || !rec.Named && now.Sub(rec.at) > tombstoneTTL
+		return !known(inc) || !rec.Limited && now.Sub(rec.at) > tombstoneTTL
 	})
 }
--- a/stated/rates_test.go
+++ b/stated/rates_test.go
@@ -18,12 +18,12 @@
 func at(d time.Duration) time.Time { return epoch.Add(d) }
 
 func named(perSecond float64) endpoint.Limit {
-	return endpoint.Limit{Named: true, PerSecond: perSecond}
+	return endpoint.Limit{Limited: true, PerSecond: perSecond}
 }
 
 func ExampleRates() {
 	var a, b stated.Rates
-	s, urgent := a.Observe("i-1", endpoint.Limit{Named: true, PerSecond: 1.5}, epoch)
+	s, urgent := a.Observe("i-1", endpoint.Limit{Limited: true, PerSecond: 1.5}, epoch)
 	fmt.Println(s.PerSecond, urgent)
 	b.Merge(a.Report(b.Sum(), at(time.Second)).Words, at(time.Second))
 	l, age := b.Limit("i-1", at(2*time.Second))
@@ -87,7 +87,7 @@
 			r.Merge(statements[i:i+1], epoch)
 		}
 		l, _ := r.Limit("e", epoch)
-		require.False(t, l.Named)
+		require.False(t, l.Limited)
 	}
 	var r stated.Rates
 	require.Len(t, r.Merge(statements[:1], epoch), 1)
--- a/stream/choose.go
+++ b/stream/choose.go
@@ -119,15 +119,15 @@
 	if err := r.k.suspects.Check(r.content); err != nil {
 		return err
 	}
-	r.k.fresh.Ensure(c)
+	r.k.fresh.EnsureFresh(c)
 	b := r.k.buffers.Get().(*candidates)
 	defer r.k.buffers.Put(b)
-	prefix := engine.Prefix(r.s.Workload, r.s.Prompt)
+	prefix := engine.PrefixHash(r.s.Workload, r.s.Prompt)
 	held, _ := r.k.prefixes.Get(prefix)
 	cs := r.k.indexOf(d).of(r.s.Workload)
 	b.gather(cs, held, r.avoid, &r.k.view.Rests)
 	q := router.Query{
-		Prefix: prefix, PromptTokens: engine.PromptTokens(r.s.Prompt), AnswerTokens: r.s.MaxTokens - r.splice.Next,
+		Prefix: prefix, PromptTokens: engine.EstimatePromptTokens(r.s.Prompt), AnswerTokens: r.s.MaxTokens - r.splice.Next,
 		Urgent: r.s.Kind.Urgent(), Deadline: time.Until(r.s.Deadline),
 	}
 	ch := r.pick(b, q)
--- a/stream/leave.go
+++ b/stream/leave.go
@@ -131,7 +131,7 @@
 // planned is a stream as the reclaim plan sees it.
 func planned(s *Stream, rate float64) reclaim.Stream {
 	n := s.Len()
-	computed := engine.PromptTokens(s.Prompt) + n
+	computed := engine.EstimatePromptTokens(s.Prompt) + n
 	return reclaim.Stream{
 		ID: s.ID, Workload: s.Workload, Computed: computed, Left: s.MaxTokens - n,
 		TokensPerSecond: rate, Bytes: int64(computed) * kvBytesPerToken,
--- a/stream/run.go
+++ b/stream/run.go
@@ -219,9 +219,9 @@
 // noteRest keeps for how long an engine that refused wants nothing: it has the most free slots,
 // and would get every stream.
 func (r *run) noteRest(err error) {
-	var e *engine.RestError
+	var e *engine.BackOffError
 	if r.target.slot != nil && errors.As(err, &e) {
-		r.k.view.Rests.Extend(r.target.slot.Process(), e.For, boottime.Now())
+		r.k.view.Rests.Extend(r.target.slot.Process(), e.Duration, boottime.Now())
 	}
 }
 
@@ -271,7 +271,7 @@
 // prefix is cached.
 func (r *run) account(l engine.Line) {
 	if r.target.slot != nil {
-		r.k.prefixes.Add(engine.Prefix(r.s.Workload, r.s.Prompt), r.target.box)
+		r.k.prefixes.Add(engine.PrefixHash(r.s.Workload, r.s.Prompt), r.target.box)
 	}
 	if r.attempt > 1 && l.Prefill > 0 {
 		r.s.set(func() { r.s.stats.Recomputed += l.Prefill })
@@ -364,9 +364,9 @@
 			return r.rest(c)
 		case errors.Is(err, engine.ErrRestarted):
 			return broken, recovery.Restarted
-		case errors.Is(err, engine.ErrEnded) && ended >= recovery.MaxTries:
+		case errors.Is(err, engine.ErrNotListening) && ended >= recovery.MaxTries:
 			return broken, recovery.Gone
-		case errors.Is(err, engine.ErrEnded):
+		case errors.Is(err, engine.ErrNotListening):
 			ended++
 		case r.gone():
 			return broken, recovery.Gone
