--- a/observer/observer.go
+++ b/observer/observer.go
@@ -1,6 +1,6 @@
-// Package observer fills the view: two boxes of a data centre read each
-// endpoint's load, the box list and the notices, and tell the others. A box
-// that hears nothing asks for itself.
+// Package observer keeps the view of a box current. Two boxes of each data centre read the load of
+// each endpoint, the box list and the reclaim notices, and push them to the other boxes there. A box
+// that receives no pushes reads them itself.
 package observer
 
 import (
@@ -27,27 +27,33 @@
 // Name is the name of the service.
 const Name = "observer"
 
-// The times of the protocol. A horizon older than staleAfter makes a box ask
-// the cloud itself, a load report older than that the endpoint.
 const (
-	readInterval     = time.Second
-	readTimeout      = 900 * time.Millisecond
-	staleAfter       = 3 * time.Second
+	readInterval = time.Second
+	readTimeout  = 900 * time.Millisecond
+
+	// staleAfter is the age of the view's horizon from which a box reads the notices from the
+	// cloud itself, and the minimum age of a load report from which it reads the endpoint itself.
+	staleAfter = 3 * time.Second
+
+	// readersPerTarget is the number of boxes of a data centre that read the same endpoint, or
+	// the box list and the notices.
 	readersPerTarget = 2
-	fullPushEvery    = 10
-	demandPushEvery  = 3
+
+	fullPushEvery   = 10 // of ten pushes, one has the facts and also unchanged rows
+	demandPushEvery = 3  // of three pushes, one has the demand
 )
 
-// pushBudget is what a box's pushes may take of its control traffic, in bytes a
-// second, sent and received. The time between pushes follows from it, so that
-// more boxes or endpoints make the view older and not the traffic more.
+// pushBytesPerSecond bounds the traffic of pushes that a box sends and receives. The time between
+// pushes follows from it: with more boxes or endpoints the view gets older, and the traffic does not
+// grow.
 const pushBytesPerSecond = 4500
 
-// overheadBytes is what a push takes beyond its body: its frame and its answer.
+// pushOverheadBytes is the size of the frame and the response of a push.
 const pushOverheadBytes = 64
 
-// Push is what one box tells the others of its data centre. Ages are used in
-// place of times, so that the boxes' clocks need not agree.
+// Push is the message that a box sends to the other boxes of its data centre. HorizonAge is an age and
+// not a time, so that the boxes' clocks need not agree. Boxes is empty unless the box list changed;
+// Digest identifies the list.
 type Push struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -61,7 +67,7 @@
 	Demand     admission.Demand
 }
 
-// Observer is the service of one box.
+// Observer is the service that keeps the view of one box current.
 type Observer struct {
 	Cloud *cloud.Client
 	Log   zerolog.Logger
@@ -88,7 +94,7 @@
 	pushNow      chan struct{}
 }
 
-// New returns the observer of a box.
+// New returns the observer of a box that reads from p.
 func New(p *cloud.Client, log zerolog.Logger) *Observer {
 	return &Observer{
 		Cloud: p, Log: log, facts: map[uint32]view.Facts{}, pendingRows: map[uint32]view.Row{}, sentRows: map[uint32]view.Row{},
@@ -96,10 +102,10 @@
 	}
 }
 
-// Name returns the service's name.
+// Name returns the name of the service.
 func (o *Observer) Name() string { return Name }
 
-// Start reads everything once and goes on every second.
+// Start reads everything once, and then updates the view every second until Stop is called.
 func (o *Observer) Start(c context.Context, k *kernel.Kernel) error {
 	if err := errors.Join(
 		kernel.Bind(k, view.Name, &o.view),
@@ -121,7 +127,7 @@
 	return nil
 }
 
-// Stop ends the reading.
+// Stop stops the updates and closes idle connections.
 func (o *Observer) Stop(context.Context) error {
 	o.cancel()
 	o.group.Wait()
@@ -156,19 +162,19 @@
 	o.push(c, false)
 }
 
-// Stale reports whether notices may have been missed.
+// IsStale reports whether the view may lack reclaim notices.
 func (o *Observer) IsStale() bool { return time.Since(o.view.Horizon()) > staleAfter }
 
-// Ensure asks the cloud itself if the horizon is old, before new work is sent.
-// Those that come meanwhile wait for the one that asks. It reports whether the
-// horizon is fresh now.
+// EnsureFresh reads the box list and the notices from the cloud if the view is stale, and reports
+// whether the view is fresh afterwards. It is called before new work is sent. Concurrent calls wait
+// for one read.
 func (o *Observer) EnsureFresh(c context.Context) bool {
 	if !o.IsStale() {
 		return true
 	}
 	o.refreshMu.Lock()
 	defer o.refreshMu.Unlock()
-	// Another may have asked meanwhile: it found the answer, or just now none.
+	// A concurrent call may have refreshed the view, or just failed to.
 	if !o.IsStale() || time.Since(o.refreshedAt) < readInterval {
 		return !o.IsStale()
 	}
@@ -177,7 +183,7 @@
 	return !o.IsStale()
 }
 
-// readPlatform reads the box list and the notices.
+// readCloud reads the box list and the notices.
 func (o *Observer) readCloud(c context.Context) {
 	c, cancel := context.WithTimeout(c, readTimeout)
 	defer cancel()
@@ -185,7 +191,7 @@
 	g.Go(func() {
 		bs, err := o.Cloud.Boxes(c)
 		if err != nil {
-			o.Log.Warn().Err(err).Msg("box list not read")
+			o.Log.Warn().Err(err).Msg("read box list failed")
 			return
 		}
 		o.view.SetBoxes(bs)
@@ -217,8 +223,8 @@
 	}
 }
 
-// readLoads reads the endpoints of the own data centre that this box observes,
-// and those of which nobody has told it for some time.
+// readLoads reads the load of the endpoints in this data centre that this box is a reader of, and of
+// those without a recent report from another box.
 func (o *Observer) readLoads(c context.Context) {
 	c, cancel := context.WithTimeout(c, readTimeout)
 	defer cancel()
@@ -236,8 +242,8 @@
 	g.Wait()
 }
 
-// loadStale is how old a load report may be before a box reads the endpoint
-// itself: unchanged rows are told only with every full push.
+// loadStaleAfter returns the age of a load report from which a box reads the endpoint itself.
+// Unchanged rows are sent only in full pushes, so it covers two of their periods.
 func (o *Observer) loadStaleAfter() time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -248,7 +254,7 @@
 	h := jsonhttp.Client{Base: "http://" + s.Address, HTTP: o.http.HTTP, Caller: o.http.Caller}
 	var l fleet.Load
 	if err := h.Do(c, http.MethodGet, "/load", nil, &l); err != nil {
-		o.Log.Debug().Str("box", s.Name).Err(err).Msg("load not read")
+		o.Log.Debug().Str("box", s.Name).Err(err).Msg("read load failed")
 		return
 	}
 	f := view.Facts{
@@ -258,7 +264,8 @@
 	o.recordLoad(f, view.Row{ID: view.ID(s.Name), Running: uint16(l.Running), Waiting: uint16(l.Waiting)})
 }
 
-// note enters a report in the view and keeps what the others must be told.
+// recordLoad adds a report to the view and to the next push. Changed facts make the next push full and
+// due at once.
 func (o *Observer) recordLoad(f view.Facts, r view.Row) {
 	o.mu.Lock()
 	old, known := o.facts[r.ID]
@@ -276,7 +283,7 @@
 	o.view.SetRows([]view.Row{r})
 }
 
-// push tells the others of the data centre, now or when the budget allows.
+// push sends a push to the other boxes of the data centre if the budget allows it or now is set.
 func (o *Observer) push(c context.Context, now bool) {
 	self := o.members.Self()
 	ms := o.members.Up(self.DataCentre)
@@ -300,7 +307,8 @@
 	g.Wait()
 }
 
-// interval is how long the push must suffice: others send as much here.
+// pushInterval returns the time to wait after a push p to a number of other boxes to stay within
+// pushBytesPerSecond. Its factor of two counts the pushes received, which are about as large.
 func pushInterval(p Push, others int) time.Duration {
 	b, err := msgpack.Marshal(p)
 	if err != nil {
@@ -309,8 +317,8 @@
 	return time.Duration(float64(2*others*(len(b)+pushOverheadBytes)) / pushBytesPerSecond * float64(time.Second))
 }
 
-// message builds a push: rows that changed since the last, and after some
-// pushes all of them with their facts. The caller holds the lock.
+// buildPush returns a push with the pending rows that differ from the last ones sent. A full push has
+// all pending rows and their facts. The caller holds o.mu.
 func (o *Observer) buildPush(box string) Push {
 	p := Push{
 		From: box, HorizonAge: time.Since(o.view.Horizon()), Digest: o.view.Digest(),
@@ -340,8 +348,8 @@
 }
 
 func (o *Observer) handlePush(c context.Context, p Push) (struct{}, error) {
-	fresh := o.view.SetNotices(p.Notices, time.Now().Add(-p.HorizonAge))
-	if fresh > 0 {
+	added := o.view.SetNotices(p.Notices, time.Now().Add(-p.HorizonAge))
+	if added > 0 {
 		o.requestPush()
 	}
 	mine, _ := o.members.Owner("notices", readersPerTarget)
@@ -380,7 +388,7 @@
 	return p, nil
 }
 
-// fetch takes the whole view of another box.
+// fetch copies the complete view of another box and reports whether it succeeded.
 func (o *Observer) fetch(c context.Context, address string) bool {
 	c, cancel := context.WithTimeout(c, readTimeout)
 	defer cancel()
@@ -394,7 +402,7 @@
 	return true
 }
 
-// fetchAll asks the others of the data centre until one has a view to give.
+// fetchFromAnyPeer copies the view of the first other box of the data centre that has one.
 func (o *Observer) fetchFromAnyPeer(c context.Context) {
 	self := o.members.Self()
 	for _, m := range o.members.Up(self.DataCentre) {
--- a/observer/push_test.go
+++ b/observer/push_test.go
@@ -12,7 +12,7 @@
 	"birchlink.dev/birchlink/view"
 )
 
-// full is a push as a busy box of a size sends it.
+// samplePush returns a push with a number of rows and accounts, as a busy box sends it.
 func samplePush(rows, accounts int) Push {
 	p := Push{From: "kariakoo-hall-entry-39", HorizonAge: time.Second, Digest: 1 << 60, Demand: admission.Demand{Accounts: map[string]float32{}}}
 	for i := range rows {
@@ -24,8 +24,8 @@
 	return p
 }
 
-// Whatever the size, what a box sends and receives in pushes stays within its
-// budget.
+// The traffic of pushes that a box sends and receives stays within the budget for any number of boxes
+// and rows.
 func TestPushIntervalKeepsBudget(t *testing.T) {
 	for _, boxes := range []int{2, 6, 39, 100} {
 		for _, rows := range []int{0, 3, 6, 50} {
@@ -38,7 +38,7 @@
 	}
 }
 
-// BenchmarkPush tells what a push weighs, and how old it lets a view become.
+// BenchmarkPush reports the size of a push and the time between pushes that follows from it.
 func BenchmarkPush(b *testing.B) {
 	for _, n := range []struct{ boxes, rows, accounts int }{{6, 3, 5}, {39, 6, 0}, {39, 6, 24}} {
 		b.Run(fmt.Sprintf("boxes=%d/rows=%d/accounts=%d", n.boxes, n.rows, n.accounts), func(b *testing.B) {
--- a/reporter/reporter.go
+++ b/reporter/reporter.go
@@ -1,7 +1,6 @@
-// Package reporter reports to the cloud how many requests of each account began
-// to run in each window. Each box writes its counts to the store; the holder of
-// the duty fixes their sum there before it sends it, so that a successor sends
-// the same.
+// Package reporter reports to the cloud how many requests of each account started to run in each
+// window of time. Each box writes its counts to the store. The elected leader stores their sum there
+// before it sends it, so that a successor sends the same sum.
 package reporter
 
 import (
@@ -27,11 +26,9 @@
 // Name is the name of the service.
 const Name = "reporter"
 
-// The times of a report. A box writes its part partDelay after the window's end,
-// when the others have told it what they
-// counted until then. The holder looks for the
-// parts after collectDelay, and waits for missing ones until collectMargin
-// before the report is due; the rest is for the call itself.
+// A box writes its counts writeDelay after the end of a window, when it has received what the other
+// boxes counted in it. The leader collects the counts after collectDelay, and waits for missing ones
+// until collectMargin before the report is due. The margin is left for the call to the cloud.
 const (
 	writeDelay    = 800 * time.Millisecond
 	collectDelay  = 1200 * time.Millisecond
@@ -39,29 +36,33 @@
 	retryInterval = 400 * time.Millisecond
 )
 
-// keptWindows is how many windows stay in the store.
+// retainedWindows is the number of windows whose counts are kept in memory and in the store.
 const retainedWindows = 8
 
-// Options says where things stand. Incarnation tells this process from those
-// before it on the same box, whose counts stand beside its own.
+// Options configures a Reporter.
 type Options struct {
-	Prefix      string
-	Box         string
+	Prefix string // of the reporter's keys in the store
+	Box    string
+
+	// Incarnation distinguishes this process from earlier ones on the same box, whose counts are
+	// stored separately.
 	Incarnation string
-	Due         time.Duration
 
-	// WritersPrefix is where the store lists the boxes that write parts: each for
-	// itself and for those that tell it.
+	// Due is how long after the end of a window its report is due.
+	Due time.Duration
+
+	// WritersPrefix is the prefix of the keys in the store that list the boxes that write
+	// counts: each for itself and for the boxes that report to it.
 	WritersPrefix string
 
-	// Writes reports whether this box is one of them; nil is always.
+	// IsWriter reports whether this box writes counts. Nil means always.
 	IsWriter func() bool
 
-	// Now returns the time of day by which windows are numbered; nil is the box's own.
+	// Now returns the time of day by which windows are numbered. Nil means time.Now.
 	Now func() time.Time
 }
 
-// Reporter is the service of one box.
+// Reporter is the service that writes the counts of one box and, on the leader, reports the sums.
 type Reporter struct {
 	Options
 	Tally    *tally.Tally
@@ -76,10 +77,10 @@
 	sent   map[int64]bool
 
 	mu     sync.Mutex
-	remote map[int64]map[string]map[string]int // by window and source
+	remote map[int64]map[string]map[string]int // counts by window, source and account
 }
 
-// New returns the reporter of a box.
+// New returns a reporter for a box. The leader of the election e reports to l.
 func New(o Options, t *tally.Tally, s store.Store, l cloudapi.Cloud, e *election.Election, log zerolog.Logger) *Reporter {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -87,10 +88,10 @@
 	return &Reporter{Options: o, Tally: t, Store: s, Cloud: l, Election: e, log: log}
 }
 
-// Name returns the service's name.
+// Name returns the name of the service.
 func (r *Reporter) Name() string { return Name }
 
-// Start begins to write and to report.
+// Start starts the loops that write counts and send reports.
 func (r *Reporter) Start(context.Context, *kernel.Kernel) error {
 	c, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
@@ -99,15 +100,15 @@
 	return nil
 }
 
-// Stop writes what has been counted and ends.
+// Stop stops the loops and writes the counts of the current window.
 func (r *Reporter) Stop(c context.Context) error {
 	r.cancel()
 	r.group.Wait()
 	return r.writeCounts(c, r.Tally.WindowAt(r.Now()))
 }
 
-// Hear keeps what another process told of its counts, in case it ends or is cut
-// off before it has written them.
+// Merge keeps the counts that another process reported, in case it crashes or is partitioned before it
+// has written them.
 func (r *Reporter) Merge(p tally.Report) {
 	oldest := r.Tally.WindowAt(r.Now()) - retainedWindows
 	r.mu.Lock()
@@ -127,10 +128,10 @@
 	}
 }
 
-// Source names this process among those that count.
+// Source returns the name under which this process's counts are kept.
 func (r *Reporter) Source() string { return r.Box + "." + r.Incarnation }
 
-// write puts this box's part into the store after each window.
+// writeLoop writes this box's counts to the store after each window.
 func (r *Reporter) writeLoop(c context.Context) {
 	next := r.Tally.WindowAt(r.Now())
 	for {
@@ -148,7 +149,7 @@
 				wait.For(c, retryInterval)
 				continue
 			}
-			r.log.Warn().Str("event", "usage").Int64("window", next).Err(err).Msg("this box's part is lost")
+			r.log.Warn().Str("event", "usage").Int64("window", next).Err(err).Msg("counts not written before the report was due")
 		}
 		next++
 		r.Tally.Forget(next - retainedWindows)
@@ -167,7 +168,8 @@
 	return r.Prefix + "sum/" + strconv.FormatInt(window, 10)
 }
 
-// put writes a window's part, and drops an old one of this process.
+// writeCounts writes the counts of a window, those of this process and those reported to it, and
+// deletes what this process wrote retainedWindows earlier.
 func (r *Reporter) writeCounts(c context.Context, window int64) error {
 	all := r.remoteCounts(window)
 	all[r.Source()] = r.Tally.Counts(window)
@@ -193,7 +195,7 @@
 	return b, nil
 }
 
-// report sends what is due while this box holds the duty.
+// reportLoop sends the reports that are due while this box is the leader.
 func (r *Reporter) reportLoop(c context.Context) {
 	for c.Err() == nil {
 		wait.For(c, retryInterval)
@@ -203,7 +205,7 @@
 	}
 }
 
-// round looks at the windows that have ended and are still due.
+// reportDue reports the windows that have ended and whose report is still due.
 func (r *Reporter) reportDue(c context.Context, fence uint64) {
 	if fence != r.fence {
 		r.fence, r.sent = fence, map[int64]bool{}
@@ -223,7 +225,7 @@
 	}
 }
 
-var errMissingCounts = errors.New("parts are missing")
+var errMissingCounts = errors.New("counts are missing")
 
 func (r *Reporter) sendReport(c context.Context, fence uint64, window int64) error {
 	counts, err := r.storedSum(c, window)
@@ -232,7 +234,7 @@
 	}
 	f, ok := r.Election.Act()
 	if !ok || f != fence {
-		return errors.New("the duty is no longer held")
+		return errors.New("leadership lost before the report was sent")
 	}
 	if err := r.Cloud.Report(c, cloudapi.Lease{Holder: r.Box, Fence: fence}, window, counts); err != nil {
 		return err
@@ -242,8 +244,8 @@
 	return nil
 }
 
-// fixed returns the sum of a window as it stands in the store, and puts it
-// there if it does not stand yet.
+// storedSum returns the sum of a window in the store. If there is none, it collects the counts and
+// stores their sum.
 func (r *Reporter) storedSum(c context.Context, window int64) (map[string]int, error) {
 	i, err := r.Store.Get(c, r.sumKey(window))
 	if err != nil {
@@ -266,16 +268,16 @@
 		Delete: []string{r.sumKey(window - retainedWindows)},
 	})
 	if err != nil {
-		// Whoever fixed it, it is read in the next round.
+		// If another box has stored a sum, the next round reads that one.
 		return nil, err
 	}
 	return counts, nil
 }
 
-// collect adds the parts up once each box that is there has written its own, or
-// when there is no more time to wait for one.
+// collect returns the sum of the counts of all boxes. It returns errMissingCounts as long as a box has
+// not written its counts and there is still time to wait for it.
 func (r *Reporter) collect(c context.Context, window int64) (map[string]int, error) {
-	parts, _, err := r.Store.Range(c, r.countsPrefix(window))
+	entries, _, err := r.Store.Range(c, r.countsPrefix(window))
 	if err != nil {
 		return nil, err
 	}
@@ -283,16 +285,16 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(parts) < max(len(writers), 1) && r.Now().Sub(r.Tally.WindowEnd(window)) < r.Due-collectMargin {
-		return nil, fmt.Errorf("%w: %d of %d", errMissingCounts, len(parts), len(writers))
+	if len(entries) < max(len(writers), 1) && r.Now().Sub(r.Tally.WindowEnd(window)) < r.Due-collectMargin {
+		return nil, fmt.Errorf("%w: %d of %d", errMissingCounts, len(entries), len(writers))
 	}
 	all := r.remoteCounts(window)
-	for _, p := range parts {
-		var by map[string]map[string]int
-		if err := json.Unmarshal(p.Value, &by); err != nil {
+	for _, p := range entries {
+		var bySource map[string]map[string]int
+		if err := json.Unmarshal(p.Value, &bySource); err != nil {
 			return nil, fmt.Errorf("decode %s: %w", p.Key, err)
 		}
-		for source, counts := range by {
+		for source, counts := range bySource {
 			all[source] = maxCounts(all[source], counts)
 		}
 	}
@@ -305,8 +307,7 @@
 	return sum, nil
 }
 
-// higher merges two counts of one process: they only grow, so of each the higher
-// is the later.
+// maxCounts merges two counts of one process. Counts only grow, so the higher value is the later one.
 func maxCounts(a, b map[string]int) map[string]int {
 	out := map[string]int{}
 	maps.Copy(out, a)
@@ -316,7 +317,7 @@
 	return out
 }
 
-// heard returns what the processes told of a window.
+// remoteCounts returns the counts of a window that other processes reported, by source.
 func (r *Reporter) remoteCounts(window int64) map[string]map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -27,13 +27,13 @@
 	term   = 3 * time.Second
 )
 
-// cloud keeps what was reported, and checks fences as the real one does.
+// fakeCloud records the reports and refuses stale fences, as the real cloud does.
 type fakeCloud struct {
 	mu            sync.Mutex
 	highest       uint64
 	reports       map[int64][]map[string]int
 	reportedAt    map[int64]time.Time
-	answersToDrop int // answers
+	answersToDrop int
 	refused       int
 }
 
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// box is one box's part.
+// box holds the services of one box.
 type box struct {
 	name     string
 	tally    *tally.Tally
@@ -97,7 +97,7 @@
 	})
 }
 
-// next waits for a new window to begin, and counts three requests in it on box a
+// countInNextWindow waits for the start of the next window, and counts three requests in it on box a
 // and four on box b.
 func countInNextWindow(t *testing.T, a, b *box) int64 {
 	t.Helper()
@@ -112,7 +112,7 @@
 	return w
 }
 
-// same requires that a window was reported in time, and only with these counts.
+// requireReported requires that a window was reported in time, and always with these counts.
 func (l *fakeCloud) requireReported(t *testing.T, w int64, end time.Time, counts map[string]int) {
 	t.Helper()
 	l.mu.Lock()
@@ -134,8 +134,7 @@
 	})
 }
 
-// A report whose answer is lost is sent again with the same counts, also by the
-// box that takes the duty over.
+// A report whose response is lost is sent again with the same counts, also by the next leader.
 func TestSuccessorReportsSameCounts(t *testing.T) {
 	runWithTwoBoxes(t, func(t *testing.T, _ *memstore.Memory, l *fakeCloud, a, b *box) {
 		w := countInNextWindow(t, a, b)
@@ -144,14 +143,14 @@
 		l.mu.Unlock()
 		wait.For(t.Context(), time.Until(a.tally.WindowEnd(w).Add(time.Second)))
 		a.stop(t)
-		b.tally.Add("x", a.tally.WindowEnd(w-1).Add(time.Second)) // comes too late to count
+		b.tally.Add("x", a.tally.WindowEnd(w-1).Add(time.Second)) // after the sum was stored
 		wait.For(t.Context(), 2*window)
 		l.requireReported(t, w, a.tally.WindowEnd(w), map[string]int{"x": 7})
 		b.stop(t)
 	})
 }
 
-// What a box told before it was killed counts, though it never wrote it.
+// Counts that a killed box reported to another box are included although it never wrote them.
 func TestCountsOfKilledBoxAreReported(t *testing.T) {
 	runWithTwoBoxes(t, func(t *testing.T, m *memstore.Memory, l *fakeCloud, a, b *box) {
 		w := countInNextWindow(t, a, b)
@@ -163,7 +162,7 @@
 	})
 }
 
-// kill ends a box without a word: its lease ends, and nothing more is written.
+// kill simulates a crash of a box: its lease expires, and it writes nothing more.
 func kill(t *testing.T, m *memstore.Memory, b *box) {
 	t.Helper()
 	m.Unset("boxes/" + b.name)
@@ -173,14 +172,14 @@
 	_ = b.election.Stop(context.Background())
 }
 
-// away is a store that is never reached.
+// unreachableStore is a store whose commits fail.
 type unreachableStore struct{ store.Store }
 
 func (unreachableStore) Commit(context.Context, store.Change) (uint64, error) {
 	return 0, errors.New("killed")
 }
 
-// Without the store for a while, the report still comes in time.
+// A report is still in time if the store is unreachable for 4.5 s around the end of the window.
 func TestReportSurvivesStoreOutage(t *testing.T) {
 	runWithTwoBoxes(t, func(t *testing.T, m *memstore.Memory, l *fakeCloud, a, b *box) {
 		w := countInNextWindow(t, a, b)
