--- a/observer/observer.go
+++ b/observer/observer.go
@@ -52,7 +52,7 @@
 const pushOverheadBytes = 64
 
 // Push is the message that a box sends to the other boxes of its data centre. HorizonAge is an age and
-// not a time, so that the boxes' clocks need not agree. Boxes is empty unless the box list changed;
+// not a time, so that the boxes' clocks need not agree. A push has Boxes only if the box list changed;
 // Digest identifies the list.
 type Push struct {
 	_msgpack struct{} `msgpack:",as_array"`
@@ -153,8 +153,8 @@
 
 func (o *Observer) update(c context.Context) {
 	var g sync.WaitGroup
-	mine, _ := o.members.Owner("notices", readersPerTarget)
-	if mine || o.IsStale() {
+	isReader, _ := o.members.Owner("notices", readersPerTarget)
+	if isReader || o.IsStale() {
 		g.Go(func() { o.readCloud(c) })
 	}
 	g.Go(func() { o.readLoads(c) })
@@ -234,8 +234,8 @@
 		if s.DataCentre != dc {
 			continue
 		}
-		mine, _ := o.members.Owner(s.Name, readersPerTarget)
-		if mine || time.Since(s.Seen) > o.loadStaleAfter() {
+		isReader, _ := o.members.Owner(s.Name, readersPerTarget)
+		if isReader || time.Since(s.Seen) > o.loadStaleAfter() {
 			g.Go(func() { o.readLoad(c, s) })
 		}
 	}
@@ -352,8 +352,8 @@
 	if added > 0 {
 		o.requestPush()
 	}
-	mine, _ := o.members.Owner("notices", readersPerTarget)
-	if len(p.Boxes) > 0 && !mine {
+	isReader, _ := o.members.Owner("notices", readersPerTarget)
+	if len(p.Boxes) > 0 && !isReader {
 		o.view.SetBoxes(p.Boxes)
 	}
 	o.view.SetFacts(p.Facts)
@@ -361,7 +361,7 @@
 	if p.Demand.Accounts != nil {
 		o.demandSource.SetDemand(p.From, p.Demand)
 	}
-	lacksBoxes := p.Digest != o.view.Digest() && len(p.Boxes) == 0 && !mine && p.HorizonAge < time.Since(o.view.Horizon())+readInterval
+	lacksBoxes := p.Digest != o.view.Digest() && len(p.Boxes) == 0 && !isReader && p.HorizonAge < time.Since(o.view.Horizon())+readInterval
 	if len(missing) > 0 || lacksBoxes {
 		if m, ok := o.findMember(p.From); ok {
 			o.group.Go(func() { o.fetch(context.WithoutCancel(c), m.Address) })
