--- a/front/chat.go
+++ b/front/chat.go
@@ -147,7 +147,7 @@
 
 func newWriter(s *session, q openai.ChatRequest, id string) *writer {
 	return &writer{
-		s: s, id: id, model: q.Model, stream: q.Stream, promptTokens: engine.PromptTokens(q.Prompt()),
+		s: s, id: id, model: q.Model, stream: q.Stream, promptTokens: engine.EstimatePromptTokens(q.Prompt()),
 		includeUsage: q.StreamOptions != nil && q.StreamOptions.IncludeUsage, controller: http.NewResponseController(s.w),
 	}
 }
--- a/known/known.go
+++ b/known/known.go
@@ -286,7 +286,7 @@
 	case d.err != nil:
 		k.removeInvalid(i, d.err)
 	case k.lacksStartTime(d.endpoint):
-		k.removeInvalid(i, endpoint.NewForeign(endpoint.Missing, "born"))
+		k.removeInvalid(i, endpoint.NewRecordError(endpoint.Missing, "born"))
 	default:
 		k.putEndpoint(d.endpoint, i.Revision, bulk)
 	}
@@ -299,10 +299,10 @@
 func (k *Service) lacksStartTime(e endpoint.Endpoint) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if e.Born != 0 {
+	if e.StartMillis != 0 {
 		k.withStartTime[e.ID] = true
 	}
-	return e.Born == 0 && k.withStartTime[e.ID]
+	return e.StartMillis == 0 && k.withStartTime[e.ID]
 }
 
 // removeInvalid removes the endpoint whose record was overwritten by another program, so that it
@@ -317,7 +317,7 @@
 	k.mu.Unlock()
 	k.Roster.Remove(id)
 	reason := endpoint.Unreadable
-	var f *endpoint.ForeignError
+	var f *endpoint.RecordError
 	if errors.As(err, &f) {
 		reason = f.Reason
 	}
@@ -337,12 +337,12 @@
 	k.mu.Unlock()
 	old, had := k.Roster.Get(e.ID)
 	k.Roster.Put(e)
-	if had && (old.Draining || !e.Draining) && old.Born == e.Born || bulk && !had && !e.Draining {
+	if had && (old.Draining || !e.Draining) && old.StartMillis == e.StartMillis || bulk && !had && !e.Draining {
 		return
 	}
-	k.log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.Born).Str("service", e.Service).Str("address", e.Address).
+	k.log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.StartMillis).Str("service", e.Service).Str("address", e.Address).
 		Str("data_centre", e.DataCentre).Bool("draining", e.Draining).Bool("reclaimable", e.Reclaimable).
-		Dur("leaves", e.Leaves).Uint64("revision", revision).Msg("known")
+		Dur("leaves", e.DrainPeriod).Uint64("revision", revision).Msg("known")
 }
 
 // removeOrDelay removes an endpoint whose record was deleted. During an outage of the
--- a/observer/observer.go
+++ b/observer/observer.go
@@ -1,6 +1,6 @@
-// Package observer fills the view: two boxes of a data centre read each
-// endpoint's load, the box list and the notices, and tell the others. A box
-// that hears nothing asks for itself.
+// Package observer keeps the view of a box current. Two boxes of each data centre read the load of
+// each endpoint, the box list and the reclaim notices, and push them to the other boxes there. A box
+// that receives no pushes reads them itself.
 package observer
 
 import (
@@ -27,27 +27,33 @@
 // Name is the name of the service.
 const Name = "observer"
 
-// The times of the protocol. A horizon older than staleAfter makes a box ask
-// the cloud itself, a load report older than that the endpoint.
 const (
-	readEvery   = time.Second
-	readLimit   = 900 * time.Millisecond
-	staleAfter  = 3 * time.Second
-	watchers    = 2
-	fullPushes  = 10
-	demandEvery = 3
+	readInterval = time.Second
+	readTimeout  = 900 * time.Millisecond
+
+	// staleAfter is the age of the view's horizon from which a box reads the notices from the
+	// cloud itself, and the minimum age of a load report from which it reads the endpoint itself.
+	staleAfter = 3 * time.Second
+
+	// readersPerTarget is the number of boxes of a data centre that read the same endpoint, or
+	// the box list and the notices.
+	readersPerTarget = 2
+
+	fullPushEvery   = 10 // of ten pushes, one has the facts and also unchanged rows
+	demandPushEvery = 3  // of three pushes, one has the demand
 )
 
-// pushBudget is what a box's pushes may take of its control traffic, in bytes a
-// second, sent and received. The time between pushes follows from it, so that
-// more boxes or endpoints make the view older and not the traffic more.
-const pushBudget = 4500
+// pushBytesPerSecond bounds the traffic of pushes that a box sends and receives. The time between
+// pushes follows from it: with more boxes or endpoints the view gets older, and the traffic does not
+// grow.
+const pushBytesPerSecond = 4500
 
-// overheadBytes is what a push takes beyond its body: its frame and its answer.
-const overheadBytes = 64
+// pushOverheadBytes is the size of the frame and the response of a push.
+const pushOverheadBytes = 64
 
-// Push is what one box tells the others of its data centre. Ages are used in
-// place of times, so that the boxes' clocks need not agree.
+// Push is the message that a box sends to the other boxes of its data centre. HorizonAge is an age and
+// not a time, so that the boxes' clocks need not agree. A push has Boxes only if the box list changed;
+// Digest identifies the list.
 type Push struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -61,59 +67,59 @@
 	Demand     admission.Demand
 }
 
-// Observer is the service of one box.
+// Observer is the service that keeps the view of one box current.
 type Observer struct {
-	Platform *cloud.Client
-	Log      zerolog.Logger
-
-	view    *view.View
-	members *member.Service
-	peers   *peer.Node
-	demand  *admission.Admission
-	http    *jsonhttp.Client
-
-	mu      sync.Mutex
-	told    map[uint32]view.Facts
-	rows    map[uint32]view.Row
-	lastTo  uint64
-	pushed  map[uint32]view.Row
-	fresh   bool
-	nextAt  time.Time
-	period  time.Duration
-	pushes  int
-	asking  sync.Mutex
-	asked   time.Time
-	cancel  context.CancelFunc
-	group   sync.WaitGroup
-	noticed chan struct{}
+	Cloud *cloud.Client
+	Log   zerolog.Logger
+
+	view         *view.View
+	members      *member.Service
+	peers        *peer.Node
+	demandSource *admission.Admission
+	http         *jsonhttp.Client
+
+	mu           sync.Mutex
+	facts        map[uint32]view.Facts
+	pendingRows  map[uint32]view.Row
+	sentDigest   uint64
+	sentRows     map[uint32]view.Row
+	factsChanged bool
+	nextPush     time.Time
+	pushPeriod   time.Duration
+	pushCount    int
+	refreshMu    sync.Mutex
+	refreshedAt  time.Time
+	cancel       context.CancelFunc
+	group        sync.WaitGroup
+	pushNow      chan struct{}
 }
 
-// New returns the observer of a box.
+// New returns the observer of a box that reads from p.
 func New(p *cloud.Client, log zerolog.Logger) *Observer {
 	return &Observer{
-		Platform: p, Log: log, told: map[uint32]view.Facts{}, rows: map[uint32]view.Row{}, pushed: map[uint32]view.Row{},
-		noticed: make(chan struct{}, 1),
+		Cloud: p, Log: log, facts: map[uint32]view.Facts{}, pendingRows: map[uint32]view.Row{}, sentRows: map[uint32]view.Row{},
+		pushNow: make(chan struct{}, 1),
 	}
 }
 
-// Name returns the service's name.
+// Name returns the name of the service.
 func (o *Observer) Name() string { return Name }
 
-// Start reads everything once and goes on every second.
+// Start reads everything once, and then updates the view every second until Stop is called.
 func (o *Observer) Start(c context.Context, k *kernel.Kernel) error {
 	if err := errors.Join(
 		kernel.Bind(k, view.Name, &o.view),
 		kernel.Bind(k, member.Name, &o.members),
 		kernel.Bind(k, peer.Name, &o.peers),
-		kernel.Bind(k, admission.Name, &o.demand),
+		kernel.Bind(k, admission.Name, &o.demandSource),
 	); err != nil {
 		return err
 	}
-	o.http = &jsonhttp.Client{HTTP: &http.Client{Timeout: readLimit}, Caller: o.members.Self().Box}
-	peer.Handle(o.peers.Server, "view.push", o.take)
-	peer.Handle(o.peers.Server, "view.all", o.giveAll)
-	o.fetchAll(c)
-	o.readPlatform(c)
+	o.http = &jsonhttp.Client{HTTP: &http.Client{Timeout: readTimeout}, Caller: o.members.Self().Box}
+	peer.Handle(o.peers.Server, "view.push", o.handlePush)
+	peer.Handle(o.peers.Server, "view.all", o.handleFetch)
+	o.fetchFromAnyPeer(c)
+	o.readCloud(c)
 	o.readLoads(c)
 	x, cancel := context.WithCancel(context.Background())
 	o.cancel = cancel
@@ -121,7 +127,7 @@
 	return nil
 }
 
-// Stop ends the reading.
+// Stop stops the updates and closes idle connections.
 func (o *Observer) Stop(context.Context) error {
 	o.cancel()
 	o.group.Wait()
@@ -130,62 +136,62 @@
 }
 
 func (o *Observer) loop(c context.Context) {
-	t := time.NewTicker(readEvery)
+	t := time.NewTicker(readInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-c.Done():
 			return
-		case <-o.noticed:
+		case <-o.pushNow:
 			o.push(c, true)
 			continue
 		case <-t.C:
 		}
-		o.round(c)
+		o.update(c)
 	}
 }
 
-func (o *Observer) round(c context.Context) {
+func (o *Observer) update(c context.Context) {
 	var g sync.WaitGroup
-	mine, _ := o.members.Owner("notices", watchers)
-	if mine || o.Stale() {
-		g.Go(func() { o.readPlatform(c) })
+	isReader, _ := o.members.Owner("notices", readersPerTarget)
+	if isReader || o.IsStale() {
+		g.Go(func() { o.readCloud(c) })
 	}
 	g.Go(func() { o.readLoads(c) })
 	g.Wait()
 	o.push(c, false)
 }
 
-// Stale reports whether notices may have been missed.
-func (o *Observer) Stale() bool { return time.Since(o.view.Horizon()) > staleAfter }
+// IsStale reports whether the view may lack reclaim notices.
+func (o *Observer) IsStale() bool { return time.Since(o.view.Horizon()) > staleAfter }
 
-// Ensure asks the cloud itself if the horizon is old, before new work is sent.
-// Those that come meanwhile wait for the one that asks. It reports whether the
-// horizon is fresh now.
-func (o *Observer) Ensure(c context.Context) bool {
-	if !o.Stale() {
+// EnsureFresh reads the box list and the notices from the cloud if the view is stale, and reports
+// whether the view is fresh afterwards. It is called before new work is sent. Concurrent calls wait
+// for one read.
+func (o *Observer) EnsureFresh(c context.Context) bool {
+	if !o.IsStale() {
 		return true
 	}
-	o.asking.Lock()
-	defer o.asking.Unlock()
-	// Another may have asked meanwhile: it found the answer, or just now none.
-	if !o.Stale() || time.Since(o.asked) < readEvery {
-		return !o.Stale()
+	o.refreshMu.Lock()
+	defer o.refreshMu.Unlock()
+	// A concurrent call may have refreshed the view, or just failed to.
+	if !o.IsStale() || time.Since(o.refreshedAt) < readInterval {
+		return !o.IsStale()
 	}
-	o.readPlatform(c)
-	o.asked = time.Now()
-	return !o.Stale()
+	o.readCloud(c)
+	o.refreshedAt = time.Now()
+	return !o.IsStale()
 }
 
-// readPlatform reads the box list and the notices.
-func (o *Observer) readPlatform(c context.Context) {
-	c, cancel := context.WithTimeout(c, readLimit)
+// readCloud reads the box list and the notices.
+func (o *Observer) readCloud(c context.Context) {
+	c, cancel := context.WithTimeout(c, readTimeout)
 	defer cancel()
 	var g sync.WaitGroup
 	g.Go(func() {
-		bs, err := o.Platform.Boxes(c)
+		bs, err := o.Cloud.Boxes(c)
 		if err != nil {
-			o.Log.Warn().Err(err).Msg("box list not read")
+			o.Log.Warn().Err(err).Msg("read box list failed")
 			return
 		}
 		o.view.SetBoxes(bs)
@@ -196,7 +202,7 @@
 
 func (o *Observer) readNotices(c context.Context) {
 	asOf := time.Now()
-	bs, err := o.Platform.Notices(c)
+	bs, err := o.Cloud.Notices(c)
 	if err != nil {
 		o.Log.Warn().Err(err).Msg("notices not read")
 		return
@@ -206,21 +212,21 @@
 		m[b.Name] = b.Deadline
 	}
 	if o.view.SetNotices(m, asOf) > 0 {
-		o.wake()
+		o.requestPush()
 	}
 }
 
-func (o *Observer) wake() {
+func (o *Observer) requestPush() {
 	select {
-	case o.noticed <- struct{}{}:
+	case o.pushNow <- struct{}{}:
 	default:
 	}
 }
 
-// readLoads reads the endpoints of the own data centre that this box observes,
-// and those of which nobody has told it for some time.
+// readLoads reads the load of the endpoints in this data centre that this box is a reader of, and of
+// those without a recent report from another box.
 func (o *Observer) readLoads(c context.Context) {
-	c, cancel := context.WithTimeout(c, readLimit)
+	c, cancel := context.WithTimeout(c, readTimeout)
 	defer cancel()
 	dc := o.members.Self().DataCentre
 	var g sync.WaitGroup
@@ -228,47 +234,48 @@
 		if s.DataCentre != dc {
 			continue
 		}
-		mine, _ := o.members.Owner(s.Name, watchers)
-		if mine || time.Since(s.ReportedAt) > o.loadStale() {
+		isReader, _ := o.members.Owner(s.Name, readersPerTarget)
+		if isReader || time.Since(s.ReportedAt) > o.loadStaleAfter() {
 			g.Go(func() { o.readLoad(c, s) })
 		}
 	}
 	g.Wait()
 }
 
-// loadStale is how old a load report may be before a box reads the endpoint
-// itself: unchanged rows are told only with every full push.
-func (o *Observer) loadStale() time.Duration {
+// loadStaleAfter returns the age of a load report from which a box reads the endpoint itself.
+// Unchanged rows are sent only in full pushes, so it covers two of their periods.
+func (o *Observer) loadStaleAfter() time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return staleAfter + 2*fullPushes*max(o.period, readEvery)
+	return staleAfter + 2*fullPushEvery*max(o.pushPeriod, readInterval)
 }
 
 func (o *Observer) readLoad(c context.Context, s *view.EndpointState) {
 	h := jsonhttp.Client{Base: "http://" + s.Address, HTTP: o.http.HTTP, Caller: o.http.Caller}
 	var l fleet.Load
 	if err := h.Do(c, http.MethodGet, "/load", nil, &l); err != nil {
-		o.Log.Debug().Str("box", s.Name).Err(err).Msg("load not read")
+		o.Log.Debug().Str("box", s.Name).Err(err).Msg("read load failed")
 		return
 	}
 	f := view.Facts{
 		Box: s.Name, Incarnation: l.Incarnation, Loaded: l.Loaded, Slots: l.Slots,
 		TokensPerSecond: l.TokensPerSecond, ChecksFence: l.ChecksFence,
 	}
-	o.note(f, view.Row{ID: view.ID(s.Name), Running: uint16(l.Running), Waiting: uint16(l.Waiting)})
+	o.recordLoad(f, view.Row{ID: view.ID(s.Name), Running: uint16(l.Running), Waiting: uint16(l.Waiting)})
 }
 
-// note enters a report in the view and keeps what the others must be told.
-func (o *Observer) note(f view.Facts, r view.Row) {
+// recordLoad adds a report to the view and to the next push. Changed facts make the next push full and
+// due at once.
+func (o *Observer) recordLoad(f view.Facts, r view.Row) {
 	o.mu.Lock()
-	old, known := o.told[r.ID]
+	old, known := o.facts[r.ID]
 	same := known && old.Incarnation == f.Incarnation && slices.Equal(old.Loaded, f.Loaded) && old.Slots == f.Slots
 	if !same {
-		o.told[r.ID] = f
-		o.fresh = true
-		o.nextAt = time.Time{}
+		o.facts[r.ID] = f
+		o.factsChanged = true
+		o.nextPush = time.Time{}
 	}
-	o.rows[r.ID] = r
+	o.pendingRows[r.ID] = r
 	o.mu.Unlock()
 	if !same {
 		o.view.SetFacts([]view.Facts{f})
@@ -276,20 +283,20 @@
 	o.view.SetRows([]view.Row{r})
 }
 
-// push tells the others of the data centre, now or when the budget allows.
+// push sends a push to the other boxes of the data centre if the budget allows it or now is set.
 func (o *Observer) push(c context.Context, now bool) {
 	self := o.members.Self()
 	ms := o.members.Up(self.DataCentre)
 	o.mu.Lock()
-	if !now && time.Now().Before(o.nextAt) {
+	if !now && time.Now().Before(o.nextPush) {
 		o.mu.Unlock()
 		return
 	}
-	p := o.message(self.Box)
-	o.period = interval(p, len(ms)-1)
-	o.nextAt = time.Now().Add(o.period)
+	p := o.buildPush(self.Box)
+	o.pushPeriod = pushInterval(p, len(ms)-1)
+	o.nextPush = time.Now().Add(o.pushPeriod)
 	o.mu.Unlock()
-	c, cancel := context.WithTimeout(c, readLimit)
+	c, cancel := context.WithTimeout(c, readTimeout)
 	defer cancel()
 	var g sync.WaitGroup
 	for _, m := range ms {
@@ -300,69 +307,70 @@
 	g.Wait()
 }
 
-// interval is how long the push must suffice: others send as much here.
-func interval(p Push, others int) time.Duration {
+// pushInterval returns the time to wait after a push p to a number of other boxes to stay within
+// pushBytesPerSecond. Its factor of two counts the pushes received, which are about as large.
+func pushInterval(p Push, others int) time.Duration {
 	b, err := msgpack.Marshal(p)
 	if err != nil {
-		return readEvery
+		return readInterval
 	}
-	return time.Duration(float64(2*others*(len(b)+overheadBytes)) / pushBudget * float64(time.Second))
+	return time.Duration(float64(2*others*(len(b)+pushOverheadBytes)) / pushBytesPerSecond * float64(time.Second))
 }
 
-// message builds a push: rows that changed since the last, and after some
-// pushes all of them with their facts. The caller holds the lock.
-func (o *Observer) message(box string) Push {
+// buildPush returns a push with the pending rows that differ from the last ones sent. A full push has
+// all pending rows and their facts. The caller holds o.mu.
+func (o *Observer) buildPush(box string) Push {
 	p := Push{
 		From: box, HorizonAge: time.Since(o.view.Horizon()), Digest: o.view.Digest(),
 		Notices: o.view.Notices(),
 	}
-	full := o.fresh || o.pushes%fullPushes == 0
-	if o.pushes%demandEvery == 0 {
-		p.Demand = o.demand.Demand()
+	full := o.factsChanged || o.pushCount%fullPushEvery == 0
+	if o.pushCount%demandPushEvery == 0 {
+		p.Demand = o.demandSource.Demand()
 	}
-	o.pushes++
-	o.fresh = false
-	for id, r := range o.rows {
-		if r != o.pushed[id] || full {
+	o.pushCount++
+	o.factsChanged = false
+	for id, r := range o.pendingRows {
+		if r != o.sentRows[id] || full {
 			p.Rows = append(p.Rows, r)
-			o.pushed[id] = r
+			o.sentRows[id] = r
 		}
 		if full {
-			p.Facts = append(p.Facts, o.told[id])
+			p.Facts = append(p.Facts, o.facts[id])
 		}
 	}
-	clear(o.rows)
-	if p.Digest != o.lastTo {
+	clear(o.pendingRows)
+	if p.Digest != o.sentDigest {
 		p.Boxes, _ = o.view.Boxes()
-		o.lastTo = p.Digest
+		o.sentDigest = p.Digest
 	}
 	return p
 }
 
-func (o *Observer) take(c context.Context, p Push) (struct{}, error) {
-	fresh := o.view.SetNotices(p.Notices, time.Now().Add(-p.HorizonAge))
-	if fresh > 0 {
-		o.wake()
+func (o *Observer) handlePush(c context.Context, p Push) (struct{}, error) {
+	added := o.view.SetNotices(p.Notices, time.Now().Add(-p.HorizonAge))
+	if added > 0 {
+		o.requestPush()
 	}
-	mine, _ := o.members.Owner("notices", watchers)
-	if len(p.Boxes) > 0 && !mine {
+	isReader, _ := o.members.Owner("notices", readersPerTarget)
+	if len(p.Boxes) > 0 && !isReader {
 		o.view.SetBoxes(p.Boxes)
 	}
 	o.view.SetFacts(p.Facts)
 	missing := o.view.SetRows(p.Rows)
 	if p.Demand.Accounts != nil {
-		o.demand.SetDemand(p.From, p.Demand)
+		o.demandSource.SetDemand(p.From, p.Demand)
 	}
-	lacksBoxes := p.Digest != o.view.Digest() && len(p.Boxes) == 0 && !mine && p.HorizonAge < time.Since(o.view.Horizon())+readEvery
+	lacksBoxes := p.Digest != o.view.Digest() && len(p.Boxes) == 0 && !isReader && p.HorizonAge < time.Since(o.view.Horizon())+readInterval
 	if len(missing) > 0 || lacksBoxes {
-		if m, ok := o.memberOf(p.From); ok {
+		if m, ok := o.findMember(p.From); ok {
 			o.group.Go(func() { o.fetch(context.WithoutCancel(c), m.Address) })
 		}
 	}
 	return struct{}{}, nil
 }
 
-func (o *Observer) memberOf(box string) (member.Member, bool) {
+func (o *Observer) findMember(box string) (member.Member, bool) {
 	for _, m := range o.members.Up("") {
 		if m.Box == box {
 			return m, true
@@ -371,7 +379,7 @@
 	return member.Member{}, false
 }
 
-func (o *Observer) giveAll(context.Context, struct{}) (Push, error) {
+func (o *Observer) handleFetch(context.Context, struct{}) (Push, error) {
 	p := Push{
 		From: o.members.Self().Box, HorizonAge: time.Since(o.view.Horizon()),
 		Digest: o.view.Digest(), Notices: o.view.Notices(), Facts: o.view.Facts(nil),
@@ -380,9 +388,9 @@
 	return p, nil
 }
 
-// fetch takes the whole view of another box.
+// fetch copies the complete view of another box and reports whether it succeeded.
 func (o *Observer) fetch(c context.Context, address string) bool {
-	c, cancel := context.WithTimeout(c, readLimit)
+	c, cancel := context.WithTimeout(c, readTimeout)
 	defer cancel()
 	var p Push
 	if err := o.peers.Client.Call(c, address, "view.all", struct{}{}, &p); err != nil || len(p.Boxes) == 0 {
@@ -394,8 +402,8 @@
 	return true
 }
 
-// fetchAll asks the others of the data centre until one has a view to give.
-func (o *Observer) fetchAll(c context.Context) {
+// fetchFromAnyPeer copies the view of the first other box of the data centre that has one.
+func (o *Observer) fetchFromAnyPeer(c context.Context) {
 	self := o.members.Self()
 	for _, m := range o.members.Up(self.DataCentre) {
 		if m.Box != self.Box && o.fetch(c, m.Address) {
--- a/plain/proxy.go
+++ b/plain/proxy.go
@@ -207,7 +207,7 @@
 // passes, and fails at once if all endpoints back off beyond the deadline.
 func (p *Proxy) waitForEndpoint(c context.Context, q Request, avoid map[string]bool, st recovery.State) (*view.EndpointState, error) {
 	for {
-		p.noticeObserver.Ensure(c)
+		p.noticeObserver.EnsureFresh(c)
 		if s := p.choose(q, avoid, st.Attempts); s != nil {
 			return s, nil
 		}
--- a/stream/leave.go
+++ b/stream/leave.go
@@ -131,7 +131,7 @@
 // reclaimInput describes a stream to the planner of a reclaim.
 func reclaimInput(s *Stream, rate float64) reclaim.Stream {
 	n := s.Len()
-	computed := engine.PromptTokens(s.Prompt) + n
+	computed := engine.EstimatePromptTokens(s.Prompt) + n
 	return reclaim.Stream{
 		ID: s.ID, Workload: s.Workload, ComputedTokens: computed, RemainingTokens: s.MaxTokens - n,
 		TokensPerSecond: rate, CacheBytes: int64(computed) * kvBytesPerToken,
--- a/stream/run.go
+++ b/stream/run.go
@@ -221,9 +221,9 @@
 // recordBackOff stores the back-off period that an engine asked for when it refused. A refusing
 // engine has the most free slots, and would otherwise be chosen for every stream.
 func (r *run) recordBackOff(err error) {
-	var e *engine.RestError
+	var e *engine.BackOffError
 	if r.target.slot != nil && errors.As(err, &e) {
-		r.k.view.BackOffs.Extend(r.target.slot.ProcessID(), e.For, boottime.Now())
+		r.k.view.BackOffs.Extend(r.target.slot.ProcessID(), e.Duration, boottime.Now())
 	}
 }
 
@@ -274,7 +274,7 @@
 // prompt's prefix is cached.
 func (r *run) recordLine(l engine.Line) {
 	if r.target.slot != nil {
-		r.k.prefixes.Add(engine.Prefix(r.s.Workload, r.s.Prompt), r.target.box)
+		r.k.prefixes.Add(engine.PrefixHash(r.s.Workload, r.s.Prompt), r.target.box)
 	}
 	if r.attempt > 1 && l.Prefill > 0 {
 		r.s.update(func() { r.s.stats.Recomputed += l.Prefill })
@@ -368,9 +368,9 @@
 			return r.readRemaining(c)
 		case errors.Is(err, engine.ErrRestarted):
 			return interrupted, recovery.Restarted
-		case errors.Is(err, engine.ErrEnded) && ended >= recovery.MaxReattaches:
+		case errors.Is(err, engine.ErrNotListening) && ended >= recovery.MaxReattaches:
 			return interrupted, recovery.Gone
-		case errors.Is(err, engine.ErrEnded):
+		case errors.Is(err, engine.ErrNotListening):
 			ended++
 		case r.isGone():
 			return interrupted, recovery.Gone
