--- a/cmd/birchstand/main.go
+++ b/cmd/birchstand/main.go
@@ -127,7 +127,7 @@
 
 func (e engineArguments) options(listen string) engine.Options {
 	return engine.Options{
-		Name: e.Name, Address: listen, Loaded: e.Loaded, Slots: e.Slots, TokenEvery: e.TokenEvery,
+		Name: e.Name, Address: listen, Loaded: e.Loaded, Slots: e.Slots, TokenInterval: e.TokenEvery,
 		PrefillRate: e.PrefillRate, CacheSize: e.Cache, LoadLag: e.LoadLag, ChecksFence: !e.NoFence, Weights: e.Weights, AuditFile: e.AuditFile,
 	}
 }
--- a/cmd/birchup/main.go
+++ b/cmd/birchup/main.go
@@ -57,14 +57,14 @@
 	const slots, slower = 8, 2
 	return lab.Options{
 		DataCentres: []string{"kariakoo-hall", "msasani-hall", "ubungo-hall"}, Entries: 2,
-		Engines: []lab.EngineKind{
+		Engines: []lab.EngineSpec{
 			{Class: "new", Slots: slots},
 			{Class: "new", Slots: slots, Reclaimable: true},
-			{Class: "old", Slots: slots, Reclaimable: true, Slower: slower, NoFence: true},
+			{Class: "old", Slots: slots, Reclaimable: true, Slowdown: slower, NoFence: true},
 			{Class: "new", Slots: slots, Reclaimable: true, Stopped: true},
 		},
 		Services: []string{"matokeo-api", "yard-api"}, Config: text, Policy: policy,
-		TokenEvery: 15 * time.Millisecond, BoxListLag: time.Second, StopNotice: time.Second, StopLimit: 20 * time.Second,
+		TokenInterval: 15 * time.Millisecond, BoxListLag: time.Second, StopNotice: time.Second, StopLimit: 20 * time.Second,
 	}
 }
 
@@ -87,8 +87,8 @@
 	if a.Measure {
 		l.Options = measured(l.Options, a)
 	}
-	defer l.Down()
-	if err := l.Up(c); err != nil {
+	defer l.Close()
+	if err := l.Start(c); err != nil {
 		return err
 	}
 	if a.Measure {
@@ -104,7 +104,7 @@
 
 // show prints one line a process, and what a caller needs.
 func show(l *lab.Lab, d *config.Document) {
-	for _, p := range l.All("") {
+	for _, p := range l.Processes("") {
 		fmt.Printf("%-9s %-14s %-28s pid %-7d %s", p.Role, p.DataCentre, p.Name, p.PID(), p.Address)
 		if p.Role == "entry" {
 			fmt.Printf("  admin %s", p.Admin)
@@ -112,7 +112,7 @@
 		fmt.Println()
 	}
 	fmt.Printf("caller key: %s\noperators' key: %s\nlogs: %s\nstop with Ctrl-C\n",
-		d.Accounts[0].Key, lab.OperatorKey, filepath.Dir(l.All("")[0].Log))
+		d.Accounts[0].Key, lab.OperatorKey, filepath.Dir(l.Processes("")[0].Log))
 }
 
 // try sends both mixes, with a reclaim in the middle of each.
@@ -138,7 +138,7 @@
 	}
 	t := time.AfterFunc(a.Duration/2, func() {
 		fmt.Printf("reclaim notice: %v%s\n", notice.Boxes, notice.DataCentre)
-		if err := l.Notice(c, notice); err != nil {
+		if err := l.SendNotice(c, notice); err != nil {
 			fmt.Println("no notice:", err)
 		}
 	})
@@ -166,7 +166,7 @@
 }
 
 func addresses(l *lab.Lab, role string) []string {
-	ps := l.All(role)
+	ps := l.Processes(role)
 	as := make([]string, len(ps))
 	for i, p := range ps {
 		as[i] = p.Address
--- a/cmd/birchup/measure.go
+++ b/cmd/birchup/measure.go
@@ -44,7 +44,7 @@
 // most over all of them.
 func measure(c context.Context, l *lab.Lab, d time.Duration) error {
 	wait.For(c, settleTime)
-	ps := l.All("entry")
+	ps := l.Processes("entry")
 	before := make([]usage, len(ps))
 	for i, p := range ps {
 		u, err := read(c, p)
@@ -70,7 +70,7 @@
 	}
 	n := float64(len(ps))
 	fmt.Printf("entry boxes %d, engines %d: processor %.2f%% of a core (most %.2f%%), resident %.1f MB, peers %.0f B/s, key-value calls %.2f/s a box\n",
-		len(ps), len(l.All("engine")), 100*cpu/n, 100*most, rss/n/(1<<20), bytes/n, kv/n)
+		len(ps), len(l.Processes("engine")), 100*cpu/n, 100*most, rss/n/(1<<20), bytes/n, kv/n)
 	return nil
 }
 
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -64,7 +64,7 @@
 func start(t *testing.T, example, name string, more ...fleet.Box) *box {
 	text, err := os.ReadFile(filepath.Join("..", "examples", example))
 	require.NoError(t, err)
-	e := standengine.New(standengine.Options{Name: "engine-1", Slots: 8, TokenEvery: time.Millisecond, PrefillRate: 1e6, CacheSize: 8, ChecksFence: true})
+	e := standengine.New(standengine.Options{Name: "engine-1", Slots: 8, TokenInterval: time.Millisecond, PrefillRate: 1e6, CacheSize: 8, ChecksFence: true})
 	bs := append([]fleet.Box{
 		{Name: "engine-1", DataCentre: "hall", Address: serve(t, e), Role: fleet.EngineRole, Class: "new", State: fleet.Live},
 		{Name: "service-1", DataCentre: "hall", Address: serve(t, service.New(name)), Role: fleet.ServiceRole, Service: name, State: fleet.Live},
--- a/daemon/entry_test.go
+++ b/daemon/entry_test.go
@@ -29,7 +29,7 @@
 // a new one takes the place of each that ends.
 type platform struct {
 	t     *testing.T
-	store *memstore.Memory
+	store *memstore.Store
 	text  string // the store's address
 
 	mu      sync.Mutex
@@ -39,7 +39,7 @@
 }
 
 func newPlatform(t *testing.T, servers int) *platform {
-	p := &platform{t: t, store: &memstore.Memory{}}
+	p := &platform{t: t, store: &memstore.Store{}}
 	p.text = serve(t, standin.StoreHandler(p.store))
 	p.store.Set(standin.ConfigKey, standin.Config(1, "api"))
 	for range servers {
@@ -307,7 +307,7 @@
 }
 
 // written reports whether what processes that start anew have to know names a content.
-func written(m *memstore.Memory) bool {
+func written(m *memstore.Store) bool {
 	i, err := m.Get(context.Background(), "birchlink/before")
 	return err == nil && strings.Contains(string(i.Value), `"Contents":[{`)
 }
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -17,7 +17,7 @@
 
 const term = 3 * time.Second
 
-func startElection(t *testing.T, m *memstore.Memory, box string) *election.Election {
+func startElection(t *testing.T, m *memstore.Store, box string) *election.Election {
 	t.Helper()
 	e := &election.Election{Store: m, Key: "duty", Box: box, Term: term, Log: zerolog.Nop()}
 	require.NoError(t, e.Start(t.Context(), nil))
@@ -36,7 +36,7 @@
 // When the holder stops, another box becomes the holder under a higher fence. There are never two.
 func TestHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &memstore.Memory{}
+		m := &memstore.Store{}
 		a := startElection(t, m, "a")
 		wait.For(t.Context(), 2*term)
 		b := startElection(t, m, "b")
@@ -56,7 +56,7 @@
 // clock alone.
 func TestStopsBeforeLeaseExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &memstore.Memory{}
+		m := &memstore.Store{}
 		a := startElection(t, m, "a")
 		wait.For(t.Context(), 2*term)
 		_, ok := a.UseFence()
@@ -74,7 +74,7 @@
 // fence. Otherwise its calls could alternate with those of the holder in between.
 func TestWaitsTermAfterReelection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &memstore.Memory{}
+		m := &memstore.Store{}
 		a := startElection(t, m, "a")
 		wait.For(t.Context(), 2*term)
 		f, ok := a.UseFence()
@@ -97,7 +97,7 @@
 // A commit whose answer is lost leads neither to two holders nor to a long time without one.
 func TestLostCommitResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &memstore.Memory{}
+		m := &memstore.Store{}
 		m.LoseAnswers(1)
 		a, b := startElection(t, m, "a"), startElection(t, m, "b")
 		wait.For(t.Context(), 3*term)
@@ -112,7 +112,7 @@
 // still while the box is suspended, but the store ends the lease and another box may be the holder.
 func TestSuspendedHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &memstore.Memory{}
+		m := &memstore.Store{}
 		a := startElection(t, m, "a")
 		wait.For(t.Context(), 2*term)
 		n, _ := countHolders(a)
--- a/gossip/arbiters_test.go
+++ b/gossip/arbiters_test.go
@@ -28,7 +28,7 @@
 func TestTwoArbitersHoldAllShares(t *testing.T) {
 	for _, dc := range []string{"dc0", "dc1"} {
 		t.Run(dc, func(t *testing.T) {
-			m := &memstore.Memory{}
+			m := &memstore.Store{}
 			m.Set("config", `{"Version":3,"Accounts":[{"Name":"a","Rate":1000,"Burst":1000}]}`)
 			bs := startSevenBoxes(t, m)
 			waitUntil(t, sharesSettled(bs))
--- a/gossip/fetch_test.go
+++ b/gossip/fetch_test.go
@@ -75,7 +75,7 @@
 // the rounds, each member gave up after 0.45 s, closed the connection as unresponsive and asked again,
 // and none received the records.
 func TestRoundsContinueDuringSlowFetch(t *testing.T) {
-	m := &memstore.Memory{}
+	m := &memstore.Store{}
 	m.Set("config", `{"Version":3}`)
 	for i := range 3000 {
 		m.Set(fmt.Sprintf("e/i-%08x", 2654435761*uint32(i)), "ready")
@@ -101,7 +101,7 @@
 // A fetch can stall until its timeout when a partition blocks its connection. A box that has switched
 // to another relay meanwhile fetches from that one.
 func TestStalledFetchReplaced(t *testing.T) {
-	m := &memstore.Memory{}
+	m := &memstore.Store{}
 	m.Set("config", `{"Version":3}`)
 	for i := range 3000 {
 		m.Set(fmt.Sprintf("e/i-%08x", 2654435761*uint32(i)), "ready")
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -191,7 +191,7 @@
 	require.Eventually(t, f, 30*time.Second, 5*time.Millisecond)
 }
 
-func startSevenBoxes(t *testing.T, m *memstore.Memory) []*box {
+func startSevenBoxes(t *testing.T, m *memstore.Store) []*box {
 	t.Helper()
 	bs := make([]*box, 0, 7)
 	for i := range 7 {
@@ -212,7 +212,7 @@
 
 // In a fleet of up to twelve boxes, all exchange hints, relays and members alike.
 func TestHintPeersInSmallFleet(t *testing.T) {
-	m := &memstore.Memory{}
+	m := &memstore.Store{}
 	m.Set("config", `{"Version":3}`)
 	bs := startSevenBoxes(t, m)
 	waitUntil(t, func() bool {
@@ -226,7 +226,7 @@
 // In a larger fleet, boxes of one data centre exchange all hints, and boxes of different ones only
 // those of very long prompts.
 func TestHintPeersInLargeFleet(t *testing.T) {
-	m := &memstore.Memory{}
+	m := &memstore.Store{}
 	m.Set("config", `{"Version":3}`)
 	bs := make([]*box, 0, 14)
 	for i := range 14 {
@@ -243,7 +243,7 @@
 // Two boxes of each data centre become relays, and two of the relays watch the store. Each box learns
 // the sums of all others, and changes of the store reach all boxes.
 func TestRelaysAndMembers(t *testing.T) {
-	m := &memstore.Memory{}
+	m := &memstore.Store{}
 	m.Set("config", `{"Version":3}`)
 	m.Set("e/x", "ready")
 	bs := startSevenBoxes(t, m)
@@ -267,7 +267,7 @@
 
 // When a relay stops, a member claims its slot, and changes still reach all boxes.
 func TestMemberReplacesStoppedRelay(t *testing.T) {
-	m := &memstore.Memory{}
+	m := &memstore.Store{}
 	m.Set("config", `{"Version":3}`)
 	bs := startSevenBoxes(t, m)
 	waitUntil(t, func() bool { return countBoxes(bs, (*box).IsRelay) == 4 })
@@ -306,7 +306,7 @@
 // A box that can't reach the store from its start on learns the configuration and the endpoints from
 // other boxes, one of which is in its settings.
 func TestBoxWithoutStoreLearnsFromSeed(t *testing.T) {
-	m := &memstore.Memory{}
+	m := &memstore.Store{}
 	m.Set("config", `{"Version":3}`)
 	m.Set("e/x", "ready")
 	a := startBox(t, m, "a", "dc0")
@@ -346,7 +346,7 @@
 
 // startFourBoxes starts two relays of a data centre with a store each, a member of the same data
 // centre, and a box of another one.
-func startFourBoxes(t *testing.T, m *memstore.Memory, p, q *faultyStore) []*box {
+func startFourBoxes(t *testing.T, m *memstore.Store, p, q *faultyStore) []*box {
 	t.Helper()
 	a := startBox(t, p, "a", "dc0")
 	waitUntil(t, a.IsRelay)
@@ -360,7 +360,7 @@
 // While the store doesn't answer a relay, its members are represented by the other relay, and counted
 // once.
 func TestMemberCountedOnceAfterRelayChange(t *testing.T) {
-	m := &memstore.Memory{}
+	m := &memstore.Store{}
 	m.Set("config", `{"Version":3}`)
 	stores := []*faultyStore{{Store: m}, {Store: m}}
 	bs := startFourBoxes(t, m, stores[0], stores[1])
@@ -380,7 +380,7 @@
 // A box that starts learns from the store the former number of boxes, the accounts that were short
 // and the endpoint statistics, before it receives other boxes' reports.
 func TestSnapshotRestoredAtStart(t *testing.T) {
-	m := &memstore.Memory{}
+	m := &memstore.Store{}
 	m.Set("config", `{"Version":3}`)
 	bs := []*box{startBox(t, m, "a", "dc0"), startBox(t, m, "b", "dc0"), startBox(t, m, "c", "dc1")}
 	waitUntil(t, func() bool {
--- a/gossip/leavers_test.go
+++ b/gossip/leavers_test.go
@@ -25,7 +25,7 @@
 // All boxes learn that an endpoint leaves, although its record doesn't say so: from a notification, or
 // in a round if they missed it or started later.
 func TestLeavingEndpointsReachAllBoxes(t *testing.T) {
-	m := &memstore.Memory{}
+	m := &memstore.Store{}
 	m.Set("config", `{"Version":3}`)
 	m.Set("e/x", "ready")
 	m.Set("e/y", "ready")
@@ -47,7 +47,7 @@
 
 // Each box receives the failure counts of the other boxes of its data centre, and of no others.
 func TestFailingByDataCentre(t *testing.T) {
-	m := &memstore.Memory{}
+	m := &memstore.Store{}
 	m.Set("config", `{"Version":3}`)
 	bs := startSevenBoxes(t, m) // four in dc0, three in dc1
 	waitUntil(t, func() bool {
--- a/gossip/places_test.go
+++ b/gossip/places_test.go
@@ -15,7 +15,7 @@
 // A relay that is killed and restarts keeps its slot, without waiting for the lease of its former
 // process to end.
 func TestRestartedRelayKeepsSlot(t *testing.T) {
-	m := &memstore.Memory{}
+	m := &memstore.Store{}
 	m.Set("config", `{"Version":3}`)
 	p := &faultyStore{Store: m}
 	a := startBox(t, p, "a", "dc0")
@@ -36,12 +36,12 @@
 
 // A box that has lost its relay slot represents no other box; its members switch to another relay.
 func TestMembersLeaveRelayWithoutSlot(t *testing.T) {
-	m := &memstore.Memory{}
+	m := &memstore.Store{}
 	m.Set("config", `{"Version":3}`)
 	p := &faultyStore{Store: m}
 	bs := startFourBoxes(t, m, p, &faultyStore{Store: m})
 	p.readOnly.Store(true)
-	m.Unset("relays/dc0/0")
+	m.Delete("relays/dc0/0")
 	waitUntil(t, func() bool { return !bs[0].IsRelay() && bs[2].IsRelay() })
 	waitUntil(t, func() bool {
 		return countBoxes(bs, func(b *box) bool { return b.othersTotal().Boxes == 3 && b.othersTotal().Load["x"].Tokens == 30 }) == 4
@@ -49,7 +49,7 @@
 }
 
 // slotsInStore returns the keys and values of all relay slots in the store.
-func slotsInStore(t *testing.T, m *memstore.Memory) []string {
+func slotsInStore(t *testing.T, m *memstore.Store) []string {
 	t.Helper()
 	items, _, err := m.Range(t.Context(), "relays/")
 	require.NoError(t, err)
@@ -63,7 +63,7 @@
 // After an outage of the store in which all leases end, the same boxes are relays as before, so that
 // no state or lease has to move.
 func TestRelaysKeepSlotsAfterOutage(t *testing.T) {
-	m := &memstore.Memory{}
+	m := &memstore.Store{}
 	m.Set("config", `{"Version":3}`)
 	bs := make([]*box, 0, 9)
 	for i := range 9 {
--- a/gossip/rollouts_test.go
+++ b/gossip/rollouts_test.go
@@ -12,7 +12,7 @@
 // The order of a rollout and its progress reach all boxes, also one that starts later, and so does the
 // boxes' evidence.
 func TestRolloutsReachAllBoxes(t *testing.T) {
-	m := &memstore.Memory{}
+	m := &memstore.Store{}
 	m.Set("config", `{"Version":3}`)
 	bs := startSevenBoxes(t, m)
 	waitUntil(t, func() bool { return countBoxes(bs, func(b *box) bool { return b.othersTotal().Boxes == 6 }) == 7 })
--- a/gossip/starts_test.go
+++ b/gossip/starts_test.go
@@ -50,7 +50,7 @@
 
 // At the first start of the whole system there is no snapshot, and no box reads it.
 func TestFirstStartReadsNoSnapshot(t *testing.T) {
-	m := &memstore.Memory{}
+	m := &memstore.Store{}
 	m.Set("config", `{"Version":3}`)
 	s := &getCounter{Store: m, keys: map[string]int{}}
 	a := startBoxFirstTime(t, s, "a", "dc0")
@@ -65,7 +65,7 @@
 // boxes read the records of 10,000 endpoints before it looked for a relay, each read 20 pages and
 // 3 MB, and the load of the store grew with boxes times endpoints.
 func TestStartupReadsBounded(t *testing.T) {
-	m := &memstore.Memory{}
+	m := &memstore.Store{}
 	m.Set("config", `{"Version":3}`)
 	for i := range 50 {
 		m.Set(fmt.Sprint("e/", i), "ready")
--- a/gossip/watchers_test.go
+++ b/gossip/watchers_test.go
@@ -49,7 +49,7 @@
 // Two relays of different data centres watch the store. When one stops, or the store doesn't answer it
 // any longer, another takes over, and all changes reach all boxes.
 func TestWatcherReplaced(t *testing.T) {
-	m := &memstore.Memory{}
+	m := &memstore.Store{}
 	m.Set("config", `{"Version":1}`)
 	bs, stores := make([]*box, 0, 9), make([]*closableStore, 0, 9)
 	for i := range 9 {
@@ -91,25 +91,25 @@
 
 // callCounter counts the calls that read or watch a prefix.
 type callCounter struct {
-	*memstore.Memory
+	*memstore.Store
 	ranges  atomic.Int64
 	watches atomic.Int64
 }
 
 func (c *callCounter) Watch(x context.Context, prefix string, since uint64, wait time.Duration) ([]store.Item, uint64, error) {
 	c.watches.Add(1)
-	return c.Memory.Watch(x, prefix, since, wait)
+	return c.Store.Watch(x, prefix, since, wait)
 }
 
 func (c *callCounter) Range(x context.Context, prefix string) ([]store.Item, uint64, error) {
 	c.ranges.Add(1)
-	return c.Memory.Range(x, prefix)
+	return c.Store.Range(x, prefix)
 }
 
 // While the store answers nobody, members keep what they know, and none requests everything from the
 // store because it finds no usable relay. When the store is back, changes reach all boxes.
 func TestStoreOutageForAllBoxes(t *testing.T) {
-	m := &callCounter{Memory: &memstore.Memory{}}
+	m := &callCounter{Store: &memstore.Store{}}
 	m.Set("config", `{"Version":3}`)
 	bs := make([]*box, 0, 12)
 	for i := range 12 {
@@ -141,7 +141,7 @@
 
 // Changes of many endpoints at once reach all boxes.
 func TestManyRecordsReachAllBoxes(t *testing.T) {
-	m := &memstore.Memory{}
+	m := &memstore.Store{}
 	m.Set("config", `{"Version":3}`)
 	bs := startSevenBoxes(t, m)
 	waitUntil(t, func() bool { return countBoxes(bs, (*box).IsRelay) == 4 && len(watcherDataCentres(bs)) == 2 })
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -97,7 +97,7 @@
 type box struct {
 	*ingress.Ingress
 	t       *testing.T
-	store   *memstore.Memory
+	store   *memstore.Store
 	session *session.Session
 	known   *known.Service
 	callers string
@@ -108,7 +108,7 @@
 
 func start(t *testing.T, configured bool) *box {
 	t.Helper()
-	b := &box{t: t, store: &memstore.Memory{}, hold: make(chan struct{}), held: make(chan struct{}, 8)}
+	b := &box{t: t, store: &memstore.Store{}, hold: make(chan struct{}), held: make(chan struct{}, 8)}
 	e := httptest.NewServer(http.HandlerFunc(b.endpoint))
 	t.Cleanup(e.Close)
 	if configured {
--- a/known/known_test.go
+++ b/known/known_test.go
@@ -53,7 +53,7 @@
 	t       *testing.T
 }
 
-func startBox(t *testing.T, m *memstore.Memory) *box {
+func startBox(t *testing.T, m *memstore.Store) *box {
 	t.Helper()
 	s := session.New(m, zerolog.Nop())
 	k := known.New(source, m, zerolog.Nop())
@@ -76,10 +76,10 @@
 	return b.Table().Document.Version
 }
 
-func runWithBox(t *testing.T, f func(t *testing.T, m *memstore.Memory, b *box)) {
+func runWithBox(t *testing.T, f func(t *testing.T, m *memstore.Store, b *box)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		m := &memstore.Memory{}
+		m := &memstore.Store{}
 		m.Set("config", `{"Version":3}`)
 		m.Set("e/one", "ready")
 		b := startBox(t, m)
@@ -93,12 +93,12 @@
 // A change is applied in time even if the store compacts its history and the
 // pending watch calls miss the change.
 func TestChangeMissedByWatch(t *testing.T) {
-	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
-		m.SetDeaf(true)
+	runWithBox(t, func(t *testing.T, m *memstore.Store, b *box) {
+		m.SetWatchesStalled(true)
 		m.Set("config", `{"Version":5}`)
-		m.Unset("e/one")
-		m.Forget()
-		m.SetDeaf(false)
+		m.Delete("e/one")
+		m.Compact()
+		m.SetWatchesStalled(false)
 		wait.For(t.Context(), applyBound)
 		require.EqualValues(t, 5, b.version())
 		require.Empty(t, b.Roster.Serving("s"))
@@ -107,7 +107,7 @@
 
 // A configuration with a lower version is ignored, from the store and from other boxes.
 func TestVersionNeverDecreases(t *testing.T) {
-	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
+	runWithBox(t, func(t *testing.T, m *memstore.Store, b *box) {
 		require.NoError(t, b.Install([]byte(`{"Version":9}`), "another box"))
 		m.Set("config", `{"Version":4}`)
 		wait.For(t.Context(), applyBound)
@@ -119,7 +119,7 @@
 
 // A configuration that can't be decoded leaves the current one in force.
 func TestUnreadableConfig(t *testing.T) {
-	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
+	runWithBox(t, func(t *testing.T, m *memstore.Store, b *box) {
 		m.Set("config", `{"Version":`)
 		wait.For(t.Context(), applyBound)
 		require.EqualValues(t, 3, b.version())
@@ -129,7 +129,7 @@
 
 // A draining endpoint never serves again, even if a later record lacks the mark.
 func TestDrainingIsFinal(t *testing.T) {
-	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
+	runWithBox(t, func(t *testing.T, m *memstore.Store, b *box) {
 		m.Set("e/one", "draining")
 		wait.For(t.Context(), applyBound)
 		m.Set("e/one", "ready")
@@ -142,13 +142,13 @@
 // after it. Until then their endpoints keep serving; those whose records stay
 // deleted are removed.
 func TestRecordsDeletedDuringOutage(t *testing.T) {
-	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
+	runWithBox(t, func(t *testing.T, m *memstore.Store, b *box) {
 		m.Set("e/two", "ready")
 		wait.For(t.Context(), applyBound)
 		m.SetDown(true)
 		wait.For(t.Context(), 4*time.Second)
-		m.Unset("e/one")
-		m.Unset("e/two")
+		m.Delete("e/one")
+		m.Delete("e/two")
 		m.SetDown(false)
 		wait.For(t.Context(), time.Second)
 		require.Len(t, b.Roster.Serving("s"), 2)
@@ -163,12 +163,12 @@
 // An endpoint that crashes soon after an outage is removed in time: the removal
 // waits only for the rest of the window in which records may reappear.
 func TestRemovalSoonAfterOutage(t *testing.T) {
-	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
+	runWithBox(t, func(t *testing.T, m *memstore.Store, b *box) {
 		m.SetDown(true)
 		wait.For(t.Context(), 4*time.Second)
 		m.SetDown(false)
 		wait.For(t.Context(), 1700*time.Millisecond)
-		m.Unset("e/one")
+		m.Delete("e/one")
 		wait.For(t.Context(), time.Second)
 		require.Empty(t, b.Roster.Serving("s"))
 	})
@@ -176,9 +176,9 @@
 
 // Without an outage, an endpoint is removed as soon as its record is deleted.
 func TestRemovalWithoutOutage(t *testing.T) {
-	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
+	runWithBox(t, func(t *testing.T, m *memstore.Store, b *box) {
 		wait.For(t.Context(), 2*removalBound)
-		m.Unset("e/one")
+		m.Delete("e/one")
 		synctest.Wait()
 		wait.For(t.Context(), 200*time.Millisecond)
 		require.Empty(t, b.Roster.Serving("s"))
@@ -190,7 +190,7 @@
 // the roster after the additions of the newer change, the added endpoints are missing from the
 // roster for good, though the records are complete.
 func TestConcurrentChanges(t *testing.T) {
-	runWithBox(t, func(t *testing.T, _ *memstore.Memory, b *box) {
+	runWithBox(t, func(t *testing.T, _ *memstore.Store, b *box) {
 		b.SetWatching(false)
 		wait.For(t.Context(), removalBound)
 		at := b.Revision()
@@ -211,7 +211,7 @@
 
 // A record older than the known state of its key changes nothing, whichever box sends it.
 func TestStaleRecord(t *testing.T) {
-	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
+	runWithBox(t, func(t *testing.T, m *memstore.Store, b *box) {
 		at := b.Revision()
 		item := func(value string, revision uint64) []store.Item {
 			return []store.Item{{Key: "e/one", Value: []byte(value), Revision: revision}}
@@ -228,7 +228,7 @@
 // A record overwritten by another program removes its endpoint at once and leaves the others. The
 // endpoint is added again when it rewrites its record.
 func TestInvalidRecord(t *testing.T) {
-	runWithBox(t, func(t *testing.T, m *memstore.Memory, b *box) {
+	runWithBox(t, func(t *testing.T, m *memstore.Store, b *box) {
 		var reasons []endpoint.Reason
 		b.OnInvalidRecord = func(r endpoint.Reason) { reasons = append(reasons, r) }
 		m.Set("e/two", "ready")
@@ -253,7 +253,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var reasons []endpoint.Reason
 		var replaced int
-		m := &memstore.Memory{}
+		m := &memstore.Store{}
 		b := startBox(t, m)
 		defer b.stop()
 		b.OnInvalidRecord = func(r endpoint.Reason) { reasons = append(reasons, r) }
@@ -276,7 +276,7 @@
 		m.Set("e/one", "born 8")
 		wait.For(t.Context(), applyBound)
 		require.Len(t, b.Roster.Serving("s"), 2)
-		m.Unset("e/one")
+		m.Delete("e/one")
 		wait.For(t.Context(), applyBound)
 		m.Set("e/one", "ready")
 		wait.For(t.Context(), applyBound)
@@ -298,7 +298,7 @@
 
 // All endpoints are removed when one change deletes more of them than tombstones are kept.
 func TestMoreDeletionsThanTombstones(t *testing.T) {
-	runWithBox(t, func(t *testing.T, _ *memstore.Memory, b *box) {
+	runWithBox(t, func(t *testing.T, _ *memstore.Store, b *box) {
 		b.SetWatching(false)
 		wait.For(t.Context(), removalBound)
 		at := b.Revision()
--- a/known/orders_test.go
+++ b/known/orders_test.go
@@ -23,7 +23,7 @@
 // that can't be decoded leaves the previous one in place, and a deleted order is removed.
 func TestOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &memstore.Memory{}
+		m := &memstore.Store{}
 		m.Set("op/config", `{"Version":3}`)
 		s := session.New(m, zerolog.Nop())
 		src := source
@@ -59,7 +59,7 @@
 		require.EqualValues(t, 4, b.version())
 		require.Len(t, received, 1)
 		require.Equal(t, []rollout.Order{{Service: "s", Version: "v2", Revision: at}}, received[0].List)
-		m.Unset("op/rollout/s")
+		m.Delete("op/rollout/s")
 		wait.For(t.Context(), applyBound)
 		require.Len(t, received, 2)
 		require.Empty(t, received[1].List)
--- a/kv/client_test.go
+++ b/kv/client_test.go
@@ -84,7 +84,7 @@
 	require.ErrorIs(t, err, kv.ErrConflict)
 	require.Equal(t, "1", string(now.Value))
 	require.Equal(t, first.Rev, now.Rev)
-	s.Faults.Set(faults.Mode{Name: "lost_answer", Left: 1})
+	s.Faults.Set(faults.Fault{Name: "lost_answer", Remaining: 1})
 	_, err = c.Swap(t.Context(), kv.Entry{Key: "k", Rev: now.Rev, Value: []byte("3")})
 	require.ErrorIs(t, err, kv.ErrOutcomeUnknown)
 	require.Eventually(t, func() bool {
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -19,7 +19,7 @@
 // made in the meantime is read at once.
 func TestStoreUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &memstore.Memory{}
+		s := &memstore.Store{}
 		s.Set("k", "1")
 		seen := ""
 		m := &mirror.Mirror{
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -41,7 +41,7 @@
 // cloud is a cloud that enters ordered endpoints into the store and marks surplus ones as
 // draining.
 type cloud struct {
-	store *memstore.Memory
+	store *memstore.Store
 
 	mu          sync.Mutex
 	next        int
@@ -139,7 +139,7 @@
 // startWithMax is start with at most maxPerSite endpoints in each data centre.
 func startWithMax(t *testing.T, onDemand, listed, maxPerSite int) *fleet {
 	t.Helper()
-	m := &memstore.Memory{}
+	m := &memstore.Store{}
 	text, err := json.Marshal(catalog.Document{Version: 1, Services: []catalog.Service{{
 		Name: "s", Scaling: &catalog.Scaling{Min: 1, Max: maxPerSite, Prices: map[string]float64{"a": 0.8, "b": 1, "c": 1.2}},
 	}}})
@@ -339,7 +339,7 @@
 	defer f.cloud.mu.Unlock()
 	for _, r := range []bool{false, true} {
 		for _, id := range f.have[kind{dc, r}] {
-			f.store.Unset("e/" + id)
+			f.store.Delete("e/" + id)
 		}
 	}
 }
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -66,7 +66,7 @@
 	reporter *reporter.Reporter
 }
 
-func newBox(t *testing.T, m *memstore.Memory, l *cloud, name string) *box {
+func newBox(t *testing.T, m *memstore.Store, l *cloud, name string) *box {
 	t.Helper()
 	b := &box{name: name, tally: &tally.Tally{Window: window}}
 	b.election = &election.Election{Store: m, Key: "duty", Box: name, Term: term, Log: zerolog.Nop()}
@@ -84,10 +84,10 @@
 	_ = b.election.Stop(context.Background())
 }
 
-func run(t *testing.T, f func(t *testing.T, m *memstore.Memory, l *cloud, a, b *box)) {
+func run(t *testing.T, f func(t *testing.T, m *memstore.Store, l *cloud, a, b *box)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		m := &memstore.Memory{}
+		m := &memstore.Store{}
 		l := &cloud{reports: map[int64][]map[string]int{}, at: map[int64]time.Time{}}
 		a := newBox(t, m, l, "a")
 		wait.For(t.Context(), time.Second)
@@ -125,7 +125,7 @@
 }
 
 func TestSumOfAllBoxes(t *testing.T) {
-	run(t, func(t *testing.T, _ *memstore.Memory, l *cloud, a, b *box) {
+	run(t, func(t *testing.T, _ *memstore.Store, l *cloud, a, b *box) {
 		w := next(t, a, b)
 		wait.For(t.Context(), 2*window)
 		l.same(t, w, a.tally.WindowEnd(w), map[string]int{"x": 7})
@@ -137,7 +137,7 @@
 // A report whose answer is lost is sent again with the same counts, also by the
 // box that takes the duty over.
 func TestHolderGoesAfterALostAnswer(t *testing.T) {
-	run(t, func(t *testing.T, _ *memstore.Memory, l *cloud, a, b *box) {
+	run(t, func(t *testing.T, _ *memstore.Store, l *cloud, a, b *box) {
 		w := next(t, a, b)
 		l.mu.Lock()
 		l.lose = 1
@@ -153,7 +153,7 @@
 
 // What a box told before it was killed counts, though it never wrote it.
 func TestBoxKilledBeforeItWrote(t *testing.T) {
-	run(t, func(t *testing.T, m *memstore.Memory, l *cloud, a, b *box) {
+	run(t, func(t *testing.T, m *memstore.Store, l *cloud, a, b *box) {
 		w := next(t, a, b)
 		a.reporter.Hear(b.tally.Recent(b.reporter.Source(), w))
 		kill(t, m, b)
@@ -164,9 +164,9 @@
 }
 
 // kill ends a box without a word: its lease ends, and nothing more is written.
-func kill(t *testing.T, m *memstore.Memory, b *box) {
+func kill(t *testing.T, m *memstore.Store, b *box) {
 	t.Helper()
-	m.Unset("boxes/" + b.name)
+	m.Delete("boxes/" + b.name)
 	b.tally.Forget(1 << 60)
 	b.reporter.Store = away{}
 	_ = b.reporter.Stop(context.Background())
@@ -182,7 +182,7 @@
 
 // Without the store for a while, the report still comes in time.
 func TestStoreAwayForAWhile(t *testing.T) {
-	run(t, func(t *testing.T, m *memstore.Memory, l *cloud, a, b *box) {
+	run(t, func(t *testing.T, m *memstore.Store, l *cloud, a, b *box) {
 		w := next(t, a, b)
 		wait.For(t.Context(), time.Until(a.tally.WindowEnd(w).Add(-100*time.Millisecond)))
 		m.SetDown(true)
--- a/rollout/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -61,7 +61,7 @@
 type fleet struct {
 	t            *testing.T
 	chance       *rand.Rand
-	store        *memstore.Memory
+	store        *memstore.Store
 	nodes        []*node
 	holder       int       // index of the box with the duty; -1 for none
 	leaseExpires time.Time // when another box may take the duty
@@ -109,7 +109,7 @@
 
 func newFleet(t *testing.T, boxes int, seed uint64, defect versionDefect) *fleet {
 	f := &fleet{
-		t: t, chance: rand.New(rand.NewPCG(seed, 7)), store: &memstore.Memory{}, holder: -1, defect: defect, states: map[uint64][]string{},
+		t: t, chance: rand.New(rand.NewPCG(seed, 7)), store: &memstore.Store{}, holder: -1, defect: defect, states: map[uint64][]string{},
 	}
 	for range boxes {
 		f.nodes = append(f.nodes, &node{})
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -43,7 +43,7 @@
 	s := map[string]syscall.Signal{"KILL": syscall.SIGKILL, "STOP": syscall.SIGSTOP, "CONT": syscall.SIGCONT, "TERM": syscall.SIGTERM}[args[1]]
 	w := worldOf(ts)
 	if s == syscall.SIGKILL {
-		if err := w.KeepAudit(w.c, args[0]); err != nil {
+		if err := w.SaveAudit(w.c, args[0]); err != nil {
 			ts.Logf("audit of %s not kept: %v", args[0], err)
 		}
 	}
@@ -63,19 +63,19 @@
 // fault STAND NAME [left=N at=N delay=D match=S]; left=0 ends it
 func cmdFault(ts *testscript.TestScript, _ bool, args []string) {
 	w, m := worldOf(ts), fields(ts, args[2:])
-	f := faults.Mode{Name: args[1], Left: number(ts, get(m, "left", "-1")), At: number(ts, get(m, "at", "0")), Match: m["match"]}
+	f := faults.Fault{Name: args[1], Remaining: number(ts, get(m, "left", "-1")), TokenIndex: number(ts, get(m, "at", "0")), Match: m["match"]}
 	f.Delay = span(ts, get(m, "delay", "0s"))
-	ts.Check(w.Control(w.c, args[0], f))
+	ts.Check(w.InjectFault(w.c, args[0], f))
 }
 
 // cut A B: breaks the peers' link between two entry boxes
 func cmdCut(ts *testscript.TestScript, _ bool, args []string) {
-	ts.Check(worldOf(ts).Cut(args[0], args[1], true))
+	ts.Check(worldOf(ts).SetPartitioned(args[0], args[1], true))
 }
 
 // join A B: mends it again
 func cmdJoin(ts *testscript.TestScript, _ bool, args []string) {
-	ts.Check(worldOf(ts).Cut(args[0], args[1], false))
+	ts.Check(worldOf(ts).SetPartitioned(args[0], args[1], false))
 }
 
 // runs N NAME...: how often the calls ran together, by the stand-ins' audits
@@ -99,7 +99,7 @@
 // where NAME VARIABLE: the engine that runs a call
 func cmdWhere(ts *testscript.TestScript, _ bool, args []string) {
 	w, id := worldOf(ts), callOf(ts, args[0]).id
-	for _, p := range w.All("engine") {
+	for _, p := range w.Processes("engine") {
 		a := load.ReadAudit(w.c, []string{p.Address}, nil)
 		if len(a.Engine[id]) > 0 {
 			ts.Setenv(args[1], p.Name)
@@ -247,7 +247,7 @@
 	default:
 		ts.Fatalf("nothing to await: %v", args)
 	}
-	if err := w.Await(w.c, args[1], ok); err != nil {
+	if err := w.AwaitStatus(w.c, args[1], ok); err != nil {
 		ts.Fatalf("%s: %v", strings.Join(args, " "), err)
 	}
 }
--- a/scenario/world_test.go
+++ b/scenario/world_test.go
@@ -73,7 +73,7 @@
 	e.Defer(func() {
 		cancel()
 		if w.Lab != nil {
-			w.Down()
+			w.Close()
 		}
 	})
 	return nil
@@ -114,10 +114,10 @@
 }
 
 // engineKinds are the words for engines in a script.
-var engineKinds = map[string]lab.EngineKind{
+var engineKinds = map[string]lab.EngineSpec{
 	"keep":  {Class: "new", Slots: 8},
 	"take":  {Class: "new", Slots: 8, Reclaimable: true},
-	"old":   {Class: "old", Slots: 8, Reclaimable: true, Slower: 2},
+	"old":   {Class: "old", Slots: 8, Reclaimable: true, Slowdown: 2},
 	"open":  {Class: "new", Slots: 8, NoFence: true},
 	"spare": {Class: "new", Slots: 8, Reclaimable: true, Stopped: true},
 }
@@ -140,7 +140,7 @@
 	o := lab.Options{
 		DataCentres: strings.Split(get(m, "dcs", "a"), ","), Entries: number(ts, get(m, "entries", "2")),
 		Services: strings.Split(get(m, "services", "alerts"), ","), Config: text, Policy: "affinity",
-		TokenEvery: span(ts, get(m, "every", "15ms")), BoxListLag: span(ts, get(m, "lag", "300ms")),
+		TokenInterval: span(ts, get(m, "every", "15ms")), BoxListLag: span(ts, get(m, "lag", "300ms")),
 		StopNotice: span(ts, get(m, "stop_notice", "300ms")), StopLimit: span(ts, get(m, "stop_limit", "20s")),
 	}
 	for _, n := range strings.Split(get(m, "engines", "keep,take"), ",") {
@@ -153,7 +153,7 @@
 	}
 	w.document = d
 	w.Lab = lab.New(bin, ts.MkAbs("."), o)
-	ts.Check(w.Up(w.c))
+	ts.Check(w.Start(w.c))
 	ts.Check(w.AwaitLoaded(w.c))
 }
 
@@ -168,7 +168,7 @@
 		n.Boxes = append(n.Boxes, a)
 	}
 	w := worldOf(ts)
-	ts.Check(w.Notice(w.c, n))
+	ts.Check(w.SendNotice(w.c, n))
 }
 
 // load start MIX RATE | load stop
@@ -191,7 +191,7 @@
 }
 
 func (w *world) addresses(role string) []string {
-	ps := w.All(role)
+	ps := w.Processes(role)
 	as := make([]string, len(ps))
 	for i, p := range ps {
 		as[i] = p.Address
@@ -233,8 +233,8 @@
 		p, err := w.Get(args[1])
 		ts.Check(err)
 		<-p.Exited()
-		if p.Code() != 0 {
-			ts.Fatalf("%s ended with %d", p.Name, p.Code())
+		if p.ExitCode() != 0 {
+			ts.Fatalf("%s ended with %d", p.Name, p.ExitCode())
 		}
 	case "sent":
 		n := number(ts, args[1])
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -21,7 +21,7 @@
 // one that answers for silent.
 func TestFast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &memstore.Memory{}
+		m := &memstore.Store{}
 		s := session.New(m, zerolog.Nop())
 		s.Fast(true)
 		require.NoError(t, s.Start(t.Context(), nil))
@@ -41,7 +41,7 @@
 // A lease that ended is replaced, and the store's return is told once.
 func TestLeaseEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &memstore.Memory{}
+		m := &memstore.Store{}
 		s := session.New(m, zerolog.Nop())
 		returns := 0
 		s.OnReturn(func() { returns++ })
@@ -62,13 +62,13 @@
 
 // counted counts renewals.
 type counted struct {
-	*memstore.Memory
+	*memstore.Store
 	renewals atomic.Int64
 }
 
 func (c *counted) Renew(x context.Context, l store.Lease) error {
 	c.renewals.Add(1)
-	return c.Memory.Renew(x, l)
+	return c.Store.Renew(x, l)
 }
 
 // A box that is told that the store answers makes no calls, knows no less of the store,
@@ -76,7 +76,7 @@
 // asks for one.
 func TestTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &counted{Memory: &memstore.Memory{}}
+		m := &counted{Store: &memstore.Store{}}
 		s := session.New(m, zerolog.Nop())
 		require.NoError(t, s.Start(t.Context(), nil))
 		for range 60 {
@@ -87,11 +87,11 @@
 		require.Zero(t, m.renewals.Load())
 		l, err := s.Hold(t.Context())
 		require.NoError(t, err)
-		require.NoError(t, m.Memory.Renew(t.Context(), l))
+		require.NoError(t, m.Store.Renew(t.Context(), l))
 		before := m.renewals.Load()
 		wait.For(t.Context(), 30*time.Second)
 		require.GreaterOrEqual(t, m.renewals.Load()-before, int64(28))
-		require.NoError(t, m.Memory.Renew(t.Context(), s.Lease()))
+		require.NoError(t, m.Store.Renew(t.Context(), s.Lease()))
 		require.Equal(t, l, s.Lease())
 		require.NoError(t, s.Stop(context.Background()))
 	})
@@ -100,7 +100,7 @@
 // What another box knew of the store while it was away is no sign of its return.
 func TestToldOfAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &memstore.Memory{}
+		m := &memstore.Store{}
 		s := session.New(m, zerolog.Nop())
 		require.NoError(t, s.Start(t.Context(), nil))
 		wait.For(t.Context(), time.Second)
@@ -121,7 +121,7 @@
 // the store is silent, and that it answers again.
 func TestCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &memstore.Memory{}
+		m := &memstore.Store{}
 		s := session.New(m, zerolog.Nop())
 		require.NoError(t, s.Start(t.Context(), nil))
 		wait.For(t.Context(), 100*time.Millisecond)
@@ -145,14 +145,14 @@
 // lease again soon.
 func TestSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &memstore.Memory{}
+		m := &memstore.Store{}
 		s := session.New(m, zerolog.Nop())
 		require.NoError(t, s.Start(t.Context(), nil))
 		wait.For(t.Context(), 1200*time.Millisecond) // between two renewals
 		l := s.Lease()
 		s.Told(0)
 		boottime.Skip(5 * time.Second)
-		m.EndLease(l)
+		m.ExpireLease(l)
 		require.GreaterOrEqual(t, s.Silent(), 5*time.Second)
 		wait.For(t.Context(), session.RenewFast)
 		require.Less(t, s.Silent(), session.RenewFast+time.Millisecond)
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -53,7 +53,7 @@
 type Fleet struct {
 	Dir     string
 	Program string
-	Store   *memstore.Memory
+	Store   *memstore.Store
 	Audit   *standin.Audit
 	Cloud   *standin.Cloud
 	Boxes   []*Box
@@ -78,7 +78,7 @@
 
 // Start begins the platform, the servers and the boxes.
 func Start(dir, program string, boxes, servers int) (*Fleet, error) {
-	f := &Fleet{Dir: dir, Program: program, Store: &memstore.Memory{}, Audit: &standin.Audit{}, Cloud: &standin.Cloud{}, version: 1}
+	f := &Fleet{Dir: dir, Program: program, Store: &memstore.Store{}, Audit: &standin.Audit{}, Cloud: &standin.Cloud{}, version: 1}
 	for _, p := range []struct {
 		h  http.Handler
 		to *string
@@ -245,7 +245,7 @@
 	f.Servers[i] = n
 	announce(s)
 	time.AfterFunc(drainTime, func() {
-		f.Store.Unset("servers/" + s.ID)
+		f.Store.Delete("servers/" + s.ID)
 		_ = s.http.Close()
 		s.proxy.Close()
 	})
--- a/soak/run.go
+++ b/soak/run.go
@@ -164,10 +164,10 @@
 	case StoreLost:
 		s.LoseAnswers(lostAnswers)
 	case Compact:
-		s.SetDeaf(true)
+		s.SetWatchesStalled(true)
 		r.configure()
-		s.Forget()
-		s.SetDeaf(false)
+		s.Compact()
+		s.SetWatchesStalled(false)
 	}
 }
 
--- a/stand/boxlist/server.go
+++ b/stand/boxlist/server.go
@@ -1,4 +1,5 @@
-// Package boxlist is a stand-in for the box list, which lags behind the cloud.
+// Package boxlist implements a stand-in for the platform's box list, which reports the boxes of the
+// cloud with a delay.
 package boxlist
 
 import (
@@ -12,39 +13,39 @@
 	"birchlink.dev/birchlink/stand/faults"
 )
 
-// Server shows the cloud's boxes as they were Lag ago. Faults: "outage" and
-// "freeze" (the list no longer changes).
+// Server serves the boxes of the cloud as they were Lag ago. Faults: "outage" (every call fails)
+// and "freeze" (the list stops changing).
 type Server struct {
 	Lag    time.Duration
 	Cloud  *jsonhttp.Client
-	Faults faults.Switch
+	Faults faults.Injector
 
 	mu    sync.Mutex
 	boxes []fleet.Box
 }
 
-// New returns a list that follows the cloud at an address.
+// New returns a server that polls the cloud API at the address cloud and delays each result by lag.
 func New(cloud string, lag time.Duration) *Server {
 	return &Server{Lag: lag, Cloud: jsonhttp.New(cloud, "boxlist", time.Second)}
 }
 
-// Run follows the cloud until c ends.
+// Run polls the cloud until c is done.
 func (s *Server) Run(c context.Context) {
-	const every = 100 * time.Millisecond
+	const pollInterval = 100 * time.Millisecond
 	for c.Err() == nil {
 		var bs []fleet.Box
 		if err := s.Cloud.Do(c, http.MethodGet, "/boxes", nil, &bs); err == nil {
-			time.AfterFunc(s.Lag, func() { s.set(bs) })
+			time.AfterFunc(s.Lag, func() { s.setBoxes(bs) })
 		}
 		select {
 		case <-c.Done():
-		case <-time.After(every):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-func (s *Server) set(bs []fleet.Box) {
-	if _, frozen := s.Faults.Look("freeze"); frozen {
+func (s *Server) setBoxes(bs []fleet.Box) {
+	if _, frozen := s.Faults.Lookup("freeze"); frozen {
 		return
 	}
 	s.mu.Lock()
@@ -52,13 +53,13 @@
 	s.boxes = bs
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP returns the list as JSON, or sets a fault if the path is /control.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/control" {
 		s.Faults.ServeHTTP(w, r)
 		return
 	}
-	if _, out := s.Faults.Take("outage"); out {
+	if _, down := s.Faults.Consume("outage"); down {
 		http.Error(w, "outage", http.StatusServiceUnavailable)
 		return
 	}
--- a/stand/cloud/server.go
+++ b/stand/cloud/server.go
@@ -1,5 +1,5 @@
-// Package cloud is a stand-in for the cloud API: it starts and stops boxes,
-// quotes prices and sends reclaim notices.
+// Package cloud implements a stand-in for the cloud API, which starts and stops boxes, quotes prices
+// and sends reclaim notices.
 package cloud
 
 import (
@@ -17,60 +17,63 @@
 	"birchlink.dev/birchlink/stand/faults"
 )
 
-// Audit is what happened so far.
+// Audit counts the boxes started, the starts refused and the boxes reclaimed so far, and sums the
+// cost of all boxes.
 type Audit struct {
-	Started int     `json:"started"`
-	Refused int     `json:"refused"`
-	Taken   int     `json:"taken"`
-	Cost    float64 `json:"cost"`
+	Started   int     `json:"started"`
+	Refused   int     `json:"refused"`
+	Reclaimed int     `json:"taken"`
+	Cost      float64 `json:"cost"`
 }
 
-// Server is the cloud. Faults: "outage" and "refuse" (starts are refused).
+// Server is the cloud. Faults: "outage" (calls fail) and "refuse" (starts are refused).
 type Server struct {
-	Faults faults.Switch
-
-	mu     sync.Mutex
-	boxes  []fleet.Box
-	since  map[string]time.Time
-	prices []cloud.Price
-	audit  Audit
-	router *mux.Router
+	Faults faults.Injector
+
+	mu        sync.Mutex
+	boxes     []fleet.Box
+	costSince map[string]time.Time
+	prices    []cloud.Price
+	audit     Audit
+	router    *mux.Router
 }
 
-// New returns a cloud with these boxes; the stopped ones can be started.
+// New returns a cloud with the given boxes and prices. The stopped boxes are available to start.
 func New(boxes []fleet.Box, prices []cloud.Price) *Server {
-	s := &Server{boxes: boxes, prices: prices, since: map[string]time.Time{}, router: mux.NewRouter()}
+	s := &Server{boxes: boxes, prices: prices, costSince: map[string]time.Time{}, router: mux.NewRouter()}
 	for _, b := range boxes {
-		s.since[b.Name] = time.Now()
+		s.costSince[b.Name] = time.Now()
 	}
 	s.router.Handle("/control", &s.Faults)
-	s.router.HandleFunc("/boxes", s.list)
-	s.router.HandleFunc("/notices", s.notices).Methods(http.MethodGet)
-	s.router.HandleFunc("/notices", s.notify).Methods(http.MethodPost)
-	s.router.HandleFunc("/prices", s.quote).Methods(http.MethodGet)
-	s.router.HandleFunc("/prices", s.reprice).Methods(http.MethodPut)
+	s.router.HandleFunc("/boxes", s.listBoxes)
+	s.router.HandleFunc("/notices", s.listNotices).Methods(http.MethodGet)
+	s.router.HandleFunc("/notices", s.postNotice).Methods(http.MethodPost)
+	s.router.HandleFunc("/prices", s.listPrices).Methods(http.MethodGet)
+	s.router.HandleFunc("/prices", s.setPrices).Methods(http.MethodPut)
 	s.router.HandleFunc("/start", s.start)
 	s.router.HandleFunc("/stop/{box}", s.stop)
 	s.router.HandleFunc("/audit", s.showAudit)
 	return s
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP dispatches a call to its handler, or fails it if the "outage" fault applies to the
+// caller.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if m, ok := s.Faults.Take("outage"); ok && r.URL.Path != "/control" && (m.Match == "" || m.Match == r.Header.Get(jsonhttp.CallerHeader)) {
+	if m, ok := s.Faults.Consume("outage"); ok && r.URL.Path != "/control" && (m.Match == "" || m.Match == r.Header.Get(jsonhttp.CallerHeader)) {
 		http.Error(w, "outage", http.StatusServiceUnavailable)
 		return
 	}
 	s.router.ServeHTTP(w, r)
 }
 
-func (s *Server) list(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) listBoxes(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	jsonhttp.Write(w, http.StatusOK, s.boxes)
 }
 
-func (s *Server) notices(w http.ResponseWriter, _ *http.Request) {
+// listNotices returns the boxes that have a reclaim notice.
+func (s *Server) listNotices(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	bs := []fleet.Box{}
@@ -82,49 +85,53 @@
 	jsonhttp.Write(w, http.StatusOK, bs)
 }
 
-func (s *Server) notify(w http.ResponseWriter, r *http.Request) {
+// postNotice marks the boxes of a notice as leaving, and reclaims them when its time has passed. A
+// notice for a data centre applies to all its reclaimable boxes.
+func (s *Server) postNotice(w http.ResponseWriter, r *http.Request) {
 	var n cloud.Notice
 	if !jsonhttp.Read(w, r, &n) {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := time.Now().Add(n.In)
+	deadline := time.Now().Add(n.In)
 	for i, b := range s.boxes {
-		hit := slices.Contains(n.Boxes, b.Name) || (b.Reclaimable && b.DataCentre == n.DataCentre)
-		if hit && b.State == fleet.Live {
-			s.boxes[i].State, s.boxes[i].Deadline = fleet.Leaving, d
-			time.AfterFunc(n.In, func() { s.take(b.Name) })
+		affected := slices.Contains(n.Boxes, b.Name) || (b.Reclaimable && b.DataCentre == n.DataCentre)
+		if affected && b.State == fleet.Live {
+			s.boxes[i].State, s.boxes[i].Deadline = fleet.Leaving, deadline
+			time.AfterFunc(n.In, func() { s.reclaim(b.Name) })
 		}
 	}
 	jsonhttp.Write(w, http.StatusOK, struct{}{})
 }
 
-// take ends a box: it is gone from the list and its process is told to die.
-func (s *Server) take(box string) {
+// reclaim marks a box as gone and terminates its process with the "die" fault, which entry boxes do
+// not have.
+func (s *Server) reclaim(box string) {
 	s.mu.Lock()
 	i := slices.IndexFunc(s.boxes, func(b fleet.Box) bool { return b.Name == box })
-	s.settle(i)
+	s.accrueCost(i)
 	s.boxes[i].State = fleet.Gone
-	s.audit.Taken++
+	s.audit.Reclaimed++
 	b := s.boxes[i]
 	s.mu.Unlock()
 	if b.Role != fleet.EntryRole {
 		c := jsonhttp.New(b.Address, "cloud", time.Second)
-		_ = c.Do(context.Background(), http.MethodPost, "/control", faults.Mode{Name: "die", Left: -1}, nil)
+		_ = c.Do(context.Background(), http.MethodPost, "/control", faults.Fault{Name: "die", Remaining: -1}, nil)
 	}
 }
 
-// settle adds the cost of a box since it was last added. The caller holds the lock.
-func (s *Server) settle(i int) {
+// accrueCost adds the cost of a box since the last call to the audit. The caller holds s.mu.
+func (s *Server) accrueCost(i int) {
 	b := s.boxes[i]
 	if b.State == fleet.Live || b.State == fleet.Leaving {
-		s.audit.Cost += s.price(b) * time.Since(s.since[b.Name]).Hours()
+		s.audit.Cost += s.pricePerHour(b) * time.Since(s.costSince[b.Name]).Hours()
 	}
-	s.since[b.Name] = time.Now()
+	s.costSince[b.Name] = time.Now()
 }
 
-func (s *Server) price(b fleet.Box) float64 {
+// pricePerHour returns the price of a box, or 0 if its kind has none.
+func (s *Server) pricePerHour(b fleet.Box) float64 {
 	for _, p := range s.prices {
 		if p.DataCentre == b.DataCentre && p.Class == b.Class && p.Reclaimable == b.Reclaimable {
 			return p.PerHour
@@ -133,13 +140,14 @@
 	return 0
 }
 
-func (s *Server) quote(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) listPrices(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	jsonhttp.Write(w, http.StatusOK, s.prices)
 }
 
-func (s *Server) reprice(w http.ResponseWriter, r *http.Request) {
+// setPrices replaces the prices, after it has charged the time so far at the old ones.
+func (s *Server) setPrices(w http.ResponseWriter, r *http.Request) {
 	var ps []cloud.Price
 	if !jsonhttp.Read(w, r, &ps) {
 		return
@@ -147,7 +155,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range s.boxes {
-		s.settle(i)
+		s.accrueCost(i)
 	}
 	s.prices = ps
 	jsonhttp.Write(w, http.StatusOK, ps)
@@ -163,13 +171,13 @@
 	i := slices.IndexFunc(s.boxes, func(b fleet.Box) bool {
 		return b.State == fleet.Stopped && b.DataCentre == in.DataCentre && b.Class == in.Class && b.Reclaimable == in.Reclaimable
 	})
-	if _, refuse := s.Faults.Take("refuse"); refuse || i < 0 {
+	if _, refuse := s.Faults.Consume("refuse"); refuse || i < 0 {
 		s.audit.Refused++
 		http.Error(w, "no supply", http.StatusConflict)
 		return
 	}
 	s.audit.Started++
-	s.since[s.boxes[i].Name] = time.Now()
+	s.costSince[s.boxes[i].Name] = time.Now()
 	s.boxes[i].State = fleet.Live
 	jsonhttp.Write(w, http.StatusOK, s.boxes[i])
 }
@@ -179,7 +187,7 @@
 	defer s.mu.Unlock()
 	for i, b := range s.boxes {
 		if b.Name == mux.Vars(r)["box"] && b.State == fleet.Live {
-			s.settle(i)
+			s.accrueCost(i)
 			s.boxes[i].State = fleet.Stopped
 		}
 	}
@@ -190,7 +198,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range s.boxes {
-		s.settle(i)
+		s.accrueCost(i)
 	}
 	jsonhttp.Write(w, http.StatusOK, s.audit)
 }
--- a/stand/engine/cache.go
+++ b/stand/engine/cache.go
@@ -15,17 +15,17 @@
 	"birchlink.dev/birchlink/jsonhttp"
 )
 
-// bytesPerKVToken is what one token's KV cache takes in a transfer.
-const bytesPerKVToken = 100 << 10
+// kvBytesPerToken is the size of the KV cache of one token in a transfer.
+const kvBytesPerToken = 100 << 10
 
-// prefill says how many tokens must be computed before the first of an answer,
-// and enters the prompt in the cache.
+// prefill returns the number of tokens to compute before the first token of the answer, and whether
+// the prompt was cached. It adds the prompt to the cache.
 func (s *Server) prefill(q engine.Request) (int, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := engine.PromptTokens(q.Prompt) + q.From
-	if x, ok := s.kv[q.KV]; ok && q.KV != "" {
-		delete(s.kv, q.KV)
+	if x, ok := s.exports[q.KV]; ok && q.KV != "" {
+		delete(s.exports, q.KV)
 		return max(q.From-x.Tokens, 0), true
 	}
 	p := engine.Prefix(q.Model, q.Prompt)
@@ -35,56 +35,58 @@
 		return q.From, true
 	}
 	s.cache = append(s.cache, p)
-	s.event(p, true)
+	s.addEvent(p, true)
 	if len(s.cache) > s.CacheSize {
-		s.event(s.cache[0], false)
+		s.addEvent(s.cache[0], false)
 		s.cache = s.cache[1:]
 	}
 	return n, false
 }
 
-// event notes a change of the cache. The caller holds the lock.
-func (s *Server) event(p uint64, held bool) {
+// addEvent records that a prefix was added to the cache or evicted. The caller holds s.mu.
+func (s *Server) addEvent(p uint64, held bool) {
 	s.events = append(s.events, engine.CacheEvent{Seq: uint64(len(s.events) + 1), Prefix: p, Held: held})
 }
 
-// showEvents answers the events after a number, with every tenth missing.
-func (s *Server) showEvents(w http.ResponseWriter, r *http.Request) {
-	const gap = 10
+// listEvents returns the cache events after a sequence number. It omits every tenth event to
+// simulate gaps.
+func (s *Server) listEvents(w http.ResponseWriter, r *http.Request) {
+	const omitEvery = 10
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	es := []engine.CacheEvent{}
 	for _, e := range s.events {
-		if e.Seq > after && e.Seq%gap != 0 {
+		if e.Seq > after && e.Seq%omitEvery != 0 {
 			es = append(es, e)
 		}
 	}
 	jsonhttp.Write(w, http.StatusOK, es)
 }
 
+// export stops an attempt and keeps its KV cache under a new handle.
 func (s *Server) export(w http.ResponseWriter, r *http.Request) {
-	a, _ := s.find(w, r)
+	a, _ := s.findAttempt(w, r)
 	if a == nil {
 		return
 	}
-	if _, fails := s.Faults.Take("no_export"); fails {
+	if _, fails := s.Faults.Consume("no_export"); fails {
 		http.Error(w, "export failed", http.StatusServiceUnavailable)
 		return
 	}
-	c := a.halt()
-	_, u, _ := a.view()
+	c := a.cancel()
+	_, u, _ := a.snapshot()
 	n := engine.PromptTokens(u.Prompt) + c.Tokens
-	x := engine.Export{Handle: uuid.NewString(), Tokens: c.Tokens, Bytes: int64(n) * bytesPerKVToken}
+	x := engine.Export{Handle: uuid.NewString(), Tokens: c.Tokens, Bytes: int64(n) * kvBytesPerToken}
 	s.mu.Lock()
-	s.kv[x.Handle] = x
+	s.exports[x.Handle] = x
 	s.mu.Unlock()
 	jsonhttp.Write(w, http.StatusOK, x)
 }
 
-func (s *Server) give(w http.ResponseWriter, r *http.Request) {
+func (s *Server) sendKV(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	x, ok := s.kv[mux.Vars(r)["handle"]]
+	x, ok := s.exports[mux.Vars(r)["handle"]]
 	s.mu.Unlock()
 	if !ok {
 		http.NotFound(w, r)
@@ -93,8 +95,8 @@
 	jsonhttp.Write(w, http.StatusOK, x)
 }
 
-// take imports KV cache from the engine that exported it.
-func (s *Server) take(w http.ResponseWriter, r *http.Request) {
+// importKV fetches a KV cache from the engine that exported it.
+func (s *Server) importKV(w http.ResponseWriter, r *http.Request) {
 	var x engine.Export
 	if !jsonhttp.Read(w, r, &x) {
 		return
@@ -105,33 +107,34 @@
 		return
 	}
 	s.mu.Lock()
-	s.kv[x.Handle] = x
+	s.exports[x.Handle] = x
 	s.mu.Unlock()
 	jsonhttp.Write(w, http.StatusOK, x)
 }
 
-// load answers the load as it was at most LoadLag ago.
+// load returns the load as it was at most LoadLag ago.
 func (s *Server) load(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Since(s.reported.Reported) > s.LoadLag {
-		s.reported = fleet.Load{
+	if time.Since(s.lastLoad.Reported) > s.LoadLag {
+		s.lastLoad = fleet.Load{
 			Incarnation: s.incarnation, ChecksFence: s.ChecksFence, Loaded: s.loaded, Slots: s.Slots,
 			Running: s.running, Waiting: len(s.waiting),
-			TokensPerSecond: float64(time.Second) / float64(s.TokenEvery), Reported: time.Now(),
+			TokensPerSecond: float64(time.Second) / float64(s.TokenInterval), Reported: time.Now(),
 		}
 	}
-	jsonhttp.Write(w, http.StatusOK, s.reported)
+	jsonhttp.Write(w, http.StatusOK, s.lastLoad)
 }
 
-func (s *Server) showOrders(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) sendOrders(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	jsonhttp.Write(w, http.StatusOK, engine.Orders{Fence: s.fence, Workloads: s.loaded})
 }
 
-// takeOrders loads what is missing and drops what is no longer named.
-func (s *Server) takeOrders(w http.ResponseWriter, r *http.Request) {
+// applyOrders loads the missing workloads and unloads those that the orders do not name. Orders with
+// an older fence than the last are rejected if ChecksFence is set.
+func (s *Server) applyOrders(w http.ResponseWriter, r *http.Request) {
 	var o engine.Orders
 	if !jsonhttp.Read(w, r, &o) {
 		return
@@ -143,28 +146,28 @@
 		return
 	}
 	s.fence = max(s.fence, o.Fence)
-	had := slices.Clone(s.loaded)
+	before := slices.Clone(s.loaded)
 	s.mu.Unlock()
 	for _, l := range o.Workloads {
-		if slices.Contains(had, l) {
+		if slices.Contains(before, l) {
 			continue
 		}
-		if err := s.fetch(r.Context(), l); err != nil {
+		if err := s.fetchWeights(r.Context(), l); err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
 		}
 	}
 	s.mu.Lock()
 	s.loaded = o.Workloads
-	s.reported = fleet.Load{}
+	s.lastLoad = fleet.Load{}
 	s.mu.Unlock()
 	jsonhttp.Write(w, http.StatusOK, o)
 }
 
-func (s *Server) fetch(c context.Context, workload string) error {
+func (s *Server) fetchWeights(c context.Context, workload string) error {
 	if s.Weights == "" {
 		return nil
 	}
-	const limit = time.Minute
-	return jsonhttp.New(s.Weights, s.Name, limit).Do(c, http.MethodGet, "/weights/"+workload, nil, nil)
+	const timeout = time.Minute
+	return jsonhttp.New(s.Weights, s.Name, timeout).Do(c, http.MethodGet, "/weights/"+workload, nil, nil)
 }
--- a/stand/engine/run.go
+++ b/stand/engine/run.go
@@ -7,7 +7,9 @@
 	"birchlink.dev/birchlink/stand/answer"
 )
 
-// Run is one attempt at the engine, as the audit shows it.
+// Run describes one attempt that the engine accepted, as reported by the audit. Tokens counts the
+// tokens computed, Prefill the prompt tokens computed before the first of them. Cached reports
+// whether the prompt was in the prefix cache or its KV cache was imported.
 type Run struct {
 	engine.Request
 	State   engine.State `json:"state"`
@@ -16,25 +18,27 @@
 	Cached  bool         `json:"cached"`
 }
 
-// attempt is a Run with what is needed to go on with it.
+// attempt is a Run in progress. nextToken is the index of the token to compute next. changed is
+// closed and replaced at every change, slotGranted is closed when the attempt gets a slot, and stop
+// is closed when it is cancelled.
 type attempt struct {
-	mu      sync.Mutex
-	run     Run
-	next    int
-	changed chan struct{}
-	grant   chan struct{}
-	stop    chan struct{}
+	mu          sync.Mutex
+	run         Run
+	nextToken   int
+	changed     chan struct{}
+	slotGranted chan struct{}
+	stop        chan struct{}
 }
 
 func newAttempt(q engine.Request) *attempt {
 	return &attempt{
-		run:  Run{Request: q, State: engine.Queued},
-		next: q.From, changed: make(chan struct{}), grant: make(chan struct{}), stop: make(chan struct{}),
+		run:       Run{Request: q, State: engine.Queued},
+		nextToken: q.From, changed: make(chan struct{}), slotGranted: make(chan struct{}), stop: make(chan struct{}),
 	}
 }
 
-// set changes the state under the lock and wakes the readers.
-func (a *attempt) set(f func()) {
+// update calls f with a.mu held and notifies the readers.
+func (a *attempt) update(f func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	f()
@@ -42,41 +46,42 @@
 	a.changed = make(chan struct{})
 }
 
-// view returns how far the attempt is and a channel that closes on change.
-func (a *attempt) view() (int, Run, chan struct{}) {
+// snapshot returns the index of the next token, the Run, and a channel that is closed at the next
+// change.
+func (a *attempt) snapshot() (int, Run, chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.next, a.run, a.changed
+	return a.nextToken, a.run, a.changed
 }
 
-// halt stops the attempt unless it has ended, and returns its last state.
-func (a *attempt) halt() engine.Cancelled {
+// cancel stops the attempt if it is queued or running, and returns its last state.
+func (a *attempt) cancel() engine.Cancelled {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch a.run.State {
 	case engine.Queued, engine.Running:
-		was := a.run.State
+		previous := a.run.State
 		a.run.State = engine.Stopped
 		close(a.stop)
 		close(a.changed)
 		a.changed = make(chan struct{})
-		if was == engine.Queued {
-			return engine.Cancelled{State: engine.NotStarted, Tokens: a.next}
+		if previous == engine.Queued {
+			return engine.Cancelled{State: engine.NotStarted, Tokens: a.nextToken}
 		}
 	}
-	return engine.Cancelled{State: a.run.State, Tokens: a.next}
+	return engine.Cancelled{State: a.run.State, Tokens: a.nextToken}
 }
 
-// step computes the next token and reports whether there are more.
+// step computes the next token and reports whether the attempt has more.
 func (a *attempt) step() bool {
 	more := false
-	a.set(func() {
+	a.update(func() {
 		if a.run.State != engine.Running {
 			return
 		}
-		a.next++
+		a.nextToken++
 		a.run.Tokens++
-		if a.next >= a.run.MaxTokens {
+		if a.nextToken >= a.run.MaxTokens {
 			a.run.State = engine.Done
 			return
 		}
@@ -85,7 +90,9 @@
 	return more
 }
 
-func (a *attempt) line(i int, r Run) engine.Line {
+// tokenLine returns the line for token i. The first line also carries the number of prompt tokens
+// computed.
+func (a *attempt) tokenLine(i int, r Run) engine.Line {
 	l := engine.Line{RequestID: r.RequestID, Attempt: r.Attempt, Index: i, Token: answer.Token(r.Model, r.Prompt, i)}
 	if i == r.From {
 		l.Prefill = r.Prefill
--- a/stand/engine/stream.go
+++ b/stand/engine/stream.go
@@ -12,19 +12,20 @@
 	_ = json.NewEncoder(w).Encode(l)
 }
 
-// write sends token i of an attempt, or what a fault makes of it.
-func (s *Server) write(w http.ResponseWriter, a *attempt, i int, u Run) {
-	l := a.line(i, u)
-	if s.hit("cut", i) {
+// writeToken sends token i of an attempt, unless a fault at this token cuts the stream, omits or
+// doubles the token, or adds tokens of another request and of an earlier attempt.
+func (s *Server) writeToken(w http.ResponseWriter, a *attempt, i int, u Run) {
+	l := a.tokenLine(i, u)
+	if s.consumeFaultAt("cut", i) {
 		panic(http.ErrAbortHandler)
 	}
-	if s.hit("gap", i) {
+	if s.consumeFaultAt("gap", i) {
 		return
 	}
-	if s.hit("double", i) {
+	if s.consumeFaultAt("double", i) {
 		send(w, l)
 	}
-	if s.hit("cross", i) {
+	if s.consumeFaultAt("cross", i) {
 		x := l
 		x.RequestID, x.Token = "other", "crossed "
 		send(w, x)
@@ -35,17 +36,19 @@
 	send(w, l)
 }
 
-// hit takes a fault when a stream is at its token.
-func (s *Server) hit(name string, i int) bool {
-	m, ok := s.Faults.Look(name)
-	if !ok || m.At != i {
+// consumeFaultAt consumes the fault with a name and returns true if it is set for token i.
+func (s *Server) consumeFaultAt(name string, i int) bool {
+	m, ok := s.Faults.Lookup(name)
+	if !ok || m.TokenIndex != i {
 		return false
 	}
-	_, ok = s.Faults.Take(name)
+	_, ok = s.Faults.Consume(name)
 	return ok
 }
 
-func (s *Server) find(w http.ResponseWriter, r *http.Request) (*attempt, engine.Attempt) {
+// findAttempt returns the attempt that the request body names, or writes an error and returns nil. It
+// records an unknown attempt as not started, so that a later request to generate it is rejected.
+func (s *Server) findAttempt(w http.ResponseWriter, r *http.Request) (*attempt, engine.Attempt) {
 	var q engine.Attempt
 	if !jsonhttp.Read(w, r, &q) {
 		return nil, q
@@ -56,21 +59,21 @@
 		http.Error(w, "another incarnation", http.StatusPreconditionFailed)
 		return nil, q
 	}
-	a := s.attempts[key(q.RequestID, q.Attempt)]
+	a := s.attempts[attemptKey(q.RequestID, q.Attempt)]
 	if a == nil {
 		a = newAttempt(engine.Request{RequestID: q.RequestID, Attempt: q.Attempt})
 		a.run.State = engine.NotStarted
-		s.attempts[key(q.RequestID, q.Attempt)] = a
+		s.attempts[attemptKey(q.RequestID, q.Attempt)] = a
 	}
 	return a, q
 }
 
 func (s *Server) resume(w http.ResponseWriter, r *http.Request) {
-	a, q := s.find(w, r)
+	a, q := s.findAttempt(w, r)
 	if a == nil {
 		return
 	}
-	if _, u, _ := a.view(); u.State == engine.NotStarted {
+	if _, u, _ := a.snapshot(); u.State == engine.NotStarted {
 		http.Error(w, "not run", http.StatusNotFound)
 		return
 	}
@@ -78,12 +81,12 @@
 }
 
 func (s *Server) cancel(w http.ResponseWriter, r *http.Request) {
-	a, _ := s.find(w, r)
+	a, _ := s.findAttempt(w, r)
 	if a == nil {
 		return
 	}
-	c := a.halt()
-	if _, deaf := s.Faults.Take("deaf_cancel"); deaf {
+	c := a.cancel()
+	if _, lost := s.Faults.Consume("deaf_cancel"); lost {
 		panic(http.ErrAbortHandler)
 	}
 	jsonhttp.Write(w, http.StatusOK, c)
--- a/stand/faults/switch.go
+++ b/stand/faults/switch.go
@@ -1,4 +1,5 @@
-// Package faults is the switch by which a test makes a stand-in misbehave.
+// Package faults implements fault injection for the stand-ins: tests set faults by name, and the
+// stand-ins look them up.
 package faults
 
 import (
@@ -11,67 +12,69 @@
 	"birchlink.dev/birchlink/jsonhttp"
 )
 
-// Mode is one way to misbehave. Left counts how many more calls it touches; a
-// negative number means all until changed. At is a position in a stream.
-type Mode struct {
-	Name  string        `json:"name"`
-	Left  int           `json:"left"`
-	At    int           `json:"at"`
-	Delay time.Duration `json:"delay"`
-	Match string        `json:"match"`
+// Fault is one injected fault. Remaining is the number of calls that it still affects; a negative
+// number affects all calls until the fault is changed. TokenIndex is the position in a stream at
+// which the fault occurs, Delay the time that it adds, and Match the part of a path, key or caller
+// that it applies to.
+type Fault struct {
+	Name       string        `json:"name"`
+	Remaining  int           `json:"left"`
+	TokenIndex int           `json:"at"`
+	Delay      time.Duration `json:"delay"`
+	Match      string        `json:"match"`
 }
 
-// Switch holds the modes in force. Its zero value has none.
-type Switch struct {
-	mu    sync.Mutex
-	modes map[string]Mode
+// Injector holds the active faults. Its zero value has none and is ready to use.
+type Injector struct {
+	mu     sync.Mutex
+	active map[string]Fault
 }
 
-// Set puts a mode in force; Left zero takes it away.
-func (s *Switch) Set(m Mode) {
+// Set activates a fault, or removes it if m.Remaining is zero.
+func (s *Injector) Set(m Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.modes == nil {
-		s.modes = make(map[string]Mode)
+	if s.active == nil {
+		s.active = make(map[string]Fault)
 	}
-	if m.Left == 0 {
-		delete(s.modes, m.Name)
+	if m.Remaining == 0 {
+		delete(s.active, m.Name)
 		return
 	}
-	s.modes[m.Name] = m
+	s.active[m.Name] = m
 }
 
-// Take returns the mode of a name, if it is in force, and counts it down.
-func (s *Switch) Take(name string) (Mode, bool) {
+// Consume returns the fault with a name if it is active, and decrements its remaining calls.
+func (s *Injector) Consume(name string) (Fault, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m, ok := s.modes[name]
+	m, ok := s.active[name]
 	if !ok {
-		return Mode{}, false
+		return Fault{}, false
 	}
-	if m.Left > 0 {
-		m.Left--
+	if m.Remaining > 0 {
+		m.Remaining--
 	}
-	if m.Left == 0 {
-		delete(s.modes, name)
+	if m.Remaining == 0 {
+		delete(s.active, name)
 	} else {
-		s.modes[name] = m
+		s.active[name] = m
 	}
 	return m, true
 }
 
-// Look returns the mode of a name without counting it down.
-func (s *Switch) Look(name string) (Mode, bool) {
+// Lookup returns the fault with a name if it is active, without decrementing its remaining calls.
+func (s *Injector) Lookup(name string) (Fault, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m, ok := s.modes[name]
+	m, ok := s.active[name]
 	return m, ok
 }
 
-// Die ends the process as a box that is taken, and leaves its audit in a file
-// where one is named.
-func Die(file string, audit any) {
-	dying.Lock() // and never unlock: the first caller ends the process
+// Exit terminates the process, as the reclaim of a box does. If file is not empty, it first writes
+// the audit there as JSON. The exit code is 1 if that fails.
+func Exit(file string, audit any) {
+	exitMu.Lock() // never unlocked: the first caller terminates the process
 	if file != "" {
 		b, err := json.Marshal(audit)
 		if err == nil {
@@ -84,11 +87,12 @@
 	os.Exit(0)
 }
 
-var dying sync.Mutex
+// exitMu keeps concurrent calls of Exit from writing the file twice.
+var exitMu sync.Mutex
 
-// ServeHTTP sets the mode in the body.
-func (s *Switch) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	var m Mode
+// ServeHTTP sets the fault in the request body.
+func (s *Injector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	var m Fault
 	if jsonhttp.Read(w, r, &m) {
 		s.Set(m)
 		jsonhttp.Write(w, http.StatusOK, m)
--- a/stand/kvstore/server.go
+++ b/stand/kvstore/server.go
@@ -1,6 +1,6 @@
-// Package kvstore is a stand-in for the platform's key-value service:
-// compare-and-swap, leases and watches, with counted and limited rates and the
-// failures that the brief names.
+// Package kvstore implements a stand-in for the platform's key-value service. It offers
+// compare-and-swap, leases and watches, counts calls by caller, limits the rates of reads and
+// writes, and injects faults.
 package kvstore
 
 import (
@@ -18,55 +18,58 @@
 	"birchlink.dev/birchlink/stand/faults"
 )
 
-// Server holds the keys in memory. Faults: "outage", "slow", "lost_answer",
-// "stale" (reads answer with the value before the last).
+// Server holds the keys in memory. Faults: "outage" (calls fail), "slow" (calls are delayed),
+// "lost_answer" (a swap takes effect, but its response is lost) and "stale" (a read returns the
+// previous value).
 type Server struct {
-	Faults faults.Switch
-
-	mu      sync.Mutex
-	rev     uint64
-	entries map[string]kv.Entry
-	before  map[string]kv.Entry
-	expires map[string]time.Time
-	changed chan struct{}
-	counts  map[string]map[string]int
-	reads   *rate.Limiter
-	writes  *rate.Limiter
-	router  *mux.Router
+	Faults faults.Injector
+
+	mu           sync.Mutex
+	rev          uint64
+	entries      map[string]kv.Entry
+	previous     map[string]kv.Entry
+	expires      map[string]time.Time
+	changeSignal chan struct{}
+	counts       map[string]map[string]int
+	reads        *rate.Limiter
+	writes       *rate.Limiter
+	router       *mux.Router
 }
 
-// New returns an empty store that bears so many writes and reads a second.
-func New(writes, reads int) *Server {
+// New returns an empty store that allows the given numbers of writes and reads per second. The
+// burst of each limiter is one second's worth.
+func New(writesPerSecond, readsPerSecond int) *Server {
 	s := &Server{
-		entries: map[string]kv.Entry{}, before: map[string]kv.Entry{}, expires: map[string]time.Time{},
-		changed: make(chan struct{}), counts: map[string]map[string]int{},
-		writes: rate.NewLimiter(rate.Limit(writes), writes), reads: rate.NewLimiter(rate.Limit(reads), reads),
+		entries: map[string]kv.Entry{}, previous: map[string]kv.Entry{}, expires: map[string]time.Time{},
+		changeSignal: make(chan struct{}), counts: map[string]map[string]int{},
+		writes: rate.NewLimiter(rate.Limit(writesPerSecond), writesPerSecond), reads: rate.NewLimiter(rate.Limit(readsPerSecond), readsPerSecond),
 	}
 	s.router = mux.NewRouter()
 	s.router.Handle("/control", &s.Faults)
 	s.router.HandleFunc("/audit", s.audit)
-	s.router.HandleFunc("/kv/{key:.+}", s.call("get", s.reads, s.get)).Methods(http.MethodGet)
-	s.router.HandleFunc("/kv/{key:.+}", s.call("swap", s.writes, s.swap)).Methods(http.MethodPut)
-	s.router.HandleFunc("/watch/{key:.+}", s.call("watch", s.reads, s.watch))
-	s.router.HandleFunc("/list/{key:.+}", s.call("list", s.reads, s.list))
+	s.router.HandleFunc("/kv/{key:.+}", s.wrap("get", s.reads, s.get)).Methods(http.MethodGet)
+	s.router.HandleFunc("/kv/{key:.+}", s.wrap("swap", s.writes, s.swap)).Methods(http.MethodPut)
+	s.router.HandleFunc("/watch/{key:.+}", s.wrap("watch", s.reads, s.watch))
+	s.router.HandleFunc("/list/{key:.+}", s.wrap("list", s.reads, s.list))
 	return s
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP dispatches a call to its handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.router.ServeHTTP(w, r) }
 
-func (s *Server) call(name string, l *rate.Limiter, h http.HandlerFunc) http.HandlerFunc {
+// wrap returns h with call counting, the "outage" and "slow" faults, and the rate limit l.
+func (s *Server) wrap(name string, l *rate.Limiter, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		s.count(name, r.Header.Get(jsonhttp.CallerHeader))
-		if m, ok := s.Faults.Take("outage"); ok && strings.HasPrefix(r.Header.Get(jsonhttp.CallerHeader), m.Match) {
+		s.countCall(name, r.Header.Get(jsonhttp.CallerHeader))
+		if m, ok := s.Faults.Consume("outage"); ok && strings.HasPrefix(r.Header.Get(jsonhttp.CallerHeader), m.Match) {
 			http.Error(w, "outage", http.StatusServiceUnavailable)
 			return
 		}
-		if m, ok := s.Faults.Take("slow"); ok {
+		if m, ok := s.Faults.Consume("slow"); ok {
 			wait(r, m.Delay)
 		}
 		if !l.Allow() {
-			s.count("limited", r.Header.Get(jsonhttp.CallerHeader))
+			s.countCall("limited", r.Header.Get(jsonhttp.CallerHeader))
 			http.Error(w, "rate limit", http.StatusTooManyRequests)
 			return
 		}
@@ -81,7 +84,7 @@
 	}
 }
 
-func (s *Server) count(kind, caller string) {
+func (s *Server) countCall(kind, caller string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.counts[kind] == nil {
@@ -96,7 +99,7 @@
 	jsonhttp.Write(w, http.StatusOK, s.counts)
 }
 
-// expire drops a key whose lease has ended. The caller holds the lock.
+// expire deletes key if its lease has expired. The caller holds s.mu.
 func (s *Server) expire(key string) {
 	if t, ok := s.expires[key]; ok && time.Now().After(t) {
 		delete(s.entries, key)
@@ -104,21 +107,22 @@
 	}
 }
 
+// read returns the entry of key and a channel that is closed at the next change of any key.
 func (s *Server) read(key string) (kv.Entry, chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire(key)
 	e := s.entries[key]
 	e.Key = key
-	return e, s.changed
+	return e, s.changeSignal
 }
 
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
 	key := mux.Vars(r)["key"]
 	e, _ := s.read(key)
-	if _, ok := s.Faults.Take("stale"); ok {
+	if _, ok := s.Faults.Consume("stale"); ok {
 		s.mu.Lock()
-		e = s.before[key]
+		e = s.previous[key]
 		s.mu.Unlock()
 	}
 	jsonhttp.Write(w, http.StatusOK, e)
@@ -135,9 +139,9 @@
 	}
 	in.Key = mux.Vars(r)["key"]
 	e, ok := s.apply(in)
-	if m, lost := s.Faults.Look("lost_answer"); lost && strings.HasPrefix(in.Key, m.Match) {
-		s.Faults.Take("lost_answer")
-		panic(http.ErrAbortHandler) // the change took effect, its answer is lost
+	if m, lost := s.Faults.Lookup("lost_answer"); lost && strings.HasPrefix(in.Key, m.Match) {
+		s.Faults.Consume("lost_answer")
+		panic(http.ErrAbortHandler) // the change is applied, but its response is lost
 	}
 	if !ok {
 		jsonhttp.Write(w, http.StatusConflict, e)
@@ -146,6 +150,8 @@
 	jsonhttp.Write(w, http.StatusOK, kv.Entry{Key: e.Key, Rev: e.Rev})
 }
 
+// apply writes in if its revision matches the stored one. Otherwise it returns the stored entry and
+// false.
 func (s *Server) apply(in kv.Entry) (kv.Entry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,30 +162,32 @@
 		return old, false
 	}
 	s.rev++
-	s.before[in.Key] = old
+	s.previous[in.Key] = old
 	in.Rev = s.rev
 	s.entries[in.Key] = in
 	delete(s.expires, in.Key)
 	if in.TTL > 0 {
 		s.expires[in.Key] = time.Now().Add(in.TTL)
 	}
-	close(s.changed)
-	s.changed = make(chan struct{})
+	close(s.changeSignal)
+	s.changeSignal = make(chan struct{})
 	return in, true
 }
 
+// watch is a long poll: it responds when the revision of the key differs from "after", or with the
+// current entry once "wait" has passed.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
-	limit, err := time.ParseDuration(r.URL.Query().Get("wait"))
+	timeout, err := time.ParseDuration(r.URL.Query().Get("wait"))
 	if err != nil {
 		http.Error(w, "bad wait", http.StatusBadRequest)
 		return
 	}
-	t := time.NewTimer(limit)
+	t := time.NewTimer(timeout)
 	defer t.Stop()
 	for {
 		e, c := s.read(mux.Vars(r)["key"])
-		if m, out := s.Faults.Look("outage"); out && strings.HasPrefix(r.Header.Get(jsonhttp.CallerHeader), m.Match) {
+		if m, down := s.Faults.Lookup("outage"); down && strings.HasPrefix(r.Header.Get(jsonhttp.CallerHeader), m.Match) {
 			http.Error(w, "outage", http.StatusServiceUnavailable)
 			return
 		}
--- a/stand/lab/fleet.go
+++ b/stand/lab/fleet.go
@@ -17,53 +17,53 @@
 	"birchlink.dev/birchlink/operator"
 )
 
-// Up starts the platform, the endpoints and the entry boxes, and puts the
-// configuration in force.
-func (l *Lab) Up(c context.Context) error {
-	if err := l.upPlatform(); err != nil {
+// Start starts the stand-ins of the platform, the endpoints and the entry boxes, and applies the
+// configuration.
+func (l *Lab) Start(c context.Context) error {
+	if err := l.startPlatform(); err != nil {
 		return err
 	}
-	if err := l.upEntries(); err != nil {
+	if err := l.startEntries(); err != nil {
 		return err
 	}
 	return l.Configure(c, 0, l.Options.Config)
 }
 
-func (l *Lab) upPlatform() error {
-	if _, err := l.Stand("kv", "platform", "", "kv"); err != nil {
+func (l *Lab) startPlatform() error {
+	if _, err := l.StartStandIn("kv", "platform", "", "kv"); err != nil {
 		return err
 	}
-	w, err := l.Stand("weights", "platform", "", "weights")
+	weights, err := l.StartStandIn("weights", "platform", "", "weights")
 	if err != nil {
 		return err
 	}
-	bs, ps, err := l.upEndpoints(w.Address)
+	boxes, prices, err := l.startEndpoints(weights.Address)
 	if err != nil {
 		return err
 	}
-	bf, pf := filepath.Join(l.Dir, "boxes.json"), filepath.Join(l.Dir, "prices.json")
-	if err := writeJSON(bf, bs); err != nil {
+	boxFile, priceFile := filepath.Join(l.Dir, "boxes.json"), filepath.Join(l.Dir, "prices.json")
+	if err := writeJSON(boxFile, boxes); err != nil {
 		return err
 	}
-	if err := writeJSON(pf, ps); err != nil {
+	if err := writeJSON(priceFile, prices); err != nil {
 		return err
 	}
-	cl, err := l.Stand("cloud", "platform", "", "cloud", "--boxes", bf, "--prices", pf)
+	cloudAPI, err := l.StartStandIn("cloud", "platform", "", "cloud", "--boxes", boxFile, "--prices", priceFile)
 	if err != nil {
 		return err
 	}
-	_, err = l.Stand("boxlist", "platform", "", "boxlist", "--cloud", cl.Address, "--lag", l.Options.BoxListLag.String())
+	_, err = l.StartStandIn("boxlist", "platform", "", "boxlist", "--cloud", cloudAPI.Address, "--lag", l.Options.BoxListLag.String())
 	return err
 }
 
-// upEndpoints starts the engines and services, and lists them with the entry
-// boxes that will come.
-func (l *Lab) upEndpoints(weights string) ([]fleet.Box, []cloud.Price, error) {
+// startEndpoints starts the engines and services. It returns their boxes and prices, together with
+// the boxes of the entry boxes to be started later.
+func (l *Lab) startEndpoints(weights string) ([]fleet.Box, []cloud.Price, error) {
 	var bs []fleet.Box
 	var ps []cloud.Price
 	for i, dc := range l.Options.DataCentres {
 		for n, e := range l.Options.Engines {
-			b, err := l.engine(dc, fmt.Sprintf("%s-engine-%d", dc, n+1), e, weights)
+			b, err := l.startEngine(dc, fmt.Sprintf("%s-engine-%d", dc, n+1), e, weights)
 			if err != nil {
 				return nil, nil, err
 			}
@@ -71,7 +71,7 @@
 			ps = addPrice(ps, b, i)
 		}
 		for _, s := range l.Options.Services {
-			p, err := l.Stand(dc+"-"+s, "service", dc, "service", "--name", s, "--audit-file", l.auditFile(dc+"-"+s))
+			p, err := l.StartStandIn(dc+"-"+s, "service", dc, "service", "--name", s, "--audit-file", l.auditFile(dc+"-"+s))
 			if err != nil {
 				return nil, nil, err
 			}
@@ -84,9 +84,9 @@
 	return bs, ps, nil
 }
 
-func (l *Lab) engine(dc, name string, e EngineKind, weights string) (fleet.Box, error) {
-	every := l.Options.TokenEvery * time.Duration(max(e.Slower, 1))
-	args := []string{"--name", name, "--slots", fmt.Sprint(e.Slots), "--token-every", every.String(), "--weights", weights, "--audit-file", l.auditFile(name)}
+func (l *Lab) startEngine(dc, name string, e EngineSpec, weights string) (fleet.Box, error) {
+	interval := l.Options.TokenInterval * time.Duration(max(e.Slowdown, 1))
+	args := []string{"--name", name, "--slots", fmt.Sprint(e.Slots), "--token-every", interval.String(), "--weights", weights, "--audit-file", l.auditFile(name)}
 	for _, w := range e.Loaded {
 		args = append(args, "--loaded", w)
 	}
@@ -97,7 +97,7 @@
 	if e.Stopped {
 		b.State = fleet.Stopped
 	}
-	p, err := l.Stand(name, "engine", dc, "engine", args...)
+	p, err := l.StartStandIn(name, "engine", dc, "engine", args...)
 	if err != nil {
 		return b, err
 	}
@@ -105,8 +105,9 @@
 	return b, nil
 }
 
-// addPrice prices a kind of box: old hardware and later data centres cost less,
-// reclaimable boxes a third.
+// addPrice adds the price of the kind of box b to ps, or adds to its supply if b is stopped and the
+// price exists. Old hardware costs half, a reclaimable box a third, and each further data centre 0.2
+// less per hour.
 func addPrice(ps []cloud.Price, b fleet.Box, dc int) []cloud.Price {
 	p := cloud.Price{DataCentre: b.DataCentre, Class: b.Class, Reclaimable: b.Reclaimable, PerHour: 3 - 0.2*float64(dc)}
 	if b.Class == "old" {
@@ -131,14 +132,14 @@
 
 func entryName(dc string, n int) string { return fmt.Sprintf("%s-entry-%d", dc, n+1) }
 
-// upEntries prepares every entry box, so that each knows the others, and starts
-// them together.
-func (l *Lab) upEntries() error {
+// startEntries prepares every entry box, so that each has the addresses of the others as seeds, and
+// starts them in parallel.
+func (l *Lab) startEntries() error {
 	var ps []*Process
 	var seeds []string
 	for _, dc := range l.Options.DataCentres {
 		for n := range l.Options.Entries {
-			p, err := l.prepare(entryName(dc, n), dc)
+			p, err := l.prepareEntry(entryName(dc, n), dc)
 			if err != nil {
 				return err
 			}
@@ -153,7 +154,7 @@
 	}
 	errs := make(chan error, len(ps))
 	for _, p := range ps {
-		go func() { errs <- l.start(p, "http://"+p.Admin+"/live") }()
+		go func() { errs <- l.startProcess(p, "http://"+p.Admin+"/live") }()
 	}
 	var first error
 	for range ps {
@@ -164,17 +165,17 @@
 	return first
 }
 
-func (l *Lab) prepare(name, dc string) (*Process, error) {
-	p := &Process{Name: name, Role: "entry", DataCentre: dc, ip: l.ip(), Log: filepath.Join(l.Dir, name+".log")}
-	// A box calls its peers from its own IP number, so callers and operators are
-	// served on others: a call's own port cannot be one of theirs.
-	for a, ip := range map[*string]string{&p.Address: l.ip(), &p.Peers: p.ip, &p.Admin: l.ip()} {
+func (l *Lab) prepareEntry(name, dc string) (*Process, error) {
+	p := &Process{Name: name, Role: "entry", DataCentre: dc, ip: l.newIP(), Log: filepath.Join(l.Dir, name+".log")}
+	// A box connects to its peers from its own IP address, so callers and operators are served on
+	// other addresses. The local port of such a connection cannot collide with theirs.
+	for addr, ip := range map[*string]string{&p.Address: l.newIP(), &p.Peers: p.ip, &p.Admin: l.newIP()} {
 		var err error
-		if *a, err = l.address(ip); err != nil {
+		if *addr, err = l.freeAddress(ip); err != nil {
 			return nil, err
 		}
 	}
-	k, err := newLink(l.ip(), p.Peers)
+	k, err := newLink(l.newIP(), p.Peers)
 	p.link = k
 	p.args = []string{"birchlinkd", filepath.Join(l.Dir, name+".ini")}
 	return p, err
@@ -208,37 +209,37 @@
 [routing]
 policy = %s
 `, p.Name, p.DataCentre, p.Address, p.Peers, p.Admin, at("kv"), at("boxlist"), at("cloud"),
-		strings.Join(seeds, ", "), p.link.address(), secret, OperatorKey, o.StopNotice, o.StopLimit, o.Policy)
+		strings.Join(seeds, ", "), p.link.address(), peerSecret, OperatorKey, o.StopNotice, o.StopLimit, o.Policy)
 	if err := os.WriteFile(p.args[1], []byte(t), 0o600); err != nil {
 		return fmt.Errorf("write settings: %w", err)
 	}
 	return nil
 }
 
-// Configure puts a configuration in force and waits until every entry box that
-// runs has it.
+// Configure applies a configuration on top of version base, and waits until every entry box has a
+// newer version than base.
 func (l *Lab) Configure(c context.Context, base uint64, text string) error {
-	e := l.All("entry")
-	if err := l.Admin(c, e[0].Name, http.MethodPut, "/operator/config", operator.Edit{Base: base, Text: text, Editor: "lab"}, nil); err != nil {
+	entries := l.Processes("entry")
+	if err := l.Admin(c, entries[0].Name, http.MethodPut, "/operator/config", operator.Edit{Base: base, Text: text, Editor: "lab"}, nil); err != nil {
 		return fmt.Errorf("put configuration: %w", err)
 	}
-	for _, p := range e {
-		if err := l.Await(c, p.Name, func(s operator.Status) bool { return s.Version > base }); err != nil {
+	for _, p := range entries {
+		if err := l.AwaitStatus(c, p.Name, func(s operator.Status) bool { return s.Version > base }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// AwaitLoaded waits until every configured workload is loaded somewhere in
-// every data centre, as its entry boxes see it.
+// AwaitLoaded waits until every entry box reports each configured workload as loaded on a usable
+// endpoint of its data centre.
 func (l *Lab) AwaitLoaded(c context.Context) error {
 	d, ms := config.Parse(1, []byte(l.Options.Config))
 	if len(ms) > 0 {
 		return iniread.Join(ms)
 	}
-	for _, p := range l.All("entry") {
-		err := l.Await(c, p.Name, func(s operator.Status) bool {
+	for _, p := range l.Processes("entry") {
+		err := l.AwaitStatus(c, p.Name, func(s operator.Status) bool {
 			for _, w := range d.Workloads() {
 				if !slices.ContainsFunc(s.Endpoints, func(e fleet.Endpoint) bool { return e.DataCentre == p.DataCentre && e.Usable() && e.Has(w) }) {
 					return false
--- a/stand/lab/lab.go
+++ b/stand/lab/lab.go
@@ -1,5 +1,5 @@
-// Package lab starts the real processes of a small fleet on loopback, and
-// stops, kills, freezes and cuts them. It serves trials and tests only.
+// Package lab runs a small fleet of real processes on loopback addresses. It can stop, kill and freeze
+// the processes and partition the entry boxes. It is meant for experiments and tests only.
 package lab
 
 import (
@@ -22,17 +22,18 @@
 	"birchlink.dev/birchlink/stand/faults"
 )
 
-// The keys of every lab.
+// The operator key and the secret among peers, the same in every lab.
 const (
 	OperatorKey = "operators-of-the-lab"
-	secret      = "peers-of-the-lab-0123"
+	peerSecret  = "peers-of-the-lab-0123"
 )
 
-// startLimit is how long a process may take to answer.
-const startLimit = 20 * time.Second
+// startTimeout bounds the time until a started process responds. It also bounds calls to processes
+// and AwaitStatus.
+const startTimeout = 20 * time.Second
 
-// Process is one running process. Callers, Peers and Admin are set for entry
-// boxes, Address for stand-ins.
+// Process is one process of the fleet. Address serves callers on an entry box and all calls on a
+// stand-in. Peers and Admin are set for entry boxes only. Log is the path of the log file.
 type Process struct {
 	Name       string
 	Role       string
@@ -42,21 +43,21 @@
 	Admin      string
 	Log        string
 
-	ip     string
-	args   []string
-	cmd    *exec.Cmd
-	link   *link
-	exited chan struct{}
-	code   int
+	ip       string
+	args     []string
+	cmd      *exec.Cmd
+	link     *link
+	exited   chan struct{}
+	exitCode int
 }
 
-// PID returns the process id.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Exited is closed when the process has ended.
+// Exited returns a channel that is closed when the process has exited.
 func (p *Process) Exited() <-chan struct{} { return p.exited }
 
-func (p *Process) running() bool {
+func (p *Process) isRunning() bool {
 	select {
 	case <-p.exited:
 		return false
@@ -65,55 +66,59 @@
 	}
 }
 
-// Code returns how the process ended.
-func (p *Process) Code() int { return p.code }
+// ExitCode returns the exit code. It is valid once the channel of Exited is closed, and -1 if a signal
+// terminated the process.
+func (p *Process) ExitCode() int { return p.exitCode }
 
-// Lab is a fleet of processes.
+// Lab is a fleet of processes. Bin is the directory of the programs, Dir that of settings and logs.
 type Lab struct {
 	Bin     string
 	Dir     string
 	Options Options
 
-	mu    sync.Mutex
-	procs map[string]*Process
-	order []string
-	net   int
-	next  int
+	mu     sync.Mutex
+	procs  map[string]*Process
+	order  []string
+	subnet int
+	lastIP int
 }
 
-// Options says what fleet to start.
+// Options describes the fleet. Entries is the number of entry boxes in each data centre. Engines and
+// Services are started in each data centre as well. Config is the text of the configuration,
+// StopNotice and StopLimit the [stop] settings of the entry boxes, and Policy their routing policy.
 type Options struct {
-	DataCentres []string
-	Entries     int
-	Engines     []EngineKind
-	Services    []string
-	Config      string
-	TokenEvery  time.Duration
-	BoxListLag  time.Duration
-	StopNotice  time.Duration
-	StopLimit   time.Duration
-	Policy      string
+	DataCentres   []string
+	Entries       int
+	Engines       []EngineSpec
+	Services      []string
+	Config        string
+	TokenInterval time.Duration
+	BoxListLag    time.Duration
+	StopNotice    time.Duration
+	StopLimit     time.Duration
+	Policy        string
 }
 
-// EngineKind is one engine of each data centre.
-type EngineKind struct {
+// EngineSpec describes one engine of each data centre. NoFence makes it accept orders without checking
+// their fence. Slowdown multiplies the interval between tokens; 0 counts as 1.
+type EngineSpec struct {
 	Class       string
 	Reclaimable bool
 	Stopped     bool
 	Slots       int
 	NoFence     bool
 	Loaded      []string
-	Slower      int
+	Slowdown    int
 }
 
-// New returns a lab without processes. Bin holds the programs, dir takes the
-// settings and logs.
+// New returns a lab without processes. It runs the programs in bin, and writes settings and logs to
+// dir.
 func New(bin, dir string, o Options) *Lab {
-	const nets = 200 // and a few more for a large lab
-	return &Lab{Bin: bin, Dir: dir, Options: o, procs: map[string]*Process{}, net: 20 + rand.IntN(nets)}
+	const subnets = 200 // leaves some of 127.x for labs that need more than one
+	return &Lab{Bin: bin, Dir: dir, Options: o, procs: map[string]*Process{}, subnet: 20 + rand.IntN(subnets)}
 }
 
-// Get returns a process by name.
+// Get returns the process with a name.
 func (l *Lab) Get(name string) (*Process, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,8 +129,8 @@
 	return p, nil
 }
 
-// All returns the processes with a role, in the order they started; all for "".
-func (l *Lab) All(role string) []*Process {
+// Processes returns the processes with a role in the order in which they started, or all for "".
+func (l *Lab) Processes(role string) []*Process {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var ps []*Process
@@ -137,27 +142,29 @@
 	return ps
 }
 
-// address asks the system for a free port on an IP number of its own for each
-// process, so that no other connection of the machine can take it meanwhile.
-func (l *Lab) address(ip string) (string, error) {
+// freeAddress returns an address with a free port on an IP address. Each process has an IP address of
+// its own, so that no other connection on the machine can take the port before it listens.
+func (l *Lab) freeAddress(ip string) (string, error) {
 	c, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
-		return "", fmt.Errorf("find a port: %w", err)
+		return "", fmt.Errorf("find free port: %w", err)
 	}
 	defer c.Close()
 	return c.Addr().String(), nil
 }
 
-func (l *Lab) ip() string {
+// newIP returns an unused loopback address. The process ID is part of it, so that labs in different
+// processes seldom share addresses.
+func (l *Lab) newIP() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.next++
-	const perNet = 250
-	return fmt.Sprintf("127.%d.%d.%d", l.net+l.next/perNet, os.Getpid()%perNet+1, l.next%perNet+1)
+	l.lastIP++
+	const perSubnet = 250
+	return fmt.Sprintf("127.%d.%d.%d", l.subnet+l.lastIP/perSubnet, os.Getpid()%perSubnet+1, l.lastIP%perSubnet+1)
 }
 
-// start runs a program and waits until it answers.
-func (l *Lab) start(p *Process, probe string) error {
+// startProcess starts the program of p and waits until the URL probe responds.
+func (l *Lab) startProcess(p *Process, probe string) error {
 	f, err := os.OpenFile(p.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return fmt.Errorf("open log: %w", err)
@@ -170,28 +177,28 @@
 		return fmt.Errorf("start %s: %w", p.Name, err)
 	}
 	p.exited = make(chan struct{})
-	go func(c *exec.Cmd, done chan struct{}) {
+	go func(c *exec.Cmd, exited chan struct{}) {
 		_ = c.Wait()
-		p.code = c.ProcessState.ExitCode()
-		close(done)
+		p.exitCode = c.ProcessState.ExitCode()
+		close(exited)
 	}(p.cmd, p.exited)
 	l.mu.Lock()
-	if _, again := l.procs[p.Name]; !again {
+	if _, restarted := l.procs[p.Name]; !restarted {
 		l.order = append(l.order, p.Name)
 	}
 	l.procs[p.Name] = p
 	l.mu.Unlock()
-	return waitFor(p, probe)
+	return waitUntilReachable(p, probe)
 }
 
-// waitFor asks a process until it answers at all.
-func waitFor(p *Process, url string) error {
-	const every = 20 * time.Millisecond
+// waitUntilReachable polls a URL of a process until it gets any response.
+func waitUntilReachable(p *Process, url string) error {
+	const pollInterval = 20 * time.Millisecond
 	h := http.Client{Timeout: time.Second}
-	for end := time.Now().Add(startLimit); time.Now().Before(end); time.Sleep(every) {
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		select {
 		case <-p.exited:
-			return fmt.Errorf("%s ended; see %s", p.Name, p.Log)
+			return fmt.Errorf("%s exited; see %s", p.Name, p.Log)
 		default:
 		}
 		if a, err := h.Get(url); err == nil {
@@ -199,21 +206,21 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%s does not answer; see %s", p.Name, p.Log)
+	return fmt.Errorf("%s does not respond; see %s", p.Name, p.Log)
 }
 
-// Stand starts a stand-in: its kind and its own arguments.
-func (l *Lab) Stand(name, role, dc, kind string, args ...string) (*Process, error) {
-	p := &Process{Name: name, Role: role, DataCentre: dc, ip: l.ip(), Log: filepath.Join(l.Dir, name+".log")}
+// StartStandIn starts a stand-in of a kind, which is a subcommand of birchstand, with its arguments.
+func (l *Lab) StartStandIn(name, role, dc, kind string, args ...string) (*Process, error) {
+	p := &Process{Name: name, Role: role, DataCentre: dc, ip: l.newIP(), Log: filepath.Join(l.Dir, name+".log")}
 	var err error
-	if p.Address, err = l.address(p.ip); err != nil {
+	if p.Address, err = l.freeAddress(p.ip); err != nil {
 		return nil, err
 	}
 	p.args = append([]string{"birchstand", "--listen", p.Address, kind}, args...)
-	return p, l.start(p, "http://"+p.Address+"/audit")
+	return p, l.startProcess(p, "http://"+p.Address+"/audit")
 }
 
-// Restart starts a process that has ended again, with the same settings.
+// Restart waits until a process has exited, and starts it again with the same settings.
 func (l *Lab) Restart(name string) error {
 	p, err := l.Get(name)
 	if err != nil {
@@ -221,12 +228,12 @@
 	}
 	<-p.exited
 	if p.Role == "entry" {
-		return l.start(p, "http://"+p.Admin+"/live")
+		return l.startProcess(p, "http://"+p.Admin+"/live")
 	}
-	return l.start(p, "http://"+p.Address+"/audit")
+	return l.startProcess(p, "http://"+p.Address+"/audit")
 }
 
-// Signal sends a signal to a process.
+// Signal sends a signal to the process with a name.
 func (l *Lab) Signal(name string, s syscall.Signal) error {
 	p, err := l.Get(name)
 	if err != nil {
@@ -238,35 +245,36 @@
 	return nil
 }
 
-// Control sets a fault at a stand-in.
-func (l *Lab) Control(c context.Context, name string, m faults.Mode) error {
+// InjectFault sets a fault on a stand-in.
+func (l *Lab) InjectFault(c context.Context, name string, m faults.Fault) error {
 	p, err := l.Get(name)
 	if err != nil {
 		return err
 	}
-	return jsonhttp.New(p.Address, "lab", startLimit).Do(c, http.MethodPost, "/control", m, nil)
+	return jsonhttp.New(p.Address, "lab", startTimeout).Do(c, http.MethodPost, "/control", m, nil)
 }
 
 func (l *Lab) auditFile(name string) string { return filepath.Join(l.Dir, name+".audit.json") }
 
-// Audits returns where the audits of a role's stand-ins are to be read: at
-// their addresses, and in the files that ended ones left.
+// Audits returns the sources of the audits of the stand-ins with a role. They are the addresses of
+// running processes and the paths of the files that terminated ones wrote.
 func (l *Lab) Audits(role string) []string {
-	var from []string
-	for _, p := range l.All(role) {
+	var sources []string
+	for _, p := range l.Processes(role) {
 		_, err := os.Stat(l.auditFile(p.Name))
 		if err == nil {
-			from = append(from, l.auditFile(p.Name))
+			sources = append(sources, l.auditFile(p.Name))
 		}
-		if err != nil || p.running() {
-			from = append(from, p.Address)
+		if err != nil || p.isRunning() {
+			sources = append(sources, p.Address)
 		}
 	}
-	return from
+	return sources
 }
 
-// KeepAudit saves the audit of a stand-in that is about to be killed.
-func (l *Lab) KeepAudit(c context.Context, name string) error {
+// SaveAudit writes the audit of an engine or service to its file. Call it before killing the process;
+// for other processes it does nothing.
+func (l *Lab) SaveAudit(c context.Context, name string) error {
 	p, err := l.Get(name)
 	if err != nil || p.Role != "engine" && p.Role != "service" {
 		return err
@@ -278,17 +286,17 @@
 	return writeJSON(l.auditFile(name), v)
 }
 
-// Notice makes the cloud ask boxes to leave.
-func (l *Lab) Notice(c context.Context, n cloud.Notice) error {
+// SendNotice makes the cloud issue a reclaim notice.
+func (l *Lab) SendNotice(c context.Context, n cloud.Notice) error {
 	p, err := l.Get("cloud")
 	if err != nil {
 		return err
 	}
-	return jsonhttp.New(p.Address, "lab", startLimit).Do(c, http.MethodPost, "/notices", n, nil)
+	return jsonhttp.New(p.Address, "lab", startTimeout).Do(c, http.MethodPost, "/notices", n, nil)
 }
 
-// Cut breaks, or joins again, the peers' links between two entry boxes.
-func (l *Lab) Cut(a, b string, cut bool) error {
+// SetPartitioned breaks or restores the peer connections between two entry boxes.
+func (l *Lab) SetPartitioned(a, b string, partitioned bool) error {
 	p, err := l.Get(a)
 	if err != nil {
 		return err
@@ -297,22 +305,23 @@
 	if err != nil {
 		return err
 	}
-	p.link.set(q.ip, cut)
-	q.link.set(p.ip, cut)
+	p.link.setBlocked(q.ip, partitioned)
+	q.link.setBlocked(p.ip, partitioned)
 	return nil
 }
 
-// Admin calls the operators' face of an entry box.
+// Admin calls the admin API of an entry box with the operator key.
 func (l *Lab) Admin(c context.Context, box, method, path string, in, out any) error {
 	p, err := l.Get(box)
 	if err != nil {
 		return err
 	}
-	h := jsonhttp.New(p.Admin, "lab", startLimit)
+	h := jsonhttp.New(p.Admin, "lab", startTimeout)
 	h.HTTP.Transport = bearer(OperatorKey)
 	return h.Do(c, method, path, in, out)
 }
 
+// bearer is a transport that adds itself to each request as the bearer token.
 type bearer string
 
 func (b bearer) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -321,10 +330,10 @@
 	return http.DefaultTransport.RoundTrip(r)
 }
 
-// Await asks a box for its status until it satisfies ok.
-func (l *Lab) Await(c context.Context, box string, ok func(operator.Status) bool) error {
-	const every = 20 * time.Millisecond
-	c, cancel := context.WithTimeout(c, startLimit)
+// AwaitStatus polls the status of an entry box until it satisfies ok. It fails after startTimeout.
+func (l *Lab) AwaitStatus(c context.Context, box string, ok func(operator.Status) bool) error {
+	const pollInterval = 20 * time.Millisecond
+	c, cancel := context.WithTimeout(c, startTimeout)
 	defer cancel()
 	for {
 		var s operator.Status
@@ -333,15 +342,16 @@
 		}
 		select {
 		case <-c.Done():
-			return fmt.Errorf("box %s did not come to what was awaited", box)
-		case <-time.After(every):
+			return fmt.Errorf("status of box %s did not meet the condition in time", box)
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// Down ends every process, by its own id.
-func (l *Lab) Down() {
-	for _, p := range l.All("") {
+// Close kills every process by its ID and waits until it has exited. It resumes stopped processes
+// first.
+func (l *Lab) Close() {
+	for _, p := range l.Processes("") {
 		_ = p.cmd.Process.Signal(syscall.SIGCONT)
 		_ = p.cmd.Process.Kill()
 		<-p.exited
--- a/stand/lab/link.go
+++ b/stand/lab/link.go
@@ -7,41 +7,41 @@
 	"sync"
 )
 
-// link forwards the peers' connections of one box, and can be cut for those
-// that come from some IP numbers.
+// link is a TCP proxy for the peer connections to one box. It can block the connections from given IP
+// addresses.
 type link struct {
 	listener net.Listener
-	to       string
+	target   string
 	mu       sync.Mutex
-	cut      map[string]bool
-	open     map[net.Conn]string
+	blocked  map[string]bool
+	conns    map[net.Conn]string
 }
 
 func newLink(ip, to string) (*link, error) {
 	l, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
-		return nil, fmt.Errorf("listen for a link: %w", err)
+		return nil, fmt.Errorf("listen for link: %w", err)
 	}
-	k := &link{listener: l, to: to, cut: map[string]bool{}, open: map[net.Conn]string{}}
+	k := &link{listener: l, target: to, blocked: map[string]bool{}, conns: map[net.Conn]string{}}
 	go k.accept()
 	return k, nil
 }
 
 func (k *link) address() string { return k.listener.Addr().String() }
 
-func host(c net.Conn) string {
+func remoteIP(c net.Conn) string {
 	h, _, _ := net.SplitHostPort(c.RemoteAddr().String())
 	return h
 }
 
-// enter notes a connection, unless its source is cut.
-func (k *link) enter(c net.Conn) bool {
+// register adds a connection to k.conns and returns true, unless its source is blocked.
+func (k *link) register(c net.Conn) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.cut[host(c)] {
+	if k.blocked[remoteIP(c)] {
 		return false
 	}
-	k.open[c] = host(c)
+	k.conns[c] = remoteIP(c)
 	return true
 }
 
@@ -51,7 +51,7 @@
 		if err != nil {
 			return
 		}
-		if !k.enter(c) {
+		if !k.register(c) {
 			c.Close()
 			continue
 		}
@@ -61,7 +61,7 @@
 
 func (k *link) forward(c net.Conn) {
 	defer c.Close()
-	d, err := net.Dial("tcp", k.to)
+	d, err := net.Dial("tcp", k.target)
 	if err != nil {
 		return
 	}
@@ -72,17 +72,17 @@
 	}()
 	_, _ = io.Copy(c, d)
 	k.mu.Lock()
-	delete(k.open, c)
+	delete(k.conns, c)
 	k.mu.Unlock()
 }
 
-// set cuts or joins the connections from an IP number.
-func (k *link) set(ip string, cut bool) {
+// setBlocked blocks or allows connections from an IP address. Blocking also closes the open ones.
+func (k *link) setBlocked(ip string, blocked bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.cut[ip] = cut
-	for c, from := range k.open {
-		if cut && from == ip {
+	k.blocked[ip] = blocked
+	for c, from := range k.conns {
+		if blocked && from == ip {
 			c.Close()
 		}
 	}
--- a/stand/memstore/store.go
+++ b/stand/memstore/store.go
@@ -1,6 +1,5 @@
-// Package memstore is a stand-in of the key-value service in memory, with the
-// faults that the real one has. It waits on channels and timers only, so it runs
-// on a fake clock as well.
+// Package memstore implements the key-value service in memory, with the faults of the real one. It
+// blocks on channels and timers only, so that it also works with a fake clock.
 package memstore
 
 import (
@@ -15,136 +14,137 @@
 	"birchlink.dev/birchlink/store"
 )
 
-// Memory is the service. Its zero value is empty and ready.
-type Memory struct {
-	mu       sync.Mutex
-	items    map[string]store.Item
-	lease    map[string]store.Lease // of keys
-	leases   map[store.Lease]*lease
-	events   []store.Item
-	revision uint64
-	floor    uint64 // the history before is gone
-	changed  chan struct{}
-	down     bool
-	deaf     bool
-	lose     int
-	calls    int
+// Store is the key-value service. Its zero value is empty and ready to use.
+type Store struct {
+	mu             sync.Mutex
+	items          map[string]store.Item
+	keyLeases      map[string]store.Lease // by key
+	leases         map[store.Lease]*lease
+	events         []store.Item
+	revision       uint64
+	compactedTo    uint64 // events up to this revision are compacted
+	changed        chan struct{}
+	down           bool
+	watchesStalled bool
+	lostAnswers    int
+	calls          int
 }
 
-// lease ends when its timer fires.
+// lease expires when its timer fires.
 type lease struct {
 	ttl   time.Duration
 	timer *time.Timer
 }
 
-// SetDown makes calls fail, or serve again.
-func (m *Memory) SetDown(down bool) {
+// SetDown makes all later calls fail with store.ErrUnavailable, or succeed again.
+func (m *Store) SetDown(down bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.down = down
-	m.wake()
+	m.notifyWatchers()
 }
 
-// SetDeaf makes watches that wait hear nothing of changes, as when the history
-// is being dropped.
-func (m *Memory) SetDeaf(deaf bool) {
+// SetWatchesStalled makes pending watches miss all changes, as while the history is being compacted.
+func (m *Store) SetWatchesStalled(stalled bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.deaf = deaf
+	m.watchesStalled = stalled
 }
 
-// LoseAnswers lets the next n changes take effect without an answer.
-func (m *Memory) LoseAnswers(n int) {
+// LoseAnswers makes the next n commits take effect but return store.ErrOutcomeUnknown.
+func (m *Store) LoseAnswers(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lose = n
+	m.lostAnswers = n
 }
 
-// Forget drops the history.
-func (m *Memory) Forget() {
+// Compact drops the history, so that a watch from an earlier revision fails with
+// store.ErrCompacted.
+func (m *Store) Compact() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.floor, m.events = m.revision, nil
+	m.compactedTo, m.events = m.revision, nil
 }
 
-// Calls returns how many calls were made.
-func (m *Memory) Calls() int {
+// Calls returns the number of calls so far.
+func (m *Store) Calls() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.calls
 }
 
-// EndLease ends a lease as its time would.
-func (m *Memory) EndLease(l store.Lease) {
+// ExpireLease ends a lease as if its TTL had passed.
+func (m *Store) ExpireLease(l store.Lease) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.end(l)
+	m.endLease(l)
 }
 
-// Set writes a key as the operator or a server does.
-func (m *Memory) Set(key, value string) uint64 {
+// Set writes a key unconditionally and returns its revision.
+func (m *Store) Set(key, value string) uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.revision++
 	m.put(key, []byte(value), 0)
-	m.wake()
+	m.notifyWatchers()
 	return m.revision
 }
 
-// Unset removes a key.
-func (m *Memory) Unset(key string) {
+// Delete removes a key.
+func (m *Store) Delete(key string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.revision++
 	m.remove(key)
-	m.wake()
+	m.notifyWatchers()
 }
 
-func (m *Memory) wake() {
+func (m *Store) notifyWatchers() {
 	if m.changed != nil {
 		close(m.changed)
 	}
 	m.changed = make(chan struct{})
 }
 
-func (m *Memory) put(key string, value []byte, l store.Lease) {
+func (m *Store) put(key string, value []byte, l store.Lease) {
 	if m.items == nil {
-		m.items, m.lease = map[string]store.Item{}, map[string]store.Lease{}
+		m.items, m.keyLeases = map[string]store.Item{}, map[string]store.Lease{}
 	}
 	i := store.Item{Key: key, Value: value, Revision: m.revision, Created: m.revision}
 	if old, ok := m.items[key]; ok {
 		i.Created = old.Created
 	}
-	m.items[key], m.lease[key] = i, l
+	m.items[key], m.keyLeases[key] = i, l
 	m.events = append(m.events, i)
 }
 
-func (m *Memory) remove(key string) {
+func (m *Store) remove(key string) {
 	if _, ok := m.items[key]; !ok {
 		return
 	}
 	delete(m.items, key)
-	delete(m.lease, key)
+	delete(m.keyLeases, key)
 	m.events = append(m.events, store.Item{Key: key, Revision: m.revision, Deleted: true})
 }
 
-func (m *Memory) end(l store.Lease) {
+func (m *Store) endLease(l store.Lease) {
 	if m.leases[l] == nil {
 		return
 	}
 	m.leases[l].timer.Stop()
 	delete(m.leases, l)
 	m.revision++
-	for _, k := range slices.Sorted(maps.Keys(m.lease)) {
-		if m.lease[k] == l {
+	for _, k := range slices.Sorted(maps.Keys(m.keyLeases)) {
+		if m.keyLeases[k] == l {
 			m.remove(k)
 		}
 	}
-	m.wake()
+	m.notifyWatchers()
 }
 
-// enter counts a call and reports whether the service answers it.
-func (m *Memory) enter() error {
+// beginCall counts a call, and returns store.ErrUnavailable if the service is down. The caller holds
+// m.mu.
+func (m *Store) beginCall() error {
 	m.calls++
 	if m.down {
 		return store.ErrUnavailable
@@ -152,11 +152,11 @@
 	return nil
 }
 
-// Get returns a key's item.
-func (m *Memory) Get(_ context.Context, key string) (store.Item, error) {
+// Get returns the item of a key. The item of a missing key has revision 0.
+func (m *Store) Get(_ context.Context, key string) (store.Item, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.enter(); err != nil {
+	if err := m.beginCall(); err != nil {
 		return store.Item{}, err
 	}
 	i := m.items[key]
@@ -164,11 +164,11 @@
 	return i, nil
 }
 
-// Range returns the items under a prefix.
-func (m *Memory) Range(_ context.Context, prefix string) ([]store.Item, uint64, error) {
+// Range returns the items under a prefix, sorted by key, and the current revision.
+func (m *Store) Range(_ context.Context, prefix string) ([]store.Item, uint64, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.enter(); err != nil {
+	if err := m.beginCall(); err != nil {
 		return nil, 0, err
 	}
 	var out []store.Item
@@ -178,33 +178,34 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b store.Item) int { return cmp.Compare(a.Key, b.Key) })
-	// A revision of 0 would be no place to watch from.
+	// A watch cannot start from revision 0.
 	return out, max(m.revision, 1), nil
 }
 
-// Watch waits for changes.
-func (m *Memory) Watch(c context.Context, prefix string, since uint64, wait time.Duration) ([]store.Item, uint64, error) {
+// Watch returns the changes under a prefix after a revision. If there are none, it waits up to the
+// given time for one.
+func (m *Store) Watch(c context.Context, prefix string, since uint64, wait time.Duration) ([]store.Item, uint64, error) {
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	m.mu.Lock()
-	if err := m.enter(); err != nil {
+	if err := m.beginCall(); err != nil {
 		m.mu.Unlock()
 		return nil, 0, err
 	}
-	if since < m.floor {
+	if since < m.compactedTo {
 		m.mu.Unlock()
 		return nil, 0, store.ErrCompacted
 	}
 	m.mu.Unlock()
 	for {
 		m.mu.Lock()
-		out, at, changed := m.after(prefix, since), m.revision, m.waiting()
-		if m.deaf {
+		out, revision, changed := m.eventsAfter(prefix, since), m.revision, m.changeSignal()
+		if m.watchesStalled {
 			out = nil
 		}
 		m.mu.Unlock()
 		if len(out) > 0 {
-			return out, at, nil
+			return out, revision, nil
 		}
 		select {
 		case <-changed:
@@ -216,14 +217,14 @@
 	}
 }
 
-func (m *Memory) waiting() chan struct{} {
+func (m *Store) changeSignal() chan struct{} {
 	if m.changed == nil {
 		m.changed = make(chan struct{})
 	}
 	return m.changed
 }
 
-func (m *Memory) after(prefix string, since uint64) []store.Item {
+func (m *Store) eventsAfter(prefix string, since uint64) []store.Item {
 	var out []store.Item
 	for _, i := range m.events {
 		if i.Revision > since && strings.HasPrefix(i.Key, prefix) {
@@ -233,11 +234,11 @@
 	return out
 }
 
-// Commit does a change.
-func (m *Memory) Commit(_ context.Context, x store.Change) (uint64, error) {
+// Commit applies a change if all its conditions hold, and returns the new revision.
+func (m *Store) Commit(_ context.Context, x store.Change) (uint64, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.enter(); err != nil {
+	if err := m.beginCall(); err != nil {
 		return 0, err
 	}
 	for _, i := range x.If {
@@ -257,19 +258,19 @@
 	for _, k := range x.Delete {
 		m.remove(k)
 	}
-	m.wake()
-	if m.lose > 0 {
-		m.lose--
+	m.notifyWatchers()
+	if m.lostAnswers > 0 {
+		m.lostAnswers--
 		return 0, store.ErrOutcomeUnknown
 	}
 	return m.revision, nil
 }
 
-// Grant makes a lease.
-func (m *Memory) Grant(_ context.Context, ttl time.Duration) (store.Lease, time.Duration, error) {
+// Grant creates a lease that expires after ttl unless it is renewed.
+func (m *Store) Grant(_ context.Context, ttl time.Duration) (store.Lease, time.Duration, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.enter(); err != nil {
+	if err := m.beginCall(); err != nil {
 		return 0, 0, err
 	}
 	if m.leases == nil {
@@ -277,15 +278,15 @@
 	}
 	m.revision++
 	l := store.Lease(m.revision)
-	m.leases[l] = &lease{ttl, time.AfterFunc(ttl, func() { m.EndLease(l) })}
+	m.leases[l] = &lease{ttl, time.AfterFunc(ttl, func() { m.ExpireLease(l) })}
 	return l, ttl, nil
 }
 
-// Renew lets a lease run its whole time again.
-func (m *Memory) Renew(_ context.Context, l store.Lease) error {
+// Renew restarts the TTL of a lease.
+func (m *Store) Renew(_ context.Context, l store.Lease) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.enter(); err != nil {
+	if err := m.beginCall(); err != nil {
 		return err
 	}
 	x := m.leases[l]
@@ -296,16 +297,16 @@
 	return nil
 }
 
-// Revoke ends a lease.
-func (m *Memory) Revoke(_ context.Context, l store.Lease) error {
+// Revoke ends a lease and deletes its keys.
+func (m *Store) Revoke(_ context.Context, l store.Lease) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.enter(); err != nil {
+	if err := m.beginCall(); err != nil {
 		return err
 	}
 	if m.leases[l] == nil {
 		return store.ErrNoLease
 	}
-	m.end(l)
+	m.endLease(l)
 	return nil
 }
--- a/stand/service/server.go
+++ b/stand/service/server.go
@@ -1,4 +1,4 @@
-// Package service is a stand-in for a plain service.
+// Package service implements a stand-in for a plain HTTP service.
 package service
 
 import (
@@ -19,7 +19,7 @@
 	"birchlink.dev/birchlink/stand/faults"
 )
 
-// Run is one call that the service ran, as its audit shows it.
+// Run is one call that the service executed, as reported by the audit.
 type Run struct {
 	RequestID string `json:"request_id"`
 	Attempt   string `json:"attempt"`
@@ -28,13 +28,14 @@
 	End       string `json:"end"`
 }
 
-// Server answers any call with a fixed function of it. Faults: "slow",
-// "short" (the body is cut), "drop" (the connection ends after the run),
-// "drop_before" (it ends before the run), "die".
+// Server answers any call with a body that is a function of the request, as answer.Service computes.
+// AuditFile is the file that the audit is written to when the "die" fault terminates the process.
+// Faults: "slow" (calls are delayed), "short" (the body is truncated), "drop" (the connection breaks
+// after the call ran), "drop_before" (it breaks before the call runs) and "die" (the process exits).
 type Server struct {
 	Name      string
 	AuditFile string
-	Faults    faults.Switch
+	Faults    faults.Injector
 
 	incarnation string
 	mu          sync.Mutex
@@ -43,29 +44,29 @@
 	router      *mux.Router
 }
 
-// New returns a service of a name.
+// New returns a service with a name and a new incarnation.
 func New(name string) *Server {
 	s := &Server{Name: name, incarnation: uuid.NewString(), router: mux.NewRouter()}
 	s.router.Handle("/control", &s.Faults)
 	s.router.HandleFunc("/audit", s.audit)
 	s.router.HandleFunc("/load", s.load)
-	s.router.PathPrefix("/").HandlerFunc(s.call)
+	s.router.PathPrefix("/").HandlerFunc(s.handle)
 	return s
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP dispatches a call to its handler, and exits the process if the "die" fault is set.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.router.ServeHTTP(w, r)
-	if _, die := s.Faults.Look("die"); die {
-		faults.Die(s.AuditFile, s.all())
+	if _, die := s.Faults.Lookup("die"); die {
+		faults.Exit(s.AuditFile, s.auditRuns())
 	}
 }
 
 func (s *Server) audit(w http.ResponseWriter, _ *http.Request) {
-	jsonhttp.Write(w, http.StatusOK, s.all())
+	jsonhttp.Write(w, http.StatusOK, s.auditRuns())
 }
 
-func (s *Server) all() []Run {
+func (s *Server) auditRuns() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.runs)
@@ -80,7 +81,8 @@
 	})
 }
 
-func (s *Server) begin(u Run) int {
+// startRun records a call and returns its index in s.runs.
+func (s *Server) startRun(u Run) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running++
@@ -88,16 +90,16 @@
 	return len(s.runs) - 1
 }
 
-func (s *Server) end(i int, how string) {
+func (s *Server) endRun(i int, outcome string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
-	s.runs[i].End = how
+	s.runs[i].End = outcome
 }
 
-func (s *Server) call(w http.ResponseWriter, r *http.Request) {
-	if m, ok := s.Faults.Look("drop_before"); ok && strings.Contains(r.URL.Path, m.Match) {
-		s.Faults.Take("drop_before")
+func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
+	if m, ok := s.Faults.Lookup("drop_before"); ok && strings.Contains(r.URL.Path, m.Match) {
+		s.Faults.Consume("drop_before")
 		panic(http.ErrAbortHandler)
 	}
 	b, err := io.ReadAll(io.LimitReader(r.Body, jsonhttp.MaxBody))
@@ -105,18 +107,18 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	i := s.begin(Run{RequestID: r.Header.Get("Birchlink-Request-Id"), Attempt: r.Header.Get("Birchlink-Attempt"), Method: r.Method, Path: r.URL.Path})
-	defer s.end(i, "done")
-	if m, ok := s.Faults.Take("slow"); ok {
+	i := s.startRun(Run{RequestID: r.Header.Get("Birchlink-Request-Id"), Attempt: r.Header.Get("Birchlink-Attempt"), Method: r.Method, Path: r.URL.Path})
+	defer s.endRun(i, "done")
+	if m, ok := s.Faults.Consume("slow"); ok {
 		time.Sleep(m.Delay)
 	}
-	if m, ok := s.Faults.Look("drop"); ok && strings.Contains(r.URL.Path, m.Match) {
-		s.Faults.Take("drop")
+	if m, ok := s.Faults.Lookup("drop"); ok && strings.Contains(r.URL.Path, m.Match) {
+		s.Faults.Consume("drop")
 		panic(http.ErrAbortHandler)
 	}
 	a := answer.Service(s.Name, r.Method, r.URL.Path, string(b))
 	w.Header().Set("Content-Length", fmt.Sprint(len(a)))
-	if _, ok := s.Faults.Take("short"); ok {
+	if _, ok := s.Faults.Consume("short"); ok {
 		a = a[:len(a)/2]
 	}
 	_, _ = io.WriteString(w, a)
--- a/stand/weights/server.go
+++ b/stand/weights/server.go
@@ -1,4 +1,4 @@
-// Package weights is a stand-in for the rate-limited weight store.
+// Package weights implements a stand-in for the weight store, which limits concurrent downloads.
 package weights
 
 import (
@@ -11,7 +11,7 @@
 	"birchlink.dev/birchlink/jsonhttp"
 )
 
-// Fetch is one load of a workload's weights, as the audit shows it.
+// Fetch is one request for the weights of a workload, as reported by the audit.
 type Fetch struct {
 	Workload string    `json:"workload"`
 	Box      string    `json:"box"`
@@ -19,10 +19,11 @@
 	Refused  bool      `json:"refused"`
 }
 
-// Server hands out weights, at most Together at a time, each taking Delay.
+// Server serves weights. Each download takes Delay, and at most MaxConcurrent run at a time; further
+// requests are refused.
 type Server struct {
-	Together int
-	Delay    time.Duration
+	MaxConcurrent int
+	Delay         time.Duration
 
 	mu      sync.Mutex
 	running int
@@ -30,21 +31,22 @@
 	router  *mux.Router
 }
 
-// New returns a store that serves so many loads together.
-func New(together int, delay time.Duration) *Server {
-	s := &Server{Together: together, Delay: delay, router: mux.NewRouter()}
+// New returns a store that serves up to maxConcurrent downloads at a time, each taking delay.
+func New(maxConcurrent int, delay time.Duration) *Server {
+	s := &Server{MaxConcurrent: maxConcurrent, Delay: delay, router: mux.NewRouter()}
 	s.router.HandleFunc("/weights/{workload:.+}", s.fetch)
 	s.router.HandleFunc("/audit", s.audit)
 	return s
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP dispatches a call to its handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.router.ServeHTTP(w, r) }
 
-func (s *Server) start(f Fetch) bool {
+// startFetch records a request and reports whether the limit allows it.
+func (s *Server) startFetch(f Fetch) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f.Refused = s.running >= s.Together
+	f.Refused = s.running >= s.MaxConcurrent
 	s.fetches = append(s.fetches, f)
 	if !f.Refused {
 		s.running++
@@ -53,7 +55,7 @@
 }
 
 func (s *Server) fetch(w http.ResponseWriter, r *http.Request) {
-	if !s.start(Fetch{Workload: mux.Vars(r)["workload"], Box: r.Header.Get(jsonhttp.CallerHeader), At: time.Now()}) {
+	if !s.startFetch(Fetch{Workload: mux.Vars(r)["workload"], Box: r.Header.Get(jsonhttp.CallerHeader), At: time.Now()}) {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "rate limit", http.StatusTooManyRequests)
 		return
