--- a/cmd/birchload/main.go
+++ b/cmd/birchload/main.go
@@ -58,5 +58,5 @@
 	load.Run(c, load.Plan{Boxes: a.Boxes, Mix: a.Mix, Rate: a.Rate, Duration: a.Duration, Seed: a.Seed, Document: d}, &r)
 	r.Print(os.Stdout)
 	time.Sleep(a.Settle)
-	return load.Verdict(os.Stdout, &r, load.ReadAudit(c, a.Engines, a.Services))
+	return load.PrintVerdict(os.Stdout, &r, load.ReadAudit(c, a.Engines, a.Services))
 }
--- a/cmd/birchup/main.go
+++ b/cmd/birchup/main.go
@@ -150,7 +150,7 @@
 	r.Print(os.Stdout)
 	after := audit(c, l)
 	fmt.Printf("cost %.5f, per thousand answers %.4f\n", after.Cost-before.Cost, (after.Cost-before.Cost)*1000/float64(max(len(r.Outcomes), 1)))
-	return load.Verdict(os.Stdout, &r, load.ReadAudit(c, l.Audits("engine"), l.Audits("service")))
+	return load.PrintVerdict(os.Stdout, &r, load.ReadAudit(c, l.Audits("engine"), l.Audits("service")))
 }
 
 func audit(c context.Context, l *lab.Lab) standcloud.Audit {
--- a/compare/fleet.go
+++ b/compare/fleet.go
@@ -15,55 +15,58 @@
 	"birchlink.dev/birchlink/rendezvous"
 )
 
-// maxRounds bounds the plans until a placement is at rest.
+// maxRounds bounds the rounds of planning until a placement is stable.
 const maxRounds = 60
 
-// engine is one box of the fleet, with what it was given to do.
+// engine is one box of the fleet. busySlots counts the requests assigned to it, which may exceed its
+// slots, and cache holds the prefixes that it has computed.
 type engine struct {
 	fleet.Endpoint
-	hash  uint64
-	busy  int
-	cache *lru.Cache[uint64, bool]
+	hash      uint64
+	busySlots int
+	cache     *lru.Cache[uint64, bool]
 }
 
-// state is the fleet as the steps so far left it.
+// state is the state of the fleet after the steps so far. demand is the number of streams of each
+// workload, and started the number of boxes started, which numbers their names.
 type state struct {
-	document *config.Document
-	classes  map[string]class
-	prices   []cloud.Price
-	demand   map[string]float64
-	dcs      []string
-	engines  []*engine
-	started  int
+	document    *config.Document
+	classes     map[string]hardwareClass
+	prices      []cloud.Price
+	demand      map[string]float64
+	dataCentres []string
+	engines     []*engine
+	started     int
 }
 
-// class is a kind of hardware: Cache counts the prefixes that its memory holds.
-type class struct {
+// hardwareClass is a class of hardware. CacheSize is the number of prefixes that fit into its memory.
+type hardwareClass struct {
 	placement.Class
-	Cache int
+	CacheSize int
 }
 
-// placed is what placing came to.
-type placed struct {
-	loads  int
-	rounds int
-	boxes  int
-	spot   int
-	cost   float64
-	unmet  int
+// placementResult sums up a placement. loads counts the workloads loaded, boxes the boxes in use,
+// reclaimable those that may be reclaimed. cost is per hour.
+type placementResult struct {
+	loads          int
+	rounds         int
+	boxes          int
+	reclaimable    int
+	cost           float64
+	unmetWorkloads int
 }
 
-// place plans and carries out until nothing changes.
-func (s *state) place(p placement.Planner) placed {
-	var r placed
+// place plans and applies the plans of all data centres until nothing changes.
+func (s *state) place(p placement.Planner) placementResult {
+	var r placementResult
 	for r.rounds < maxRounds {
 		r.rounds++
 		changed := false
-		r.unmet = 0
-		for _, dc := range s.dcs {
+		r.unmetWorkloads = 0
+		for _, dc := range s.dataCentres {
 			n := p.Plan(s.input(dc))
-			r.unmet += len(n.Unmet)
-			loads, c := s.carryOut(n)
+			r.unmetWorkloads += len(n.Unmet)
+			loads, c := s.apply(n)
 			r.loads += loads
 			changed = changed || c
 		}
@@ -73,9 +76,9 @@
 	}
 	for _, e := range s.engines {
 		r.boxes++
-		r.cost += s.cost(e)
+		r.cost += s.hourlyCost(e)
 		if e.Reclaimable {
-			r.spot++
+			r.reclaimable++
 		}
 	}
 	return r
@@ -87,7 +90,7 @@
 		in.Classes[n] = c.Class
 	}
 	for w, d := range s.demand {
-		in.Demand[w] = d / float64(len(s.dcs))
+		in.Demand[w] = d / float64(len(s.dataCentres))
 	}
 	for _, e := range s.engines {
 		in.Endpoints = append(in.Endpoints, e.Endpoint)
@@ -95,9 +98,8 @@
 	return in
 }
 
-// carryOut does what a plan says, and returns the loads and whether anything
-// changed.
-func (s *state) carryOut(p placement.Plan) (loads int, changed bool) {
+// apply applies a plan. It returns the number of workloads loaded and whether anything changed.
+func (s *state) apply(p placement.Plan) (loads int, changed bool) {
 	for _, a := range p.Assignments {
 		i := slices.IndexFunc(s.engines, func(e *engine) bool { return e.Name == a.Box })
 		changed = changed || !slices.Equal(s.engines[i].Loaded, a.Workloads)
@@ -110,7 +112,7 @@
 	}
 	for _, n := range p.Stop {
 		i := slices.IndexFunc(s.engines, func(e *engine) bool { return e.Name == n })
-		s.supply(s.engines[i], 1)
+		s.adjustSupply(s.engines[i], 1)
 		s.engines = slices.Delete(s.engines, i, i+1)
 		changed = true
 	}
@@ -121,19 +123,19 @@
 	s.started++
 	c := s.classes[b.Class]
 	n := fmt.Sprintf("%s-%s-%03d", b.DataCentre, b.Class, s.started)
-	m, err := lru.New[uint64, bool](max(c.Cache, 1))
+	m, err := lru.New[uint64, bool](max(c.CacheSize, 1))
 	if err != nil {
-		panic(err) // the size is above zero
+		panic(err) // unreachable: the size is positive
 	}
 	e := &engine{hash: rendezvous.Hash(n), cache: m, Endpoint: fleet.Endpoint{
 		Box:  fleet.Box{Name: n, DataCentre: b.DataCentre, Role: fleet.EngineRole, Class: b.Class, Reclaimable: b.Reclaimable, State: fleet.Live},
 		Load: fleet.Load{Incarnation: n, Slots: c.Slots, TokensPerSecond: c.TokensPerSecond},
 	}}
 	s.engines = append(s.engines, e)
-	s.supply(e, -1)
+	s.adjustSupply(e, -1)
 }
 
-// priceOf returns the price of an engine's kind, or nil.
+// priceOf returns the price of the kind of box e, or nil if it has none.
 func (s *state) priceOf(e *engine) *cloud.Price {
 	i := slices.IndexFunc(s.prices, func(p cloud.Price) bool {
 		return p.DataCentre == e.DataCentre && p.Class == e.Class && p.Reclaimable == e.Reclaimable
@@ -144,20 +146,22 @@
 	return &s.prices[i]
 }
 
-func (s *state) supply(e *engine, n int) {
+// adjustSupply adds n to the supply of the kind of box e.
+func (s *state) adjustSupply(e *engine, n int) {
 	if p := s.priceOf(e); p != nil {
 		p.Supply += n
 	}
 }
 
-func (s *state) cost(e *engine) float64 {
+// hourlyCost returns the price of e per hour, or 0 if its kind has none.
+func (s *state) hourlyCost(e *engine) float64 {
 	if p := s.priceOf(e); p != nil {
 		return p.PerHour
 	}
 	return 0
 }
 
-// setPrice takes a price, in place of an older one of the same kind.
+// setPrice adds a price, or replaces that of the same kind of box.
 func (s *state) setPrice(p cloud.Price) {
 	for i, q := range s.prices {
 		if q.DataCentre == p.DataCentre && q.Class == p.Class && q.Reclaimable == p.Reclaimable {
@@ -166,31 +170,32 @@
 		}
 	}
 	s.prices = append(s.prices, p)
-	if !slices.Contains(s.dcs, p.DataCentre) {
-		s.dcs = append(s.dcs, p.DataCentre)
+	if !slices.Contains(s.dataCentres, p.DataCentre) {
+		s.dataCentres = append(s.dataCentres, p.DataCentre)
 	}
 }
 
-// answersAnHour is how many answers of a length the fleet can carry at the
-// target between tokens; boxes that are too slow for it count nothing.
-func (s *state) answersAnHour(tokens float64) float64 {
-	var v float64
+// answersPerHour returns the number of answers of a length in tokens that the fleet can compute per
+// hour. Boxes too slow for the target time between tokens are not counted.
+func (s *state) answersPerHour(tokens float64) float64 {
+	var tokensPerSecond float64
 	for _, e := range s.engines {
 		if between := time.Duration(float64(time.Second) / e.TokensPerSecond); between <= s.document.Targets.BetweenTokens {
-			v += float64(e.Slots) * e.TokensPerSecond
+			tokensPerSecond += float64(e.Slots) * e.TokensPerSecond
 		}
 	}
-	return v * time.Hour.Seconds() / tokens
+	return tokensPerSecond * time.Hour.Seconds() / tokens
 }
 
-// takeAway removes the reclaimable boxes of a data centre and returns them.
-func (s *state) takeAway(dc string) []*engine {
-	var gone []*engine
+// removeReclaimable removes the reclaimable boxes of a data centre and sets their supply to 0. It
+// returns them sorted by name.
+func (s *state) removeReclaimable(dc string) []*engine {
+	var removed []*engine
 	s.engines = slices.DeleteFunc(s.engines, func(e *engine) bool {
 		if e.DataCentre != dc || !e.Reclaimable {
 			return false
 		}
-		gone = append(gone, e)
+		removed = append(removed, e)
 		return true
 	})
 	for i := range s.prices {
@@ -198,6 +203,6 @@
 			s.prices[i].Supply = 0
 		}
 	}
-	slices.SortFunc(gone, func(a, b *engine) int { return cmp.Compare(a.Name, b.Name) })
-	return gone
+	slices.SortFunc(removed, func(a, b *engine) int { return cmp.Compare(a.Name, b.Name) })
+	return removed
 }
--- a/compare/run.go
+++ b/compare/run.go
@@ -13,8 +13,9 @@
 	"birchlink.dev/birchlink/router"
 )
 
-// Choice is one set of policies under a name.
-type Choice struct {
+// PolicySet is a named set of policies. Transfers reports whether streams of reclaimed boxes may move
+// with their KV cache, and Reserve whether slots are reserved for urgent requests.
+type PolicySet struct {
 	Name      string
 	Planner   placement.Planner
 	Router    func(*state) router.Policy
@@ -22,20 +23,20 @@
 	Reserve   bool
 }
 
-// Choices are the chosen policies first, then each baseline in the place of one
-// of them.
-func Choices() []Choice {
+// PolicySets returns the default policies first, followed by one set for each baseline, which replaces
+// one of the default policies.
+func PolicySets() []PolicySet {
 	chosen := func(s *state) router.Policy {
 		return router.Affinity{LoadBound: s.document.Targets.LoadBound, RecomputeWeight: s.document.Targets.RecomputeWeight}
 	}
-	least := func(*state) router.Policy { return router.LeastLoaded{} }
-	turn := func(*state) router.Policy { return &router.RoundRobin{} }
-	anywhere := func(*state) router.Policy { return router.Random{Int: rand.New(rand.NewPCG(5, 5)).IntN} }
-	return []Choice{
+	leastLoaded := func(*state) router.Policy { return router.LeastLoaded{} }
+	roundRobin := func(*state) router.Policy { return &router.RoundRobin{} }
+	random := func(*state) router.Policy { return router.Random{Int: rand.New(rand.NewPCG(5, 5)).IntN} }
+	return []PolicySet{
 		{"chosen", placement.Sticky{}, chosen, true, true},
-		{"least loaded", placement.Sticky{}, least, true, true},
-		{"round robin", placement.Sticky{}, turn, true, true},
-		{"random", placement.Sticky{}, anywhere, true, true},
+		{"least loaded", placement.Sticky{}, leastLoaded, true, true},
+		{"round robin", placement.Sticky{}, roundRobin, true, true},
+		{"random", placement.Sticky{}, random, true, true},
 		{"all on demand", placement.OnDemandOnly{}, chosen, true, true},
 		{"place anew", placement.FromScratch{}, chosen, true, true},
 		{"replay only", placement.Sticky{}, chosen, false, true},
@@ -43,14 +44,14 @@
 	}
 }
 
-// Run decides a script by each choice and prints a table for every step that
-// decides something.
+// Run executes a script with each policy set, and prints a table for every step that makes decisions,
+// with one row for each policy set.
 func Run(w io.Writer, s Script) error {
 	fmt.Fprintf(w, "== %s\n", s.Name)
 	tables := map[int][]string{}
-	var heads []int
-	for _, c := range Choices() {
-		r := &runner{choice: c, state: &state{classes: map[string]class{}, demand: map[string]float64{}}}
+	var lines []int
+	for _, c := range PolicySets() {
+		r := &runner{policies: c, state: &state{classes: map[string]hardwareClass{}, demand: map[string]float64{}}}
 		for _, p := range s.Steps {
 			row, err := r.step(p)
 			if err != nil {
@@ -60,13 +61,13 @@
 				continue
 			}
 			if tables[p.Line] == nil {
-				heads = append(heads, p.Line)
+				lines = append(lines, p.Line)
 			}
 			tables[p.Line] = append(tables[p.Line], c.Name+"\t"+row)
 		}
 	}
-	slices.Sort(heads)
-	for _, l := range heads {
+	slices.Sort(lines)
+	for _, l := range lines {
 		i := slices.IndexFunc(s.Steps, func(p Step) bool { return p.Line == l })
 		if err := printTable(w, s.Steps[i], tables[l]); err != nil {
 			return err
@@ -75,17 +76,17 @@
 	return nil
 }
 
-// columns are the heads of each kind of table.
-var columns = map[string]string{
+// tableHeaders holds the header of the table of each command.
+var tableHeaders = map[string]string{
 	"place":    "policy\tboxes\treclaimable\tcost/hour\tcost/1000 answers\tloads\trounds\tunmet\t",
 	"requests": "policy\tsent\tcache hits\tprompt tokens computed\tfirst token p95\twithin target\tworst load\trefused\t",
 	"notice":   "policy\tstreams\tfinish\ttransfer\treplay\ttokens to recompute\tload after\t",
 }
 
 func printTable(w io.Writer, p Step, rows []string) error {
-	fmt.Fprintf(w, "\nline %d: %s %s\n", p.Line, p.Word, strings.Join(p.Args, " "))
+	fmt.Fprintf(w, "\nline %d: %s %s\n", p.Line, p.Command, strings.Join(p.Args, " "))
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, columns[p.Word])
+	fmt.Fprintln(t, tableHeaders[p.Command])
 	for _, r := range rows {
 		fmt.Fprintln(t, r+"\t")
 	}
@@ -95,18 +96,18 @@
 	return nil
 }
 
-// runner decides one script by one choice.
+// runner executes one script with one policy set.
 type runner struct {
-	choice Choice
-	state  *state
-	offer  offer
-	last   routed
+	policies    PolicySet
+	state       *state
+	traffic     traffic
+	lastRouting routingResult
 }
 
-// step does one step, and returns the row of its table if it decides something.
+// step executes one step and returns its table row, which is empty if the command makes no decisions.
 func (r *runner) step(p Step) (string, error) {
 	s := r.state
-	switch p.Word {
+	switch p.Command {
 	case "config":
 		d, err := p.document()
 		s.document = d
@@ -131,7 +132,7 @@
 	case "notice":
 		return r.notice(p)
 	default:
-		return "", fmt.Errorf("line %d: no step %q", p.Line, p.Word)
+		return "", fmt.Errorf("line %d: unknown command %q", p.Line, p.Command)
 	}
 }
 
@@ -144,19 +145,19 @@
 	if err := p.numbers(map[string]*float64{"slots": &slots, "speed": &speed, "cache": &cache}); err != nil {
 		return err
 	}
-	r.state.classes[n] = class{Class: placement.Class{Slots: int(slots), TokensPerSecond: speed}, Cache: int(cache)}
+	r.state.classes[n] = hardwareClass{Class: placement.Class{Slots: int(slots), TokensPerSecond: speed}, CacheSize: int(cache)}
 	return nil
 }
 
 func (r *runner) place() string {
 	const tokens = 128
-	v := r.state.place(r.choice.Planner)
-	answers := r.state.answersAnHour(tokens)
-	return fmt.Sprintf("%d\t%d\t%.2f\t%.4f\t%d\t%d\t%d", v.boxes, v.spot, v.cost, v.cost*1000/max(answers, 1), v.loads, v.rounds, v.unmet)
+	v := r.state.place(r.policies.Planner)
+	answers := r.state.answersPerHour(tokens)
+	return fmt.Sprintf("%d\t%d\t%.2f\t%.4f\t%d\t%d\t%d", v.boxes, v.reclaimable, v.cost, v.cost*1000/max(answers, 1), v.loads, v.rounds, v.unmetWorkloads)
 }
 
 func (r *runner) requests(p Step) (string, error) {
-	o := &r.offer
+	o := &r.traffic
 	err := p.numbers(map[string]*float64{
 		"count": &o.count, "hold": &o.hold, "prefixes": &o.prefixes, "prompt": &o.prompt, "tokens": &o.tokens, "seed": &o.seed,
 	})
@@ -164,16 +165,16 @@
 		return "", err
 	}
 	reserve := r.state.document.Targets.UrgentReserve
-	if !r.choice.Reserve {
+	if !r.policies.Reserve {
 		reserve = 0
 	}
 	for _, e := range r.state.engines {
-		e.busy = 0
+		e.busySlots = 0
 	}
-	v := r.state.route(*o, r.choice.Router(r.state), reserve)
-	r.last = v
-	return fmt.Sprintf("%d\t%.1f%%\t%d\t%v\t%.1f%%\t%.2f\t%s", v.sent, 100*float64(v.hits)/float64(max(v.sent, 1)), v.computed,
-		v.p95().Round(100_000), 100*v.within(r.state.document.Targets.FirstToken), v.worst, refusals(v.refused)), nil
+	v := r.state.route(*o, r.policies.Router(r.state), reserve)
+	r.lastRouting = v
+	return fmt.Sprintf("%d\t%.1f%%\t%d\t%v\t%.1f%%\t%.2f\t%s", v.sent, 100*float64(v.cacheHits)/float64(max(v.sent, 1)), v.computedTokens,
+		v.p95().Round(100_000), 100*v.shareWithin(r.state.document.Targets.FirstToken), v.peakLoad, refusals(v.refused)), nil
 }
 
 func refusals(m map[admission.Kind]int) string {
@@ -198,6 +199,6 @@
 	if err != nil {
 		return "", err
 	}
-	v := r.state.wave(dc, d, r.last.running, r.choice.Transfers, uint64(r.offer.seed))
-	return fmt.Sprintf("%d\t%d\t%d\t%d\t%d\t%.2f", v.streams, v.finish, v.transfer, v.replay, v.recompute, v.load), nil
+	v := r.state.simulateReclaim(dc, d, r.lastRouting.active, r.policies.Transfers, uint64(r.traffic.seed))
+	return fmt.Sprintf("%d\t%d\t%d\t%d\t%d\t%.2f", v.streams, v.finished, v.transferred, v.replayed, v.recomputedTokens, v.loadAfter), nil
 }
--- a/compare/run_test.go
+++ b/compare/run_test.go
@@ -12,7 +12,7 @@
 	"birchlink.dev/birchlink/compare"
 )
 
-func table(t *testing.T, name, text string) string {
+func runScript(t *testing.T, name, text string) string {
 	s, err := compare.Read(name, strings.NewReader(text))
 	require.NoError(t, err)
 	var b bytes.Buffer
@@ -20,27 +20,27 @@
 	return b.String()
 }
 
-// The same file gives the same table, to the byte.
-func TestSameTable(t *testing.T) {
+// TestRunIsDeterministic checks that two runs of the same file print identical tables.
+func TestRunIsDeterministic(t *testing.T) {
 	t.Chdir("..")
 	for _, n := range []string{"pamoja", "freight"} {
 		b, err := os.ReadFile(filepath.Join("compare", "data", n+".txt"))
 		require.NoError(t, err)
-		first := table(t, n, string(b))
+		first := runScript(t, n, string(b))
 		require.Contains(t, first, "chosen")
-		require.Equal(t, first, table(t, n, string(b)))
+		require.Equal(t, first, runScript(t, n, string(b)))
 	}
 }
 
-// A mistake in a data file names its line.
-func TestMistakes(t *testing.T) {
+// TestRunReportsLineOfMistake checks that the error for a mistake in a data file gives its line.
+func TestRunReportsLineOfMistake(t *testing.T) {
 	t.Chdir("..")
 	for text, want := range map[string]string{
-		"plaice":                                 "line 1: no step",
+		"plaice":                                 "line 1: unknown command",
 		"config nowhere.ini":                     "line 1: open nowhere.ini",
 		"\nclass new slots=8 speed=fast cache=1": "line 2: class: speed is not a number",
 		"price a new":                            "line 1: price DC CLASS",
-		"notice":                                 "line 1: notice needs 1 words",
+		"notice":                                 "line 1: notice needs at least 1 arguments",
 	} {
 		s, err := compare.Read("x", strings.NewReader(text))
 		require.NoError(t, err)
--- a/compare/script.go
+++ b/compare/script.go
@@ -1,6 +1,6 @@
-// Package compare decides scripted data files step by step, by the chosen
-// policies and by their baselines, and prints what each comes to. It makes
-// decisions only: no engine runs and no time passes.
+// Package compare evaluates the default policies of placement, routing, admission and reclaim against
+// baselines. It executes the steps of a data file with each set of policies and prints tables of the
+// results. It only makes the decisions: no engine runs and no time passes.
 package compare
 
 import (
@@ -17,22 +17,22 @@
 	"birchlink.dev/birchlink/iniread"
 )
 
-// Step is one line of a data file: a word, its arguments, and its name=value
-// fields.
+// Step is one line of a data file: a command, its arguments, and its name=value fields. Line is the
+// line number, starting with 1.
 type Step struct {
-	Line   int
-	Word   string
-	Args   []string
-	Fields map[string]string
+	Line    int
+	Command string
+	Args    []string
+	Fields  map[string]string
 }
 
-// Script is a data file.
+// Script holds the steps of a data file.
 type Script struct {
 	Name  string
 	Steps []Step
 }
 
-// Read reads a data file: one step a line, # for remarks.
+// Read parses a data file with one step per line. A # starts a comment.
 func Read(name string, r io.Reader) (Script, error) {
 	s := Script{Name: name}
 	b := bufio.NewScanner(r)
@@ -42,7 +42,7 @@
 		if len(w) == 0 {
 			continue
 		}
-		p := Step{Line: n, Word: w[0], Fields: map[string]string{}}
+		p := Step{Line: n, Command: w[0], Fields: map[string]string{}}
 		for _, a := range w[1:] {
 			if k, v, ok := strings.Cut(a, "="); ok {
 				p.Fields[k] = v
@@ -58,19 +58,19 @@
 	return s, nil
 }
 
-// number returns a field as a number; a field that is missing or no number is
-// an error that names the line.
+// number returns a field as a number. It returns an error with the line number if the field is missing
+// or not a number.
 func (s Step) number(field string) (float64, error) {
 	v, err := strconv.ParseFloat(s.Fields[field], 64)
 	if err != nil {
-		return 0, fmt.Errorf("line %d: %s: %s is not a number", s.Line, s.Word, field)
+		return 0, fmt.Errorf("line %d: %s: %s is not a number", s.Line, s.Command, field)
 	}
 	return v, nil
 }
 
-// numbers fills each number from the field of its name.
-func (s Step) numbers(into map[string]*float64) error {
-	for f, p := range into {
+// numbers sets each number to the value of the field with its name.
+func (s Step) numbers(dest map[string]*float64) error {
+	for f, p := range dest {
 		v, err := s.number(f)
 		if err != nil {
 			return err
@@ -82,7 +82,7 @@
 
 func (s Step) arg(i int) (string, error) {
 	if i >= len(s.Args) {
-		return "", fmt.Errorf("line %d: %s needs %d words", s.Line, s.Word, i+1)
+		return "", fmt.Errorf("line %d: %s needs at least %d arguments", s.Line, s.Command, i+1)
 	}
 	return s.Args[i], nil
 }
@@ -99,7 +99,7 @@
 	return d, nil
 }
 
-// document reads the configuration that a step names.
+// document reads the configuration file that is the first argument of a step.
 func (s Step) document() (*config.Document, error) {
 	f, err := s.arg(0)
 	if err != nil {
@@ -113,7 +113,7 @@
 	return d, iniread.Join(ms)
 }
 
-// price reads `price DC CLASS reclaimable|on_demand per_hour=N supply=N`.
+// price parses `price DC CLASS reclaimable|on_demand per_hour=N supply=N`.
 func (s Step) price() (cloud.Price, error) {
 	const words = 3
 	if len(s.Args) != words {
--- a/load/balancer.go
+++ b/load/balancer.go
@@ -10,33 +10,33 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// The balancer's check.
+// The interval and the timeout of the readiness checks.
 const (
-	checkEvery = 250 * time.Millisecond
-	checkLimit = time.Second
+	checkInterval = 250 * time.Millisecond
+	checkTimeout  = time.Second
 )
 
-// Balancer stands in for the platform's balancer: it sends to the boxes whose
-// check passes, in turn.
+// Balancer is a stand-in for the load balancer of the platform. It selects the entry boxes that pass
+// their readiness check in round-robin order. Boxes are their addresses.
 type Balancer struct {
 	Boxes []string
 
 	mu    sync.Mutex
 	ready []string
-	n     atomic.Uint64
+	turn  atomic.Uint64
 }
 
-// Run checks the boxes until c ends.
+// Run checks the boxes periodically until c is done.
 func (b *Balancer) Run(c context.Context) {
-	h := &http.Client{Timeout: checkLimit}
+	h := &http.Client{Timeout: checkTimeout}
 	for c.Err() == nil {
-		b.Check(c, h)
-		wait.For(c, checkEvery)
+		b.CheckAll(c, h)
+		wait.For(c, checkInterval)
 	}
 }
 
-// Check asks every box once.
-func (b *Balancer) Check(c context.Context, h *http.Client) {
+// CheckAll checks the readiness of all boxes once, in parallel.
+func (b *Balancer) CheckAll(c context.Context, h *http.Client) {
 	ok := make([]bool, len(b.Boxes))
 	var g sync.WaitGroup
 	for i, a := range b.Boxes {
@@ -63,13 +63,13 @@
 	b.ready = ready
 }
 
-// Next returns the box for the next request. Without a ready box it is any.
+// Next returns the address of the box for the next request. If no box is ready, it selects among all.
 func (b *Balancer) Next() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l := b.ready
-	if len(l) == 0 {
-		l = b.Boxes
+	candidates := b.ready
+	if len(candidates) == 0 {
+		candidates = b.Boxes
 	}
-	return l[b.n.Add(1)%uint64(len(l))]
+	return candidates[b.turn.Add(1)%uint64(len(candidates))]
 }
--- a/load/report.go
+++ b/load/report.go
@@ -11,29 +11,29 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report gathers outcomes. Its zero value is empty and ready.
+// Report collects outcomes. Its zero value is empty and ready to use.
 type Report struct {
 	mu       sync.Mutex
-	kinds    map[string]*kindReport
+	kinds    map[string]*kindStats
 	refusals map[string]int
 	Outcomes []Outcome
 }
 
-type kindReport struct {
+type kindStats struct {
 	sent, answered, resumed int
-	first, whole            *hdrhistogram.Histogram
+	timeToFirst, totalTime  *hdrhistogram.Histogram
 }
 
-// Add enters one outcome.
+// Add adds one outcome.
 func (r *Report) Add(o Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.kinds == nil {
-		r.kinds, r.refusals = map[string]*kindReport{}, map[string]int{}
+		r.kinds, r.refusals = map[string]*kindStats{}, map[string]int{}
 	}
 	k, ok := r.kinds[o.Spec.Kind]
 	if !ok {
-		k = &kindReport{first: histogram(), whole: histogram()}
+		k = &kindStats{timeToFirst: newHistogram(), totalTime: newHistogram()}
 		r.kinds[o.Spec.Kind] = k
 	}
 	r.Outcomes = append(r.Outcomes, o)
@@ -44,12 +44,13 @@
 	}
 	if o.Answered {
 		k.answered++
-		_ = k.first.RecordValue(o.First.Microseconds())
-		_ = k.whole.RecordValue(o.Whole.Microseconds())
+		_ = k.timeToFirst.RecordValue(o.TimeToFirst.Microseconds())
+		_ = k.totalTime.RecordValue(o.TotalTime.Microseconds())
 	}
 }
 
-func histogram() *hdrhistogram.Histogram {
+// newHistogram returns a histogram of microseconds, up to 10 minutes.
+func newHistogram() *hdrhistogram.Histogram {
 	const digits = 3
 	return hdrhistogram.New(1, (10 * time.Minute).Microseconds(), digits)
 }
@@ -67,24 +68,25 @@
 	return os
 }
 
-// Print writes the percentiles by kind and the refusals on the way.
+// Print writes a table of latency percentiles by kind of request, and the number of refusals by kind.
 func (r *Report) Print(w io.Writer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "kind\tsent\tanswered\tresumed\tfirst p50\tp95\tp99\twhole p50\tp95\t")
-	for _, n := range keys(r.kinds) {
+	for _, n := range sortedKeys(r.kinds) {
 		k := r.kinds[n]
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t\n", n, k.sent, k.answered, k.resumed,
-			at(k.first, 50), at(k.first, 95), at(k.first, 99), at(k.whole, 50), at(k.whole, 95))
+			formatPercentile(k.timeToFirst, 50), formatPercentile(k.timeToFirst, 95), formatPercentile(k.timeToFirst, 99),
+			formatPercentile(k.totalTime, 50), formatPercentile(k.totalTime, 95))
 	}
 	_ = t.Flush()
-	for _, n := range keys(r.refusals) {
+	for _, n := range sortedKeys(r.refusals) {
 		fmt.Fprintf(w, "refused on the way: %s %d\n", n, r.refusals[n])
 	}
 }
 
-func keys[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	ks := make([]string, 0, len(m))
 	for k := range m {
 		ks = append(ks, k)
@@ -93,11 +95,11 @@
 	return ks
 }
 
-func at(h *hdrhistogram.Histogram, q float64) string {
+func formatPercentile(h *hdrhistogram.Histogram, q float64) string {
 	return (time.Duration(h.ValueAtQuantile(q)) * time.Microsecond).Round(100 * time.Microsecond).String()
 }
 
-// Len returns how many outcomes there are.
+// Len returns the number of outcomes.
 func (r *Report) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/load/run.go
+++ b/load/run.go
@@ -11,8 +11,8 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// Plan says what to send, and for how long. The same seed makes the same
-// requests.
+// Plan describes the load. Boxes are the addresses of the entry boxes, Mix is a key of Mixes, and Rate
+// is the mean number of requests per second. The same seed gives the same requests.
 type Plan struct {
 	Boxes    []string
 	Mix      string
@@ -22,15 +22,16 @@
 	Document *config.Document
 }
 
-// Run sends a plan's requests at its rate, whether or not answers come, and
-// waits for them all.
+// Run sends the requests of a plan as a Poisson process, without waiting for answers between them, and
+// adds their outcomes to r. It stops sending after p.Duration or when c is done, and then waits for
+// all outcomes.
 func Run(c context.Context, p Plan, r *Report) {
 	b := &Balancer{Boxes: p.Boxes}
 	x, stop := context.WithCancel(context.WithoutCancel(c))
 	defer stop()
-	b.Check(x, &http.Client{Timeout: checkLimit})
+	b.CheckAll(x, &http.Client{Timeout: checkTimeout})
 	go b.Run(x)
-	l := &Client{Balancer: b, HTTP: NewHTTP(), Resolve: func(m string) string {
+	l := &Client{Balancer: b, HTTP: NewHTTP(), ResolveModel: func(m string) string {
 		w, _ := p.Document.Resolve(m)
 		return w
 	}}
@@ -45,7 +46,8 @@
 	g.Wait()
 }
 
-// NewHTTP returns the HTTP client of callers, which never follows or repeats.
+// NewHTTP returns the HTTP client of callers. It uses a new connection for each request, so that
+// net/http does not retry a request on its own.
 func NewHTTP() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableKeepAlives: true}}
 }
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -112,8 +112,8 @@
 // recomputed N: at most N tokens were computed again
 func cmdRecomputed(ts *testscript.TestScript, _ bool, args []string) {
 	a := worldOf(ts).wholeAudit(ts)
-	if a.Recomputed > number(ts, args[0]) {
-		ts.Fatalf("%d tokens were computed again: %s", a.Recomputed, replays(a))
+	if a.RecomputedTokens > number(ts, args[0]) {
+		ts.Fatalf("%d tokens were computed again: %s", a.RecomputedTokens, replays(a))
 	}
 }
 
--- a/scenario/world_test.go
+++ b/scenario/world_test.go
@@ -207,7 +207,7 @@
 	w.load.stop()
 	<-w.load.done
 	w.load.report.Print(ts.Stdout())
-	ts.Check(load.Verdict(ts.Stdout(), &w.load.report, w.audit()))
+	ts.Check(load.PrintVerdict(ts.Stdout(), &w.load.report, w.audit()))
 }
 
 // until asks f until it is true, or fails the script.
