--- a/compare/fleet.go
+++ b/compare/fleet.go
@@ -85,7 +85,10 @@
 }
 
 func (s *state) input(dc string) placement.Input {
-	in := placement.Input{DataCentre: dc, Document: s.document, Prices: s.prices, Demand: map[string]float64{}, MaxLoads: 4, Classes: map[string]placement.Class{}}
+	in := placement.Input{
+		DataCentre: dc, Document: s.document, Prices: s.prices, Demand: map[string]float64{}, MaxLoads: 4,
+		Classes: map[string]placement.Class{},
+	}
 	for n, c := range s.classes {
 		in.Classes[n] = c.Class
 	}
--- a/load/client.go
+++ b/load/client.go
@@ -305,7 +305,11 @@
 		path, _, _ := strings.Cut(s.Path, "?")
 		want = answer.Service(s.Service, s.Method, path, s.Body)
 	} else {
-		want = answer.Text(c.ResolveModel(s.Model), openai.ChatRequest{Messages: []openai.Message{{Role: "user", Content: openai.Content(s.Prompt)}}}.Prompt(), s.Tokens)
+		want = answer.Text(
+			c.ResolveModel(s.Model),
+			openai.ChatRequest{Messages: []openai.Message{{Role: "user", Content: openai.Content(s.Prompt)}}}.Prompt(),
+			s.Tokens,
+		)
 	}
 	if p.text != want {
 		o.Mismatch = fmt.Sprintf("answer of %d bytes in place of %d", len(p.text), len(want))
--- a/stand/engine/cache.go
+++ b/stand/engine/cache.go
@@ -19,7 +19,8 @@
 const kvBytesPerToken = 100 << 10
 
 // prefill returns the number of tokens to compute before the first token of the answer, and whether
-// the prompt was cached. It adds the prompt to the cache.
+// the prompt was cached or its KV cache imported. It adds the prompt to the prefix cache unless its KV
+// cache was imported.
 func (s *Server) prefill(q engine.Request) (int, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +85,8 @@
 	jsonhttp.Write(w, http.StatusOK, x)
 }
 
-func (s *Server) sendKV(w http.ResponseWriter, r *http.Request) {
+// getExport returns the KV cache with a handle to the engine that imports it.
+func (s *Server) getExport(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	x, ok := s.exports[mux.Vars(r)["handle"]]
 	s.mu.Unlock()
@@ -126,7 +128,7 @@
 	jsonhttp.Write(w, http.StatusOK, s.lastLoad)
 }
 
-func (s *Server) sendOrders(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) getOrders(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	jsonhttp.Write(w, http.StatusOK, engine.Orders{Fence: s.fence, Workloads: s.loaded})
@@ -164,6 +166,7 @@
 	jsonhttp.Write(w, http.StatusOK, o)
 }
 
+// fetchWeights downloads the weights of a workload from the weight store, if there is one.
 func (s *Server) fetchWeights(c context.Context, workload string) error {
 	if s.Weights == "" {
 		return nil
--- a/stand/engine/server.go
+++ b/stand/engine/server.go
@@ -69,12 +69,12 @@
 	}
 	for p, h := range map[string]http.HandlerFunc{
 		"/generate": s.generate, "/resume": s.resume, "/cancel": s.cancel, "/export": s.export,
-		"/import": s.importKV, "/kv/{handle}": s.sendKV, "/load": s.load, "/events": s.listEvents, "/audit": s.audit,
+		"/import": s.importKV, "/kv/{handle}": s.getExport, "/load": s.load, "/events": s.listEvents, "/audit": s.audit,
 	} {
 		s.router.HandleFunc(p, h)
 	}
 	s.router.HandleFunc("/orders", s.applyOrders).Methods(http.MethodPost)
-	s.router.HandleFunc("/orders", s.sendOrders).Methods(http.MethodGet)
+	s.router.HandleFunc("/orders", s.getOrders).Methods(http.MethodGet)
 	s.router.Handle("/control", &s.Faults)
 	return s
 }
