--- a/compare/requests.go
+++ b/compare/requests.go
@@ -150,7 +150,7 @@
 	}
 	e := es[c.Index]
 	r.sent++
-	r.firstTokenTimes = append(r.firstTokenTimes, r.firstTokenTime(e, q, prefix))
+	r.firstTokenTimes = append(r.firstTokenTimes, r.simulateFirstToken(e, q, prefix))
 	cachedOn[prefix] = e.Name
 	e.busySlots++
 	r.peakLoad = max(r.peakLoad, float64(e.busySlots)/float64(e.Slots))
@@ -158,10 +158,10 @@
 	r.active = append(r.active, u)
 }
 
-// firstTokenTime returns the time to the first token on an engine in its current state. It consists of
-// the wait for a slot, the prefill unless the prefix is cached, and one token. It also counts the
-// cache hit or the computed tokens, and adds the prefix to the cache.
-func (r *routingResult) firstTokenTime(e *engine, q request, prefix uint64) time.Duration {
+// simulateFirstToken returns the time to the first token on an engine in its current state: the
+// wait for a slot, the prefill unless the prefix is cached, and one token. It also counts the cache hit
+// or the computed tokens, and adds the prefix to the cache.
+func (r *routingResult) simulateFirstToken(e *engine, q request, prefix uint64) time.Duration {
 	token := float64(time.Second) / e.TokensPerSecond
 	var d float64
 	if over := e.busySlots + 1 - e.Slots; over > 0 {
--- a/stand/boxlist/server.go
+++ b/stand/boxlist/server.go
@@ -13,7 +13,7 @@
 	"birchlink.dev/birchlink/stand/faults"
 )
 
-// Server serves the boxes of the cloud as they were Lag ago. Faults: "outage" (every call fails)
+// Server serves the boxes of the cloud as they were Lag ago. Faults: "outage" (calls fail)
 // and "freeze" (the list stops changing).
 type Server struct {
 	Lag    time.Duration
--- a/stand/lab/fleet.go
+++ b/stand/lab/fleet.go
@@ -86,7 +86,10 @@
 
 func (l *Lab) startEngine(dc, name string, e EngineSpec, weights string) (fleet.Box, error) {
 	interval := l.Options.TokenInterval * time.Duration(max(e.Slowdown, 1))
-	args := []string{"--name", name, "--slots", fmt.Sprint(e.Slots), "--token-every", interval.String(), "--weights", weights, "--audit-file", l.auditFile(name)}
+	args := []string{
+		"--name", name, "--slots", fmt.Sprint(e.Slots), "--token-every", interval.String(), "--weights", weights,
+		"--audit-file", l.auditFile(name),
+	}
 	for _, w := range e.Loaded {
 		args = append(args, "--loaded", w)
 	}
--- a/stand/lab/lab.go
+++ b/stand/lab/lab.go
@@ -114,7 +114,7 @@
 // New returns a lab without processes. It runs the programs in bin, and writes settings and logs to
 // dir.
 func New(bin, dir string, o Options) *Lab {
-	const subnets = 200 // leaves some of 127.x for labs that need more than one
+	const subnets = 200 // leaves the rest of 127.0.0.0/8 for labs that need more than one
 	return &Lab{Bin: bin, Dir: dir, Options: o, procs: map[string]*Process{}, subnet: 20 + rand.IntN(subnets)}
 }
 
