--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -97,7 +97,7 @@
 type box struct {
 	*ingress.Ingress
 	t            *testing.T
-	store        *memstore.Memory
+	store        *memstore.Store
 	session      *session.Session
 	known        *known.Service
 	address      string
@@ -109,7 +109,7 @@
 // startBox starts a box. If configured is false, the store holds no configuration and no endpoint.
 func startBox(t *testing.T, configured bool) *box {
 	t.Helper()
-	b := &box{t: t, store: &memstore.Memory{}, release: make(chan struct{}), holding: make(chan struct{}, 8)}
+	b := &box{t: t, store: &memstore.Store{}, release: make(chan struct{}), holding: make(chan struct{}, 8)}
 	e := httptest.NewServer(http.HandlerFunc(b.endpoint))
 	t.Cleanup(e.Close)
 	if configured {
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -66,7 +66,7 @@
 	reporter *reporter.Reporter
 }
 
-func newBox(t *testing.T, m *memstore.Memory, l *fakeCloud, name string) *box {
+func newBox(t *testing.T, m *memstore.Store, l *fakeCloud, name string) *box {
 	t.Helper()
 	b := &box{name: name, tally: &tally.Tally{Window: window}}
 	b.election = &election.Election{Store: m, Key: "duty", Box: name, Term: term, Log: zerolog.Nop()}
@@ -84,10 +84,10 @@
 	_ = b.election.Stop(context.Background())
 }
 
-func runWithTwoBoxes(t *testing.T, f func(t *testing.T, m *memstore.Memory, l *fakeCloud, a, b *box)) {
+func runWithTwoBoxes(t *testing.T, f func(t *testing.T, m *memstore.Store, l *fakeCloud, a, b *box)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		m := &memstore.Memory{}
+		m := &memstore.Store{}
 		l := &fakeCloud{reports: map[int64][]map[string]int{}, reportedAt: map[int64]time.Time{}}
 		a := newBox(t, m, l, "a")
 		wait.For(t.Context(), time.Second)
@@ -125,7 +125,7 @@
 }
 
 func TestReportSumsAllBoxes(t *testing.T) {
-	runWithTwoBoxes(t, func(t *testing.T, _ *memstore.Memory, l *fakeCloud, a, b *box) {
+	runWithTwoBoxes(t, func(t *testing.T, _ *memstore.Store, l *fakeCloud, a, b *box) {
 		w := countInNextWindow(t, a, b)
 		wait.For(t.Context(), 2*window)
 		l.requireReported(t, w, a.tally.WindowEnd(w), map[string]int{"x": 7})
@@ -136,7 +136,7 @@
 
 // A report whose response is lost is sent again with the same counts, also by the next leader.
 func TestSuccessorReportsSameCounts(t *testing.T) {
-	runWithTwoBoxes(t, func(t *testing.T, _ *memstore.Memory, l *fakeCloud, a, b *box) {
+	runWithTwoBoxes(t, func(t *testing.T, _ *memstore.Store, l *fakeCloud, a, b *box) {
 		w := countInNextWindow(t, a, b)
 		l.mu.Lock()
 		l.answersToDrop = 1
@@ -152,7 +152,7 @@
 
 // Counts that a killed box reported to another box are included although it never wrote them.
 func TestCountsOfKilledBoxAreReported(t *testing.T) {
-	runWithTwoBoxes(t, func(t *testing.T, m *memstore.Memory, l *fakeCloud, a, b *box) {
+	runWithTwoBoxes(t, func(t *testing.T, m *memstore.Store, l *fakeCloud, a, b *box) {
 		w := countInNextWindow(t, a, b)
 		a.reporter.Merge(b.tally.Recent(b.reporter.Source(), w))
 		kill(t, m, b)
@@ -163,9 +163,9 @@
 }
 
 // kill simulates a crash of a box: its lease expires, and it writes nothing more.
-func kill(t *testing.T, m *memstore.Memory, b *box) {
+func kill(t *testing.T, m *memstore.Store, b *box) {
 	t.Helper()
-	m.Unset("boxes/" + b.name)
+	m.Delete("boxes/" + b.name)
 	b.tally.Forget(1 << 60)
 	b.reporter.Store = unreachableStore{}
 	_ = b.reporter.Stop(context.Background())
@@ -181,7 +181,7 @@
 
 // A report is still in time if the store is unreachable for 4.5 s around the end of the window.
 func TestReportSurvivesStoreOutage(t *testing.T) {
-	runWithTwoBoxes(t, func(t *testing.T, m *memstore.Memory, l *fakeCloud, a, b *box) {
+	runWithTwoBoxes(t, func(t *testing.T, m *memstore.Store, l *fakeCloud, a, b *box) {
 		w := countInNextWindow(t, a, b)
 		wait.For(t.Context(), time.Until(a.tally.WindowEnd(w).Add(-100*time.Millisecond)))
 		m.SetDown(true)
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -21,7 +21,7 @@
 // one that answers for unresponsive.
 func TestFastRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &memstore.Memory{}
+		m := &memstore.Store{}
 		s := session.New(m, zerolog.Nop())
 		s.SetFast(true)
 		require.NoError(t, s.Start(t.Context(), nil))
@@ -42,7 +42,7 @@
 // and once for the store's return.
 func TestExpiredLeaseIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &memstore.Memory{}
+		m := &memstore.Store{}
 		s := session.New(m, zerolog.Nop())
 		returns := 0
 		s.OnReconnect(func() { returns++ })
@@ -63,13 +63,13 @@
 
 // countingStore counts renewals.
 type countingStore struct {
-	*memstore.Memory
+	*memstore.Store
 	renewals atomic.Int64
 }
 
 func (c *countingStore) Renew(x context.Context, l store.Lease) error {
 	c.renewals.Add(1)
-	return c.Memory.Renew(x, l)
+	return c.Store.Renew(x, l)
 }
 
 // A box makes no renewals while another box reports that the store answers, and its own figure
@@ -77,7 +77,7 @@
 // renews as usual and keeps that lease.
 func TestReportsReplaceRenewals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &countingStore{Memory: &memstore.Memory{}}
+		m := &countingStore{Store: &memstore.Store{}}
 		s := session.New(m, zerolog.Nop())
 		require.NoError(t, s.Start(t.Context(), nil))
 		for range 60 {
@@ -88,11 +88,11 @@
 		require.Zero(t, m.renewals.Load())
 		l, err := s.EnsureLease(t.Context())
 		require.NoError(t, err)
-		require.NoError(t, m.Memory.Renew(t.Context(), l))
+		require.NoError(t, m.Store.Renew(t.Context(), l))
 		before := m.renewals.Load()
 		wait.For(t.Context(), 30*time.Second)
 		require.GreaterOrEqual(t, m.renewals.Load()-before, int64(28))
-		require.NoError(t, m.Memory.Renew(t.Context(), s.Lease()))
+		require.NoError(t, m.Store.Renew(t.Context(), s.Lease()))
 		require.Equal(t, l, s.Lease())
 		require.NoError(t, s.Stop(context.Background()))
 	})
@@ -101,7 +101,7 @@
 // Reports of answers from before an outage don't count as the store's return.
 func TestStaleReportsDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &memstore.Memory{}
+		m := &memstore.Store{}
 		s := session.New(m, zerolog.Nop())
 		require.NoError(t, s.Start(t.Context(), nil))
 		wait.For(t.Context(), time.Second)
@@ -122,7 +122,7 @@
 // unresponsive, and that it answers again.
 func TestPingStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &memstore.Memory{}
+		m := &memstore.Store{}
 		s := session.New(m, zerolog.Nop())
 		require.NoError(t, s.Start(t.Context(), nil))
 		wait.For(t.Context(), 100*time.Millisecond)
@@ -146,14 +146,14 @@
 // lease soon.
 func TestWakeFromSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &memstore.Memory{}
+		m := &memstore.Store{}
 		s := session.New(m, zerolog.Nop())
 		require.NoError(t, s.Start(t.Context(), nil))
 		wait.For(t.Context(), 1200*time.Millisecond) // between two renewals
 		l := s.Lease()
 		s.MergeReport(0)
 		boottime.Skip(5 * time.Second)
-		m.EndLease(l)
+		m.ExpireLease(l)
 		require.GreaterOrEqual(t, s.StoreUnresponsiveFor(), 5*time.Second)
 		wait.For(t.Context(), session.FastRenewInterval)
 		require.Less(t, s.StoreUnresponsiveFor(), session.FastRenewInterval+time.Millisecond)
