--- a/compare/requests.go
+++ b/compare/requests.go
@@ -128,7 +128,7 @@
 	var ts []router.Target
 	var es []*engine
 	for _, e := range s.engines {
-		if e.DataCentre != q.dc || !e.Has(workload) {
+		if e.DataCentre != q.dc || !e.Serves(workload) {
 			continue
 		}
 		es = append(es, e)
--- a/config/parse.go
+++ b/config/parse.go
@@ -61,11 +61,11 @@
 	s := quote("model", n)
 	m := Model{Name: n, Adapters: r.List(s, "adapters"), Versions: r.List(s, "versions"), Copies: r.Int(s, "copies", 2, 1, 10000)}
 	if len(m.Versions) == 0 {
-		r.Add(s, "versions", "", "one version or more, separated by commas")
+		r.AddMistake(s, "versions", "", "one version or more, separated by commas")
 		m.Versions = []string{"1"}
 	}
 	if strings.ContainsAny(n, ":@*") {
-		r.Add(s, "", n, "a name without : @ *")
+		r.AddMistake(s, "", n, "a name without : @ *")
 	}
 	return m
 }
@@ -74,7 +74,7 @@
 	s := quote("selector", n)
 	l := Selector{Name: n, Workloads: r.List(s, "workloads"), Require: terms(r, s, "require"), Prefer: terms(r, s, "prefer")}
 	if len(l.Workloads) == 0 {
-		r.Add(s, "workloads", "", "one workload or more, such as model@1 or model*")
+		r.AddMistake(s, "workloads", "", "one workload or more, such as model@1 or model*")
 	}
 	return l
 }
@@ -85,7 +85,7 @@
 	for _, p := range r.List(s, key) {
 		l, v, ok := strings.Cut(p, "=")
 		if !ok || l == "" || v == "" {
-			r.Add(s, key, p, "label=value or label=value|value, separated by commas")
+			r.AddMistake(s, key, p, "label=value or label=value|value, separated by commas")
 			continue
 		}
 		ts = append(ts, Term{Label: strings.TrimSpace(l), Values: strings.Split(strings.TrimSpace(v), "|")})
@@ -101,7 +101,7 @@
 	}
 	for _, f := range fixedLabels {
 		if v, ok := m[f]; ok {
-			r.Add(s, f, v, "a label of your own; this one comes from the box list")
+			r.AddMistake(s, f, v, "a label of your own; this one comes from the box list")
 		}
 	}
 	return m
@@ -113,7 +113,7 @@
 	keys := map[string]string{}
 	for _, a := range d.Accounts {
 		if o, twice := keys[a.Key]; twice && a.Key != "" {
-			r.Add(quote("account", a.Name), "key", "…", "a key of its own; account "+o+" has the same")
+			r.AddMistake(quote("account", a.Name), "key", "…", "a key of its own; account "+o+" has the same")
 		}
 		keys[a.Key] = a.Name
 	}
@@ -124,7 +124,7 @@
 	for _, s := range d.Selectors {
 		for _, w := range s.Workloads {
 			if !coversAny(Selector{Workloads: []string{w}}, known) {
-				r.Add(quote("selector", s.Name), "workloads", w, "a workload of a configured model or service")
+				r.AddMistake(quote("selector", s.Name), "workloads", w, "a workload of a configured model or service")
 			}
 		}
 	}
@@ -145,7 +145,7 @@
 	var r iniread.Reader
 	for _, s := range d.Selectors {
 		if !anyBox(boxes, func(b fleet.Box) bool { return s.Allows(d.Label(b)) }) {
-			r.Add(quote("selector", s.Name), "require", "", "labels that at least one box has; no box matches")
+			r.AddMistake(quote("selector", s.Name), "require", "", "labels that at least one box has; no box matches")
 		}
 	}
 	for _, w := range d.Workloads() {
@@ -158,7 +158,7 @@
 			return may && b.Role == fleet.EngineRole
 		})
 		if !ok {
-			r.Add(quote("selector", by), "require", "", "leave workload "+w+" a box to run on")
+			r.AddMistake(quote("selector", by), "require", "", "leave workload "+w+" a box to run on")
 		}
 	}
 	return r.Mistakes
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -204,17 +204,17 @@
 
 // figures returns the service that tells the box's metrics, with what it believes and carries
 // at the moment.
-func (p *entryParts) figures(in *ingress.Ingress, f *forward.Forwarder, m metrics.Registry, log zerolog.Logger) *figures.Figures {
+func (p *entryParts) figures(in *ingress.Ingress, f *forward.Forwarder, m metrics.Registry, log zerolog.Logger) *figures.Server {
 	fs := figures.New(p.settings.Metrics, m, log)
-	fs.Gauge("configuration.version", func() int64 { v, _ := p.known.RawConfig(); return int64(v) })
-	fs.Gauge("endpoints.known", func() int64 { return int64(p.known.Roster.Len()) })
-	fs.Gauge("endpoints.leaving", func() int64 { return int64(p.known.Roster.Draining()) })
-	fs.Gauge("endpoints.resting", func() int64 { return int64(p.book.Availability.CountBackingOff(boottime.Now())) })
-	fs.Gauge("endpoints.limited", func() int64 { return int64(p.book.Availability.Rates.Len()) })
-	fs.Gauge("boxes.known", func() int64 { return p.boxes.Load() })
-	fs.Gauge("requests.live", func() int64 { return int64(in.Live()) })
-	fs.Gauge("contents.refused", func() int64 { return int64(len(p.gossip.Quarantine.Refused(boottime.Now()))) })
-	fs.Gauge("connections.idle", func() int64 { return int64(f.Pool.CountIdle()) })
+	fs.RegisterGauge("configuration.version", func() int64 { v, _ := p.known.RawConfig(); return int64(v) })
+	fs.RegisterGauge("endpoints.known", func() int64 { return int64(p.known.Roster.Len()) })
+	fs.RegisterGauge("endpoints.leaving", func() int64 { return int64(p.known.Roster.Draining()) })
+	fs.RegisterGauge("endpoints.resting", func() int64 { return int64(p.book.Availability.CountBackingOff(boottime.Now())) })
+	fs.RegisterGauge("endpoints.limited", func() int64 { return int64(p.book.Availability.Rates.Len()) })
+	fs.RegisterGauge("boxes.known", func() int64 { return p.boxes.Load() })
+	fs.RegisterGauge("requests.live", func() int64 { return int64(in.Live()) })
+	fs.RegisterGauge("contents.refused", func() int64 { return int64(len(p.gossip.Quarantine.Refused(boottime.Now()))) })
+	fs.RegisterGauge("connections.idle", func() int64 { return int64(f.Pool.CountIdle()) })
 	return fs
 }
 
--- a/decisions/log.go
+++ b/decisions/log.go
@@ -1,5 +1,5 @@
-// Package decisions notes each routing, admission and placement decision: as a
-// log line, and in bounded memory for birchctl explain.
+// Package decisions records routing, admission and placement decisions. Each is written to the
+// log, and the latest are kept in memory for birchctl explain.
 package decisions
 
 import (
@@ -17,37 +17,37 @@
 // Name is the name of the service.
 const Name = "decisions"
 
-// kept is how many decisions a box remembers.
-const kept = 4096
+// maxDecisions is the number of decisions that a box keeps in memory.
+const maxDecisions = 4096
 
-// Figure is one candidate as the decision saw it.
-type Figure struct {
+// Candidate is a box that was considered for a decision, with its score at that time.
+type Candidate struct {
 	Box    string  `json:"box"`
 	Score  float64 `json:"score"`
 	Reason string  `json:"reason,omitempty"`
 }
 
-// Decision is one choice with its reasons. Subject is a request id, or what a
-// placement is about.
+// Decision is one decision with its reason and the candidates considered. Subject is the ID of the
+// request, or names the subject of a placement.
 type Decision struct {
-	At       time.Time `json:"at"`
-	Box      string    `json:"box"`
-	Subject  string    `json:"subject"`
-	Event    string    `json:"event"`
-	Choice   string    `json:"choice,omitempty"`
-	Reason   string    `json:"reason,omitempty"`
-	Attempt  int       `json:"attempt,omitempty"`
-	Figures  []Figure  `json:"figures,omitempty"`
-	Workload string    `json:"workload,omitempty"`
+	At       time.Time   `json:"at"`
+	Box      string      `json:"box"`
+	Subject  string      `json:"subject"`
+	Event    string      `json:"event"`
+	Choice   string      `json:"choice,omitempty"`
+	Reason   string      `json:"reason,omitempty"`
+	Attempt  int         `json:"attempt,omitempty"`
+	Figures  []Candidate `json:"figures,omitempty"`
+	Workload string      `json:"workload,omitempty"`
 }
 
-// Log is the service of one box.
+// Log records the decisions of one box. It is safe for concurrent use.
 type Log struct {
 	Box string
 	Out zerolog.Logger
 
 	mu   sync.Mutex
-	ring [kept]Decision
+	ring [maxDecisions]Decision
 	next int
 }
 
@@ -57,7 +57,7 @@
 // Name returns the service's name.
 func (l *Log) Name() string { return Name }
 
-// Start lets peers ask for decisions.
+// Start registers the handler with which peers query decisions.
 func (l *Log) Start(_ context.Context, k *kernel.Kernel) error {
 	n, err := kernel.Find[*peer.Node](k, peer.Name)
 	if err != nil {
@@ -72,8 +72,9 @@
 // Stop does nothing.
 func (l *Log) Stop(context.Context) error { return nil }
 
-// Note logs a decision and keeps it.
-func (l *Log) Note(d Decision) {
+// Record logs d and keeps it in memory, where it replaces the oldest decision if the log is full.
+// It sets d.At and d.Box.
+func (l *Log) Record(d Decision) {
 	d.At, d.Box = time.Now(), l.Box
 	e := l.Out.Info().Str("event", d.Event).Str("subject", d.Subject)
 	if d.Workload != "" {
@@ -88,11 +89,11 @@
 	e.Str("choice", d.Choice).Str("reason", d.Reason).Msg("decision")
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ring[l.next%kept] = d
+	l.ring[l.next%maxDecisions] = d
 	l.next++
 }
 
-// Find returns the decisions about a subject, oldest first.
+// Find returns the decisions about a subject that are in memory, oldest first.
 func (l *Log) Find(subject string) []Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -160,7 +160,7 @@
 	if err != nil {
 		n.Choice, n.Reason = "refused", err.Error()
 	}
-	d.decisions.Note(n)
+	d.decisions.Record(n)
 	return release, remote, err
 }
 
@@ -232,7 +232,7 @@
 	if !up || m.Incarnation == d.members.Self().Incarnation {
 		return errkind.New(errkind.OutcomeUnknown, "the process that may run it has ended; it ran there or not at all")
 	}
-	d.decisions.Note(decisions.Decision{Subject: q.id(), Event: "forward", Choice: m.Box, Reason: "it holds the key or issued the ticket"})
+	d.decisions.Record(decisions.Decision{Subject: q.id(), Event: "forward", Choice: m.Box, Reason: "it holds the key or issued the ticket"})
 	err := d.peers.Client.Stream(c, m.Address, "once.do", forwarded{Call: q, To: m.Incarnation}, nil, func(b []byte) error {
 		var i Item
 		if err := msgpack.Unmarshal(b, &i); err != nil {
--- a/dispatch/handover.go
+++ b/dispatch/handover.go
@@ -63,13 +63,13 @@
 	for len(all) > 0 {
 		n := min(len(all), handoverBatch)
 		if err := d.peers.Client.Call(c, to.Address, "once.inherit", all[:n], nil); err != nil {
-			d.decisions.Note(decisions.Decision{Subject: "records", Event: "bequeath", Choice: to.Box, Reason: "not taken: " + err.Error()})
+			d.decisions.Record(decisions.Decision{Subject: "records", Event: "bequeath", Choice: to.Box, Reason: "not taken: " + err.Error()})
 			return
 		}
 		all = all[n:]
 	}
 	d.members.SetSuccessor(to.Incarnation)
-	d.decisions.Note(decisions.Decision{Subject: "records", Event: "bequeath", Choice: to.Box, Reason: "this process ends"})
+	d.decisions.Record(decisions.Decision{Subject: "records", Event: "bequeath", Choice: to.Box, Reason: "this process ends"})
 }
 
 func (d *Dispatcher) successor() (member.Member, bool) {
--- a/figures/figures.go
+++ b/figures/figures.go
@@ -1,4 +1,4 @@
-// Package figures serves a process's metrics as text.
+// Package figures serves the metrics of a process over HTTP as plain text.
 package figures
 
 import (
@@ -18,14 +18,14 @@
 // Name is the name of the service.
 const Name = "figures"
 
-// Path is where the metrics are served.
+// Path is the URL path of the metrics.
 const Path = "/metrics"
 
-// headerLimit bounds how long a reader may take to ask.
-const headerLimit = 5 * time.Second
+// readHeaderTimeout bounds the time to read the header of a request.
+const readHeaderTimeout = 5 * time.Second
 
-// Figures is the service of one box.
-type Figures struct {
+// Server serves the metrics of a registry.
+type Server struct {
 	Address string
 
 	registry metrics.Registry
@@ -33,52 +33,52 @@
 	server   *http.Server
 }
 
-// New returns the service. Without an address it serves nobody.
-func New(address string, r metrics.Registry, log zerolog.Logger) *Figures {
-	return &Figures{Address: address, registry: r, log: log}
+// New returns a server for the metrics of r. If address is empty, the server does not listen.
+func New(address string, r metrics.Registry, log zerolog.Logger) *Server {
+	return &Server{Address: address, registry: r, log: log}
 }
 
 // Name returns the service's name.
-func (f *Figures) Name() string { return Name }
+func (s *Server) Name() string { return Name }
 
-// Gauge enters a figure that is read when it is asked for.
-func (f *Figures) Gauge(name string, read func() int64) {
-	// A name that is taken keeps its first figure: names are given once, in daemon.
-	_ = f.registry.Register(name, metrics.NewFunctionalGauge(read))
+// RegisterGauge registers a gauge whose value is read on each request for the metrics.
+func (s *Server) RegisterGauge(name string, read func() int64) {
+	// The only error is a duplicate name, which keeps its first gauge. Package daemon registers each
+	// name once.
+	_ = s.registry.Register(name, metrics.NewFunctionalGauge(read))
 }
 
-// Start listens. An address that cannot be had is logged, and costs no more than
-// the metrics.
-func (f *Figures) Start(context.Context, *kernel.Kernel) error {
-	if f.Address == "" {
+// Start listens and serves. A failure to listen is logged and not returned.
+func (s *Server) Start(context.Context, *kernel.Kernel) error {
+	if s.Address == "" {
 		return nil
 	}
-	l, err := net.Listen("tcp", f.Address)
+	l, err := net.Listen("tcp", s.Address)
 	if err != nil {
-		// Callers are served without metrics rather than not at all.
-		f.log.Error().Str("event", "listen").Str("address", f.Address).Err(err).Msg("metrics are not served")
+		// The box serves requests without metrics rather than not at all.
+		s.log.Error().Str("event", "listen").Str("address", s.Address).Err(err).Msg("metrics are not served")
 		return nil
 	}
 	r := mux.NewRouter()
-	r.HandleFunc(Path, f.serve).Methods(http.MethodGet)
-	f.server = &http.Server{Handler: r, ReadHeaderTimeout: headerLimit}
+	r.HandleFunc(Path, s.serve).Methods(http.MethodGet)
+	s.server = &http.Server{Handler: r, ReadHeaderTimeout: readHeaderTimeout}
 	go func() {
-		if err := f.server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			f.log.Error().Str("event", "listen").Str("address", f.Address).Err(err).Msg("metrics are no longer served")
+		if err := s.server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+			s.log.Error().Str("event", "listen").Str("address", s.Address).Err(err).Msg("metrics are no longer served")
 		}
 	}()
 	return nil
 }
 
-// Stop ends the listening.
-func (f *Figures) Stop(context.Context) error {
-	if f.server == nil {
+// Stop closes the listener and all connections.
+func (s *Server) Stop(context.Context) error {
+	if s.server == nil {
 		return nil
 	}
-	return f.server.Close()
+	return s.server.Close()
 }
 
-func (f *Figures) serve(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) serve(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	metrics.WriteOnce(f.registry, w)
+	metrics.WriteOnce(s.registry, w)
 }
--- a/figures/figures_test.go
+++ b/figures/figures_test.go
@@ -14,16 +14,16 @@
 	"birchlink.dev/birchlink/figures"
 )
 
-func TestServed(t *testing.T) {
+func TestServesMetrics(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := l.Addr().String()
 	require.NoError(t, l.Close())
 	r := metrics.NewRegistry()
-	f := figures.New(address, r, zerolog.Nop())
-	f.Gauge("configuration.version", func() int64 { return 7 })
+	s := figures.New(address, r, zerolog.Nop())
+	s.RegisterGauge("configuration.version", func() int64 { return 7 })
 	metrics.GetOrRegisterCounter("refused.overloaded", r).Inc(3)
-	require.NoError(t, f.Start(t.Context(), nil))
+	require.NoError(t, s.Start(t.Context(), nil))
 	a, err := http.Get("http://" + address + figures.Path)
 	require.NoError(t, err)
 	defer a.Body.Close()
@@ -31,15 +31,15 @@
 	require.NoError(t, err)
 	require.Regexp(t, `gauge configuration.version\s+value:\s+7`, string(b))
 	require.Regexp(t, `counter refused.overloaded\s+count:\s+3`, string(b))
-	require.NoError(t, f.Stop(context.Background()))
+	require.NoError(t, s.Stop(context.Background()))
 }
 
-// An address that another process has does not keep the box from starting.
-func TestAddressTaken(t *testing.T) {
+// A metrics address that is in use does not keep the box from starting.
+func TestStartWithAddressInUse(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
-	f := figures.New(l.Addr().String(), metrics.NewRegistry(), zerolog.Nop())
-	require.NoError(t, f.Start(t.Context(), nil))
-	require.NoError(t, f.Stop(context.Background()))
+	s := figures.New(l.Addr().String(), metrics.NewRegistry(), zerolog.Nop())
+	require.NoError(t, s.Start(t.Context(), nil))
+	require.NoError(t, s.Stop(context.Background()))
 }
--- a/fleet/box.go
+++ b/fleet/box.go
@@ -1,13 +1,13 @@
-// Package fleet holds the plain structs that every role shares: boxes and the
-// endpoints on them.
+// Package fleet defines the types for boxes and the endpoints on them.
 package fleet
 
 import "time"
 
-// BoxState says whether a box may be used.
+// BoxState is the state of a box. Only a Live box receives new work.
 type BoxState string
 
-// The states of a box, as the box list gives them.
+// The states of a box in the box list. A Leaving box is being reclaimed and a Gone box has been
+// removed. A Stopped box can be started.
 const (
 	Live    BoxState = "live"
 	Leaving BoxState = "leaving"
@@ -15,7 +15,7 @@
 	Stopped BoxState = "stopped"
 )
 
-// Role says what a box carries.
+// Role is what a box runs: an inference engine, a plain service or the entry daemon.
 type Role string
 
 // The roles of a box.
@@ -25,8 +25,8 @@
 	EntryRole   Role = "entry"
 )
 
-// Box is one machine as the box list and the cloud API show it. Address is an
-// IP number and a port. Deadline is set while the box is leaving.
+// Box is a machine as listed by the box list and the cloud API. Address is an IP address and a
+// port. Deadline is set while the box is leaving.
 type Box struct {
 	Name        string            `json:"name"`
 	DataCentre  string            `json:"data_centre"`
@@ -40,8 +40,8 @@
 	Labels      map[string]string `json:"labels,omitempty"`
 }
 
-// Label returns the value of a label of b. Facts that the box list gives, such
-// as its data centre, are labels that an operator cannot overwrite.
+// Label returns the value of a label, or "" if b lacks it. The labels box, data_centre, class and
+// supply come from the box list, and Labels cannot override them.
 func (b Box) Label(name string) string {
 	switch name {
 	case "box":
--- a/fleet/endpoint.go
+++ b/fleet/endpoint.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Load is what an endpoint last said about itself. TokensPerSecond is the
-// measured speed of one stream, Reported the time the report was made.
+// Load is the last load report of an endpoint. TokensPerSecond is the measured rate of a single
+// stream, and Reported the time of the report.
 type Load struct {
 	Incarnation     string    `json:"incarnation"`
 	ChecksFence     bool      `json:"checks_fence"`
@@ -15,18 +15,17 @@
 	Reported        time.Time `json:"reported"`
 }
 
-// Endpoint is a box that answers requests, with its last known load.
+// Endpoint is a box that serves requests, with its last reported load.
 type Endpoint struct {
 	Box
 	Load
 }
 
-// Usable reports whether new work may go to e.
+// Usable reports whether e may receive new work: its box is live and e has reported its load.
 func (e Endpoint) Usable() bool { return e.State == Live && e.Incarnation != "" }
 
-// Has reports whether workload w is loaded at e. A plain service answers only
-// for itself.
-func (e Endpoint) Has(w string) bool {
+// Serves reports whether e serves workload w: an engine has it loaded, or e is the plain service w.
+func (e Endpoint) Serves(w string) bool {
 	if e.Role == ServiceRole {
 		return e.Service == w
 	}
--- a/iniread/reader.go
+++ b/iniread/reader.go
@@ -1,5 +1,5 @@
-// Package iniread reads INI text as a whole and reports every mistake in it,
-// not only the first.
+// Package iniread reads typed values from INI text. It collects all mistakes in the text instead of
+// stopping at the first one.
 package iniread
 
 import (
@@ -14,7 +14,7 @@
 	"gopkg.in/ini.v1"
 )
 
-// Mistake is one thing that is wrong in a file, and what is allowed there.
+// Mistake is an invalid entry of a file, with a description of what is allowed there.
 type Mistake struct {
 	Section string
 	Key     string
@@ -22,51 +22,54 @@
 	Allowed string
 }
 
-// String returns the mistake on one line.
+// String returns the mistake as one line.
 func (m Mistake) String() string {
 	return fmt.Sprintf("[%s] %s = %q: allowed: %s", m.Section, m.Key, m.Found, m.Allowed)
 }
 
-// Reader reads keys by section and gathers the mistakes.
+// Reader reads values by section and key, and collects the mistakes. The methods that return a
+// value record a mistake if it is invalid, and mark the key as known for Finish.
 type Reader struct {
 	Mistakes []Mistake
 
-	file *ini.File
-	used map[string]map[string]bool
+	file  *ini.File
+	known map[string]map[string]bool // by section and key
 }
 
-// New parses text. A text that is no INI at all is one mistake.
+// New returns a reader of text. If text is not valid INI, that is recorded as a mistake and the
+// reader is empty.
 func New(text []byte) *Reader {
-	r := &Reader{used: map[string]map[string]bool{}}
+	r := &Reader{known: map[string]map[string]bool{}}
 	o := ini.LoadOptions{IgnoreInlineComment: true, AllowShadows: true, SkipUnrecognizableLines: false}
 	f, err := ini.LoadSources(o, text)
 	if err != nil {
-		r.Add("", "", err.Error(), "INI: [section] lines and key = value lines")
+		r.AddMistake("", "", err.Error(), "INI: [section] lines and key = value lines")
 		f = ini.Empty()
 	}
 	r.file = f
 	return r
 }
 
-// Add notes a mistake.
-func (r *Reader) Add(section, key, found, allowed string) {
+// AddMistake records a mistake.
+func (r *Reader) AddMistake(section, key, found, allowed string) {
 	r.Mistakes = append(r.Mistakes, Mistake{section, key, found, allowed})
 }
 
-// Sections returns the names n of the sections `[prefix "n"]`, in file order.
+// Sections returns the name n of each section `[prefix "n"]`, in file order, and marks these
+// sections as known.
 func (r *Reader) Sections(prefix string) []string {
 	var ns []string
 	for _, s := range r.file.SectionStrings() {
 		n, ok := strings.CutPrefix(s, prefix+` "`)
 		if ok && strings.HasSuffix(n, `"`) {
-			r.use(s, "")
+			r.markKnown(s, "")
 			ns = append(ns, strings.TrimSuffix(n, `"`))
 		}
 	}
 	return ns
 }
 
-// Keys returns the keys of a section and marks them as known.
+// Keys returns the keys of a section, in file order, and marks them as known.
 func (r *Reader) Keys(section string) []string {
 	s, err := r.file.GetSection(section)
 	if err != nil {
@@ -74,51 +77,52 @@
 	}
 	ks := s.KeyStrings()
 	for _, k := range ks {
-		r.use(section, k)
+		r.markKnown(section, k)
 	}
 	return ks
 }
 
-func (r *Reader) use(section, key string) {
-	if r.used[section] == nil {
-		r.used[section] = map[string]bool{}
+func (r *Reader) markKnown(section, key string) {
+	if r.known[section] == nil {
+		r.known[section] = map[string]bool{}
 	}
-	r.used[section][key] = true
+	r.known[section][key] = true
 }
 
-func (r *Reader) raw(section, key string) (string, bool) {
-	r.use(section, key)
+func (r *Reader) lookup(section, key string) (string, bool) {
+	r.markKnown(section, key)
 	s, err := r.file.GetSection(section)
 	if err != nil || !s.HasKey(key) {
 		return "", false
 	}
 	vs := s.Key(key).ValueWithShadows()
 	if len(vs) > 1 {
-		r.Add(section, key, strings.Join(vs, " and "), "one value; the key is given twice")
+		r.AddMistake(section, key, strings.Join(vs, " and "), "one value; the key is given twice")
 	}
 	return s.Key(key).Value(), true
 }
 
-// String returns a value, or d if the key is missing.
-func (r *Reader) String(section, key, d string) string {
-	if v, ok := r.raw(section, key); ok {
+// String returns a value, or def if the key is missing.
+func (r *Reader) String(section, key, def string) string {
+	if v, ok := r.lookup(section, key); ok {
 		return v
 	}
-	return d
+	return def
 }
 
-// Required returns a value that must be given and not be empty.
+// Required returns a value. A missing or empty value is a mistake.
 func (r *Reader) Required(section, key string) string {
-	v, _ := r.raw(section, key)
+	v, _ := r.lookup(section, key)
 	if v == "" {
-		r.Add(section, key, v, "a value; it is required")
+		r.AddMistake(section, key, v, "a value; it is required")
 	}
 	return v
 }
 
-// List returns the comma-separated parts of a value.
+// List returns the comma-separated elements of a value, without surrounding space and empty
+// elements.
 func (r *Reader) List(section, key string) []string {
-	v, _ := r.raw(section, key)
+	v, _ := r.lookup(section, key)
 	var l []string
 	for p := range strings.SplitSeq(v, ",") {
 		if p = strings.TrimSpace(p); p != "" {
@@ -128,69 +132,69 @@
 	return l
 }
 
-// Duration returns a value between low and high, or d if the key is missing.
-func (r *Reader) Duration(section, key string, d, low, high time.Duration) time.Duration {
-	v, ok := r.raw(section, key)
+// Duration returns a duration from low to high, or def if the key is missing or the value invalid.
+func (r *Reader) Duration(section, key string, def, low, high time.Duration) time.Duration {
+	v, ok := r.lookup(section, key)
 	if !ok {
-		return d
+		return def
 	}
 	x, err := time.ParseDuration(v)
 	if err != nil || x < low || x > high {
-		r.Add(section, key, v, fmt.Sprintf("a duration from %v to %v, such as %v", low, high, d))
-		return d
+		r.AddMistake(section, key, v, fmt.Sprintf("a duration from %v to %v, such as %v", low, high, def))
+		return def
 	}
 	return x
 }
 
-// Int returns a value between low and high, or d if the key is missing.
-func (r *Reader) Int(section, key string, d, low, high int) int {
-	v, ok := r.raw(section, key)
+// Int returns an integer from low to high, or def if the key is missing or the value invalid.
+func (r *Reader) Int(section, key string, def, low, high int) int {
+	v, ok := r.lookup(section, key)
 	if !ok {
-		return d
+		return def
 	}
 	x, err := strconv.Atoi(v)
 	if err != nil || x < low || x > high {
-		r.Add(section, key, v, fmt.Sprintf("a whole number from %d to %d", low, high))
-		return d
+		r.AddMistake(section, key, v, fmt.Sprintf("a whole number from %d to %d", low, high))
+		return def
 	}
 	return x
 }
 
-// Float returns a value between low and high, or d if the key is missing.
-func (r *Reader) Float(section, key string, d, low, high float64) float64 {
-	v, ok := r.raw(section, key)
+// Float returns a number from low to high, or def if the key is missing or the value invalid.
+func (r *Reader) Float(section, key string, def, low, high float64) float64 {
+	v, ok := r.lookup(section, key)
 	if !ok {
-		return d
+		return def
 	}
 	x, err := strconv.ParseFloat(v, 64)
 	if err != nil || !(x >= low && x <= high) {
-		r.Add(section, key, v, fmt.Sprintf("a number from %g to %g", low, high))
-		return d
+		r.AddMistake(section, key, v, fmt.Sprintf("a number from %g to %g", low, high))
+		return def
 	}
 	return x
 }
 
-// Choice returns a value that must be one of those named.
-func (r *Reader) Choice(section, key, d string, of ...string) string {
-	v, ok := r.raw(section, key)
+// Choice returns a value that is one of choices, or def if the key is missing or the value invalid.
+func (r *Reader) Choice(section, key, def string, choices ...string) string {
+	v, ok := r.lookup(section, key)
 	if !ok {
-		return d
+		return def
 	}
-	if !slices.Contains(of, v) {
-		r.Add(section, key, v, "one of "+strings.Join(of, ", "))
-		return d
+	if !slices.Contains(choices, v) {
+		r.AddMistake(section, key, v, "one of "+strings.Join(choices, ", "))
+		return def
 	}
 	return v
 }
 
-// Address returns an IP number with a port, which must be given.
+// Address returns an IP address with a port. A missing value is a mistake.
 func (r *Reader) Address(section, key string) string {
-	v, _ := r.raw(section, key)
+	v, _ := r.lookup(section, key)
 	r.checkAddress(section, key, v)
 	return v
 }
 
-// Addresses returns a list of IP numbers with ports.
+// Addresses returns a list of IP addresses with ports, which may be empty.
 func (r *Reader) Addresses(section, key string) []string {
 	l := r.List(section, key)
 	for _, v := range l {
@@ -201,11 +205,11 @@
 
 func (r *Reader) checkAddress(section, key, v string) {
 	if _, err := netip.ParseAddrPort(v); err != nil {
-		r.Add(section, key, v, "an IP number and a port, such as 10.0.0.1:7000")
+		r.AddMistake(section, key, v, "an IP number and a port, such as 10.0.0.1:7000")
 	}
 }
 
-// Join makes one error of mistakes, or nil of none.
+// Join returns an error that joins all mistakes, or nil if there are none.
 func Join(ms []Mistake) error {
 	es := make([]error, len(ms))
 	for i, m := range ms {
@@ -214,21 +218,21 @@
 	return errors.Join(es...)
 }
 
-// Finish reports every section and key that nothing asked for, and returns all
-// mistakes.
+// Finish records each section and key that was not read as a mistake, and returns all mistakes. It
+// must be called after all values have been read.
 func (r *Reader) Finish() []Mistake {
 	for _, s := range r.file.Sections() {
 		if s.Name() == ini.DefaultSection && len(s.Keys()) == 0 {
 			continue
 		}
-		known, ok := r.used[s.Name()]
+		known, ok := r.known[s.Name()]
 		if !ok {
-			r.Add(s.Name(), "", "", "no such section; see the settings table")
+			r.AddMistake(s.Name(), "", "", "no such section; see the settings table")
 			continue
 		}
 		for _, k := range s.KeyStrings() {
 			if !known[k] {
-				r.Add(s.Name(), k, s.Key(k).Value(), "no such key; see the settings table")
+				r.AddMistake(s.Name(), k, s.Key(k).Value(), "no such key; see the settings table")
 			}
 		}
 	}
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -57,7 +57,7 @@
 func copies(es []fleet.Endpoint, w string) int {
 	n := 0
 	for _, e := range es {
-		if e.Usable() && e.Has(w) {
+		if e.Usable() && e.Serves(w) {
 			n++
 		}
 	}
@@ -99,7 +99,7 @@
 		require.Zero(t, loads, "plans do not converge")
 		for _, w := range ws {
 			require.GreaterOrEqual(t, copies(es, w), 2, w)
-			require.True(t, slices.ContainsFunc(es, func(e fleet.Endpoint) bool { return !e.Reclaimable && e.Has(w) }), w)
+			require.True(t, slices.ContainsFunc(es, func(e fleet.Endpoint) bool { return !e.Reclaimable && e.Serves(w) }), w)
 		}
 	})
 }
@@ -191,7 +191,7 @@
 		p := placement.Sticky{}.Plan(in)
 		require.NotContains(t, p.Stop, es[0].Name)
 		apply(es, p)
-		require.True(t, es[0].Has("m0@1"))
+		require.True(t, es[0].Serves("m0@1"))
 	}
 	in.Endpoints = es[1:]
 	p := placement.Sticky{}.Plan(in)
--- a/placement/sticky.go
+++ b/placement/sticky.go
@@ -219,7 +219,7 @@
 func (p *planner) compare(w string, a, b *engine) int {
 	byLoaded := 0
 	if p.sticky {
-		byLoaded = -compareBool(a.Has(w), b.Has(w))
+		byLoaded = -compareBool(a.Serves(w), b.Serves(w))
 	}
 	return cmp.Or(
 		byLoaded,
@@ -262,7 +262,7 @@
 		a := Assignment{Box: e.Name, Reason: "as wanted"}
 		for _, w := range e.planned {
 			switch {
-			case e.Has(w):
+			case e.Serves(w):
 				a.Workloads = append(a.Workloads, w)
 			case now[load{e, w}]:
 				a.Load = append(a.Load, w)
@@ -298,7 +298,7 @@
 			loaded[w]++
 		}
 		for _, w := range e.planned {
-			if !e.Has(w) {
+			if !e.Serves(w) {
 				all = append(all, load{e, w})
 			}
 		}
@@ -315,7 +315,7 @@
 // that is planned for no engine counts as fully loaded.
 func (p *planner) fullyLoaded(w string) bool {
 	for _, e := range p.engines {
-		if slices.Contains(e.planned, w) && !e.Has(w) {
+		if slices.Contains(e.planned, w) && !e.Serves(w) {
 			return false
 		}
 	}
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -183,7 +183,7 @@
 	p.mu.Unlock()
 	for _, u := range n.Unmet {
 		if !slices.Contains(old.Unmet, u) {
-			p.decisions.Note(decisions.Decision{Subject: "placement", Event: "unmet", Workload: u.Workload, Choice: u.Selector, Reason: u.Reason})
+			p.decisions.Record(decisions.Decision{Subject: "placement", Event: "unmet", Workload: u.Workload, Choice: u.Selector, Reason: u.Reason})
 		}
 	}
 }
@@ -226,7 +226,7 @@
 	if busy {
 		return
 	}
-	p.decisions.Note(decisions.Decision{Subject: "placement", Event: "order", Choice: e.Name, Workload: fmt.Sprint(a.Workloads), Reason: a.Reason})
+	p.decisions.Record(decisions.Decision{Subject: "placement", Event: "order", Choice: e.Name, Workload: fmt.Sprint(a.Workloads), Reason: a.Reason})
 	p.group.Go(func() {
 		defer func() {
 			p.mu.Lock()
@@ -255,7 +255,7 @@
 		p.refusedAt[s] = time.Now()
 		p.mu.Unlock()
 	}
-	p.decisions.Note(n)
+	p.decisions.Record(n)
 }
 
 func (p *Placer) stopBox(c context.Context, box string) {
@@ -263,7 +263,7 @@
 	if err := p.Platform.Stop(c, box); err != nil {
 		n.Reason = err.Error()
 	}
-	p.decisions.Note(n)
+	p.decisions.Record(n)
 }
 
 func sameSet(a, b []string) bool {
--- a/plain/proxy.go
+++ b/plain/proxy.go
@@ -188,7 +188,7 @@
 	st.Ran = st.Ran || b != recovery.Unreachable && b != recovery.Refused
 	st.Budget = b == recovery.Unreachable || st.Attempts < maxAttempts && p.admission.Retry(q.Account)
 	d := recovery.Decide(*st)
-	p.decisions.Note(decisions.Decision{Subject: q.ID, Event: "recover", Choice: box, Attempt: st.Attempts, Reason: d.Reason + ": " + cause.Error(), Workload: q.Service})
+	p.decisions.Record(decisions.Decision{Subject: q.ID, Event: "recover", Choice: box, Attempt: st.Attempts, Reason: d.Reason + ": " + cause.Error(), Workload: q.Service})
 	switch d.Step {
 	case recovery.Elsewhere:
 		return nil
@@ -263,14 +263,14 @@
 	ch := router.LeastLoaded{}.Pick(ts, router.Query{})
 	n := decisions.Decision{Subject: q.ID, Event: "route", Attempt: attempt, Reason: ch.Reason, Workload: q.Service}
 	for _, t := range ts {
-		n.Figures = append(n.Figures, decisions.Figure{Box: t.Box, Score: float64(t.Busy) / float64(t.Slots)})
+		n.Figures = append(n.Figures, decisions.Candidate{Box: t.Box, Score: float64(t.Busy) / float64(t.Slots)})
 	}
 	if ch.Index < 0 {
-		p.decisions.Note(n)
+		p.decisions.Record(n)
 		return nil
 	}
 	n.Choice = ss[ch.Index].Name
-	p.decisions.Note(n)
+	p.decisions.Record(n)
 	return ss[ch.Index]
 }
 
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -242,7 +242,7 @@
 		ok = func(s operator.Status) bool { return s.DutyFence >= uint64(number(ts, args[2])) }
 	case "loaded":
 		ok = func(s operator.Status) bool {
-			return slices.ContainsFunc(s.Endpoints, func(e fleet.Endpoint) bool { return e.Name == args[2] && e.Has(args[3]) })
+			return slices.ContainsFunc(s.Endpoints, func(e fleet.Endpoint) bool { return e.Name == args[2] && e.Serves(args[3]) })
 		}
 	default:
 		ts.Fatalf("nothing to await: %v", args)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -98,7 +98,7 @@
 		s.Advertise = r.Address("peers", "advertise")
 	}
 	if len(s.Secret) < minSecret && s.Secret != "" {
-		r.Add("peers", "secret", "…", fmt.Sprintf("at least %d characters", minSecret))
+		r.AddMistake("peers", "secret", "…", fmt.Sprintf("at least %d characters", minSecret))
 	}
 	return s
 }
--- a/stand/lab/fleet.go
+++ b/stand/lab/fleet.go
@@ -240,7 +240,7 @@
 	for _, p := range l.All("entry") {
 		err := l.Await(c, p.Name, func(s operator.Status) bool {
 			for _, w := range d.Workloads() {
-				if !slices.ContainsFunc(s.Endpoints, func(e fleet.Endpoint) bool { return e.DataCentre == p.DataCentre && e.Usable() && e.Has(w) }) {
+				if !slices.ContainsFunc(s.Endpoints, func(e fleet.Endpoint) bool { return e.DataCentre == p.DataCentre && e.Usable() && e.Serves(w) }) {
 					return false
 				}
 			}
--- a/stream/choose.go
+++ b/stream/choose.go
@@ -57,7 +57,7 @@
 		return cs
 	}
 	for _, s := range x.snapshot.Endpoints {
-		if s.DataCentre != x.dc || !s.Usable() || !s.Has(workload) {
+		if s.DataCentre != x.dc || !s.Usable() || !s.Serves(workload) {
 			continue
 		}
 		if ok, _ := x.document.Allowed(workload, s.Box); ok {
@@ -192,10 +192,10 @@
 		}
 		if i == ch.Index || len(d.Figures) < maxFigures {
 			t := b.targets[i]
-			d.Figures = append(d.Figures, decisions.Figure{Box: t.Box, Score: float64(t.Busy) / float64(max(t.Slots, 1))})
+			d.Figures = append(d.Figures, decisions.Candidate{Box: t.Box, Score: float64(t.Busy) / float64(max(t.Slots, 1))})
 		}
 	}
-	k.decisions.Note(d)
+	k.decisions.Record(d)
 }
 
 // destinations are the endpoints that can take streams from a box that leaves,
--- a/stream/keeper.go
+++ b/stream/keeper.go
@@ -286,7 +286,7 @@
 	}
 	l := reclaim.Limits{Notice: notice, Margin: notice / marginPart, BytesPerSecond: transferRate}
 	for _, m := range reclaim.Plan(ss, k.rooms(), l) {
-		k.decisions.Note(decisions.Decision{Subject: m.ID, Event: "reclaim", Choice: m.To, Reason: m.Reason, Workload: by[m.ID].Workload})
+		k.decisions.Record(decisions.Decision{Subject: m.ID, Event: "reclaim", Choice: m.To, Reason: m.Reason, Workload: by[m.ID].Workload})
 		if m.Act == reclaim.Finish {
 			continue
 		}
--- a/stream/run.go
+++ b/stream/run.go
@@ -147,7 +147,7 @@
 }
 
 func (r *run) note(event, reason string) {
-	r.k.decisions.Note(decisions.Decision{
+	r.k.decisions.Record(decisions.Decision{
 		Subject: r.s.ID, Event: event, Choice: r.target.box, Reason: reason, Attempt: r.attempt, Workload: r.s.Workload,
 	})
 }
