--- a/cmd/birchlinkd/main.go
+++ b/cmd/birchlinkd/main.go
@@ -64,7 +64,7 @@
 }
 
 func runEntry(a arguments) error {
-	s, err := settings.LoadEntry(a.Settings)
+	s, err := settings.LoadPlatform(a.Settings)
 	if err != nil {
 		return err
 	}
@@ -74,7 +74,7 @@
 	}
 	w := output()
 	defer w.Close()
-	d, err := daemon.NewEntry(s, w)
+	d, err := daemon.NewPlatformDaemon(s, w)
 	if err != nil {
 		return err
 	}
--- a/config/document.go
+++ b/config/document.go
@@ -1,5 +1,5 @@
-// Package config holds the operators' configuration: one versioned document of
-// accounts, models, services, selectors, labels and targets.
+// Package config parses and represents the operators' configuration: a versioned document with
+// accounts, models, plain services, selectors, box labels and targets.
 package config
 
 import (
@@ -10,7 +10,12 @@
 	"birchlink.dev/birchlink/fleet"
 )
 
-// Targets are the latency target and the weights of the two measures.
+// Targets holds the latency targets of streams and the parameters of routing, placement and
+// admission. FirstToken and BetweenTokens are the targets for the time to the first token and
+// between tokens. CostWeight and RecomputeWeight weigh the price of boxes against the recomputation
+// of lost work. UrgentReserve is the fraction of the admission limits that only urgent requests may
+// use. LoadBound is the highest load of an endpoint that affinity routing allows, relative to the
+// mean.
 type Targets struct {
 	FirstToken      time.Duration
 	BetweenTokens   time.Duration
@@ -20,7 +25,8 @@
 	LoadBound       float64
 }
 
-// Account is one customer. Its share under contention grows with Weight.
+// Account is a customer with the bearer key Key. Its share of the capacity under contention grows
+// with Weight.
 type Account struct {
 	Name              string
 	Key               string
@@ -29,8 +35,8 @@
 	Kinds             []string
 }
 
-// Model is a language model with its adapters and versions. Copies is how many
-// endpoints shall have each of its workloads loaded.
+// Model is a language model with its adapters and versions. Copies is the number of endpoints that
+// should have each of its workloads loaded.
 type Model struct {
 	Name     string
 	Adapters []string
@@ -38,19 +44,20 @@
 	Copies   int
 }
 
-// Service is a plain service.
+// Service is a plain service: one that serves HTTP requests without a model.
 type Service struct {
 	Name string
 }
 
-// Term asks that a label has one of some values.
+// Term is a condition that a label of a box has one of the given values.
 type Term struct {
 	Label  string
 	Values []string
 }
 
-// Selector says where workloads may run and where they would rather. Workloads
-// ending in "*" match by prefix.
+// Selector restricts and ranks the boxes for some workloads. A box must match all terms in Require,
+// and one that matches more terms in Prefer is preferred. An element of Workloads that ends in "*"
+// matches by prefix.
 type Selector struct {
 	Name      string
 	Workloads []string
@@ -58,7 +65,7 @@
 	Prefer    []Term
 }
 
-// Document is one version of the configuration.
+// Document is a version of the configuration. Labels holds the operators' labels by box and name.
 type Document struct {
 	Version   uint64
 	Targets   Targets
@@ -69,23 +76,23 @@
 	Labels    map[string]map[string]string
 }
 
-// Matches reports whether b meets the term.
+// Matches reports whether b satisfies the term.
 func (t Term) Matches(b fleet.Box) bool { return slices.Contains(t.Values, b.Label(t.Label)) }
 
-// Covers reports whether the selector speaks of workload w.
+// Covers reports whether the selector applies to workload w.
 func (s Selector) Covers(w string) bool {
 	return slices.ContainsFunc(s.Workloads, func(p string) bool {
-		q, open := strings.CutSuffix(p, "*")
-		return p == w || open && strings.HasPrefix(w, q)
+		prefix, isPattern := strings.CutSuffix(p, "*")
+		return p == w || isPattern && strings.HasPrefix(w, prefix)
 	})
 }
 
-// Allows reports whether every requirement holds at b.
+// Allows reports whether b matches every required term.
 func (s Selector) Allows(b fleet.Box) bool {
 	return !slices.ContainsFunc(s.Require, func(t Term) bool { return !t.Matches(b) })
 }
 
-// Allowed reports whether workload w may run on b; the second result names the
+// Allowed reports whether workload w may run on b. If not, it also returns the name of the first
 // selector that forbids it.
 func (d *Document) Allowed(w string, b fleet.Box) (bool, string) {
 	for _, s := range d.Selectors {
@@ -96,34 +103,34 @@
 	return true, ""
 }
 
-// Preference returns the share of preferences for workload w that b meets, from
-// 0 to 1; without preferences it is 1.
+// Preference returns the fraction of the preferred terms for workload w that b matches, from 0 to 1.
+// Without preferred terms it returns 1.
 func (d *Document) Preference(w string, b fleet.Box) float64 {
-	met, all := 0, 0
+	matched, total := 0, 0
 	for _, s := range d.Selectors {
 		if !s.Covers(w) {
 			continue
 		}
 		for _, t := range s.Prefer {
-			all++
+			total++
 			if t.Matches(b) {
-				met++
+				matched++
 			}
 		}
 	}
-	if all == 0 {
+	if total == 0 {
 		return 1
 	}
-	return float64(met) / float64(all)
+	return float64(matched) / float64(total)
 }
 
-// Label puts the operators' labels on a box.
-func (d *Document) Label(b fleet.Box) fleet.Box {
+// WithLabels returns b with the operators' labels.
+func (d *Document) WithLabels(b fleet.Box) fleet.Box {
 	b.Labels = d.Labels[b.Name]
 	return b
 }
 
-// Workloads returns the canonical names of all that engines can load, in order.
+// Workloads returns the canonical names of the workloads of all models, in the order of the text.
 func (d *Document) Workloads() []string {
 	var ws []string
 	for _, m := range d.Models {
@@ -132,7 +139,7 @@
 	return ws
 }
 
-// Workloads returns the canonical names `model[:adapter]@version` of m.
+// Workloads returns the canonical names of the workloads of m, `model[:adapter]@version`.
 func (m Model) Workloads() []string {
 	ws := make([]string, 0, len(m.Versions)*(1+len(m.Adapters)))
 	for _, v := range m.Versions {
@@ -144,7 +151,8 @@
 	return ws
 }
 
-// Copies returns how many copies of a workload its model asks for.
+// Copies returns the number of endpoints that should have workload w loaded; 1 if its model is
+// unknown.
 func (d *Document) Copies(w string) int {
 	base, _, _ := strings.Cut(w, "@")
 	name, _, _ := strings.Cut(base, ":")
@@ -156,16 +164,16 @@
 	return 1
 }
 
-// Resolve turns a caller's model field into a canonical workload. A field
-// without a version means the last version listed.
+// Resolve returns the canonical name of the workload that the model field of a request names, and
+// whether it is configured. A field without a version selects the last version listed.
 func (d *Document) Resolve(field string) (string, bool) {
-	base, version, given := strings.Cut(field, "@")
+	base, version, hasVersion := strings.Cut(field, "@")
 	name, _, _ := strings.Cut(base, ":")
 	for _, m := range d.Models {
 		if m.Name != name {
 			continue
 		}
-		if !given {
+		if !hasVersion {
 			version = m.Versions[len(m.Versions)-1]
 		}
 		w := base + "@" + version
@@ -174,13 +182,13 @@
 	return "", false
 }
 
-// HasService reports whether a plain service is configured.
+// HasService reports whether the plain service is configured.
 func (d *Document) HasService(name string) bool {
 	return slices.ContainsFunc(d.Services, func(s Service) bool { return s.Name == name })
 }
 
-// ByKey returns the account of a bearer key.
-func (d *Document) ByKey(key string) (Account, bool) {
+// AccountByKey returns the account with the given bearer key. An empty key matches no account.
+func (d *Document) AccountByKey(key string) (Account, bool) {
 	i := slices.IndexFunc(d.Accounts, func(a Account) bool { return a.Key == key && key != "" })
 	if i < 0 {
 		return Account{}, false
--- a/config/parse.go
+++ b/config/parse.go
@@ -8,34 +8,33 @@
 	"birchlink.dev/birchlink/iniread"
 )
 
-// fixedLabels are facts of the box list, which operators cannot set.
-var fixedLabels = []string{"box", "data_centre", "class", "supply"}
+// reservedLabels are the labels that come from the box list. Operators cannot set them.
+var reservedLabels = []string{"box", "data_centre", "class", "supply"}
 
-// Parse reads the operators' text. The document is usable only if there are no
-// mistakes.
+// Parse parses the text of a configuration. The document is valid only if no mistakes are returned.
 func Parse(version uint64, text []byte) (*Document, []iniread.Mistake) {
 	r := iniread.New(text)
-	d := &Document{Version: version, Targets: targets(r), Labels: map[string]map[string]string{}}
+	d := &Document{Version: version, Targets: parseTargets(r), Labels: map[string]map[string]string{}}
 	for _, n := range r.Sections("account") {
-		d.Accounts = append(d.Accounts, account(r, n))
+		d.Accounts = append(d.Accounts, parseAccount(r, n))
 	}
 	for _, n := range r.Sections("model") {
-		d.Models = append(d.Models, model(r, n))
+		d.Models = append(d.Models, parseModel(r, n))
 	}
 	for _, n := range r.Sections("service") {
 		d.Services = append(d.Services, Service{Name: n})
 	}
 	for _, n := range r.Sections("selector") {
-		d.Selectors = append(d.Selectors, selector(r, n))
+		d.Selectors = append(d.Selectors, parseSelector(r, n))
 	}
 	for _, n := range r.Sections("box") {
-		d.Labels[n] = labels(r, n)
+		d.Labels[n] = parseLabels(r, n)
 	}
 	d.checkNames(r)
 	return d, r.Finish()
 }
 
-func targets(r *iniread.Reader) Targets {
+func parseTargets(r *iniread.Reader) Targets {
 	const s = "targets"
 	return Targets{
 		FirstToken:      r.Duration(s, "first_token", 1600*time.Millisecond, time.Millisecond, time.Minute),
@@ -47,8 +46,8 @@
 	}
 }
 
-func account(r *iniread.Reader, n string) Account {
-	s := quote("account", n)
+func parseAccount(r *iniread.Reader, n string) Account {
+	s := sectionName("account", n)
 	return Account{
 		Name: n, Key: r.Required(s, "key"),
 		Weight:            r.Float(s, "weight", 1, 0.01, 1000),
@@ -57,8 +56,8 @@
 	}
 }
 
-func model(r *iniread.Reader, n string) Model {
-	s := quote("model", n)
+func parseModel(r *iniread.Reader, n string) Model {
+	s := sectionName("model", n)
 	m := Model{Name: n, Adapters: r.List(s, "adapters"), Versions: r.List(s, "versions"), Copies: r.Int(s, "copies", 2, 1, 10000)}
 	if len(m.Versions) == 0 {
 		r.AddMistake(s, "versions", "", "one version or more, separated by commas")
@@ -70,17 +69,17 @@
 	return m
 }
 
-func selector(r *iniread.Reader, n string) Selector {
-	s := quote("selector", n)
-	l := Selector{Name: n, Workloads: r.List(s, "workloads"), Require: terms(r, s, "require"), Prefer: terms(r, s, "prefer")}
+func parseSelector(r *iniread.Reader, n string) Selector {
+	s := sectionName("selector", n)
+	l := Selector{Name: n, Workloads: r.List(s, "workloads"), Require: parseTerms(r, s, "require"), Prefer: parseTerms(r, s, "prefer")}
 	if len(l.Workloads) == 0 {
 		r.AddMistake(s, "workloads", "", "one workload or more, such as model@1 or model*")
 	}
 	return l
 }
 
-// terms reads "label=value|value, label=value".
-func terms(r *iniread.Reader, s, key string) []Term {
+// parseTerms parses terms of the form "label=value|value, label=value".
+func parseTerms(r *iniread.Reader, s, key string) []Term {
 	var ts []Term
 	for _, p := range r.List(s, key) {
 		l, v, ok := strings.Cut(p, "=")
@@ -93,13 +92,13 @@
 	return ts
 }
 
-func labels(r *iniread.Reader, n string) map[string]string {
-	s := quote("box", n)
+func parseLabels(r *iniread.Reader, n string) map[string]string {
+	s := sectionName("box", n)
 	m := map[string]string{}
 	for _, k := range r.Keys(s) {
 		m[k] = r.String(s, k, "")
 	}
-	for _, f := range fixedLabels {
+	for _, f := range reservedLabels {
 		if v, ok := m[f]; ok {
 			r.AddMistake(s, f, v, "a label of your own; this one comes from the box list")
 		}
@@ -107,13 +106,13 @@
 	return m
 }
 
-func quote(kind, n string) string { return kind + ` "` + n + `"` }
+func sectionName(kind, n string) string { return kind + ` "` + n + `"` }
 
 func (d *Document) checkNames(r *iniread.Reader) {
 	keys := map[string]string{}
 	for _, a := range d.Accounts {
-		if o, twice := keys[a.Key]; twice && a.Key != "" {
-			r.AddMistake(quote("account", a.Name), "key", "…", "a key of its own; account "+o+" has the same")
+		if o, duplicate := keys[a.Key]; duplicate && a.Key != "" {
+			r.AddMistake(sectionName("account", a.Name), "key", "…", "a key of its own; account "+o+" has the same")
 		}
 		keys[a.Key] = a.Name
 	}
@@ -124,7 +123,7 @@
 	for _, s := range d.Selectors {
 		for _, w := range s.Workloads {
 			if !coversAny(Selector{Workloads: []string{w}}, known) {
-				r.AddMistake(quote("selector", s.Name), "workloads", w, "a workload of a configured model or service")
+				r.AddMistake(sectionName("selector", s.Name), "workloads", w, "a workload of a configured model or service")
 			}
 		}
 	}
@@ -139,34 +138,34 @@
 	return false
 }
 
-// CheckAgainst reports selectors that match no box, and workloads that are left
-// with none to run on.
+// CheckAgainst returns a mistake for each selector that matches no box, and for each workload that
+// may run on no engine. Boxes that are gone do not count.
 func (d *Document) CheckAgainst(boxes []fleet.Box) []iniread.Mistake {
 	var r iniread.Reader
 	for _, s := range d.Selectors {
-		if !anyBox(boxes, func(b fleet.Box) bool { return s.Allows(d.Label(b)) }) {
-			r.AddMistake(quote("selector", s.Name), "require", "", "labels that at least one box has; no box matches")
+		if !anyBox(boxes, func(b fleet.Box) bool { return s.Allows(d.WithLabels(b)) }) {
+			r.AddMistake(sectionName("selector", s.Name), "require", "", "labels that at least one box has; no box matches")
 		}
 	}
 	for _, w := range d.Workloads() {
-		by := ""
+		forbiddenBy := ""
 		ok := anyBox(boxes, func(b fleet.Box) bool {
-			may, who := d.Allowed(w, d.Label(b))
-			if !may {
-				by = who
+			allowed, selector := d.Allowed(w, d.WithLabels(b))
+			if !allowed {
+				forbiddenBy = selector
 			}
-			return may && b.Role == fleet.EngineRole
+			return allowed && b.Role == fleet.EngineRole
 		})
 		if !ok {
-			r.AddMistake(quote("selector", by), "require", "", "leave workload "+w+" a box to run on")
+			r.AddMistake(sectionName("selector", forbiddenBy), "require", "", "leave workload "+w+" a box to run on")
 		}
 	}
 	return r.Mistakes
 }
 
-func anyBox(bs []fleet.Box, ok func(fleet.Box) bool) bool {
+func anyBox(bs []fleet.Box, match func(fleet.Box) bool) bool {
 	for _, b := range bs {
-		if b.State != fleet.Gone && ok(b) {
+		if b.State != fleet.Gone && match(b) {
 			return true
 		}
 	}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,4 +1,6 @@
-// Package daemon puts the services of an entry box together.
+// Package daemon assembles the services of an entry box and runs them. Daemon serves birchlink's own
+// API, which is compatible with OpenAI's. PlatformDaemon runs on the users' platform and speaks its
+// protocols.
 package daemon
 
 import (
@@ -32,21 +34,21 @@
 	"birchlink.dev/birchlink/view"
 )
 
-// The limits of start and stop beyond those in the settings.
+// Time limits of start and stop.
 const (
-	startLimit = 20 * time.Second
-	stopMargin = 30 * time.Second
-	ownMargin  = 3 * time.Second
+	startTimeout      = 20 * time.Second
+	stopTimeoutMargin = 30 * time.Second // added to the configured limits of a stop
+	reclaimMargin     = 3 * time.Second  // between the end of the stop and the reclaim of the box
 )
 
-// Daemon is one entry box.
+// Daemon is the process of an entry box that serves birchlink's own API.
 type Daemon struct {
 	Front    *front.Front
 	Operator *operator.Operator
 	App      *fx.App
 }
 
-// New returns the daemon of a box, whose log goes to w.
+// New returns a daemon that writes its log to w. The daemon is started and stopped through its App.
 func New(s settings.Settings, w io.Writer) (*Daemon, error) {
 	l, err := zerolog.ParseLevel(s.LogLevel)
 	if err != nil {
@@ -57,20 +59,20 @@
 	d.App = fx.New(
 		fx.NopLogger,
 		fx.Supply(s, log),
-		fx.Provide(metrics.NewRegistry, func() *kernel.Kernel { return &kernel.Kernel{} }, d.services),
-		fx.Invoke(kernel.Run, watchOwnNotice),
-		fx.StartTimeout(startLimit),
-		fx.StopTimeout(s.StopNotice+s.StopLimit+stopMargin),
+		fx.Provide(metrics.NewRegistry, func() *kernel.Kernel { return &kernel.Kernel{} }, d.newServices),
+		fx.Invoke(kernel.Run, stopOnReclaimNotice),
+		fx.StartTimeout(startTimeout),
+		fx.StopTimeout(s.StopNotice+s.StopLimit+stopTimeoutMargin),
 	)
 	if err := d.App.Err(); err != nil {
-		return nil, fmt.Errorf("put services together: %w", err)
+		return nil, fmt.Errorf("assemble services: %w", err)
 	}
 	return d, nil
 }
 
-// services makes every service, in the order in which they start. They stop in
-// the reverse order, so callers are drained first.
-func (d *Daemon) services(s settings.Settings, m metrics.Registry, log zerolog.Logger) []kernel.Service {
+// newServices returns the services in the order in which they start. They stop in the reverse
+// order, so that callers are drained first.
+func (d *Daemon) newServices(s settings.Settings, m metrics.Registry, log zerolog.Logger) []kernel.Service {
 	platform := cloud.New(s.Cloud, s.BoxList, s.Box)
 	d.Front = front.New(front.Options{
 		Address: s.Callers, MaxBody: s.MaxBody, MaxRequests: s.MaxRequests, StopNotice: s.StopNotice, StopLimit: s.StopLimit,
@@ -86,7 +88,7 @@
 		admission.New(),
 		observer.New(platform, log),
 		suspects.New(log),
-		stream.New(s.Policy, s.MaxHeld, m, log),
+		stream.New(s.Policy, s.MaxHeldAnswers, m, log),
 		plain.New(),
 		claims.New(s.ClaimSlots, s.ClaimTTL),
 		dispatch.New(s.ClaimTTL),
@@ -96,8 +98,8 @@
 	}
 }
 
-// watchOwnNotice stops the daemon in time when its own box has a notice.
-func watchOwnNotice(l fx.Lifecycle, k *kernel.Kernel, s settings.Settings, stop fx.Shutdowner, log zerolog.Logger) {
+// stopOnReclaimNotice makes the daemon stop before the deadline if its own box gets a reclaim notice.
+func stopOnReclaimNotice(l fx.Lifecycle, k *kernel.Kernel, s settings.Settings, stop fx.Shutdowner, log zerolog.Logger) {
 	l.Append(fx.Hook{OnStart: func(context.Context) error {
 		v, err := kernel.Find[*view.View](k, view.Name)
 		if err != nil {
@@ -111,10 +113,10 @@
 			if box != s.Box {
 				return
 			}
-			log.Warn().Str("event", "own notice").Time("deadline", deadline).Msg("this box leaves")
-			f.StopBy(deadline.Add(-ownMargin))
+			log.Warn().Str("event", "own notice").Time("deadline", deadline).Msg("this box is being reclaimed")
+			f.StopBy(deadline.Add(-reclaimMargin))
 			if err := stop.Shutdown(); err != nil {
-				log.Error().Err(err).Msg("not stopped")
+				log.Error().Err(err).Msg("shutdown failed")
 			}
 		})
 		return nil
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -47,28 +47,30 @@
 
 const operatorKey = "operators-of-the-test"
 
-// box is a daemon in this process, between stand-ins in this process.
+// box is a daemon in the test process, whose cloud, stores and endpoints are stand-ins in the same
+// process.
 type box struct {
 	daemon *daemon.Daemon
-	text   string
+	config string
 }
 
+// serve serves h until the test ends, and returns the address.
 func serve(t *testing.T, h http.Handler) string {
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
 	return s.Listener.Addr().String()
 }
 
-// start puts an example configuration in force on one box with one engine, its plain
-// service, and more endpoints.
-func start(t *testing.T, example, name string, more ...fleet.Box) *box {
+// start starts a box with an engine, a plain service with the given name and further endpoints. It
+// applies an example configuration and waits until the engine has loaded all workloads.
+func start(t *testing.T, example, name string, endpoints ...fleet.Box) *box {
 	text, err := os.ReadFile(filepath.Join("..", "examples", example))
 	require.NoError(t, err)
 	e := standengine.New(standengine.Options{Name: "engine-1", Slots: 8, TokenEvery: time.Millisecond, PrefillRate: 1e6, CacheSize: 8, ChecksFence: true})
 	bs := append([]fleet.Box{
 		{Name: "engine-1", DataCentre: "hall", Address: serve(t, e), Role: fleet.EngineRole, Class: "new", State: fleet.Live},
 		{Name: "service-1", DataCentre: "hall", Address: serve(t, service.New(name)), Role: fleet.ServiceRole, Service: name, State: fleet.Live},
-	}, more...)
+	}, endpoints...)
 	c := serve(t, standcloud.New(bs, []cloud.Price{{DataCentre: "hall", Class: "new", PerHour: 3}}))
 	list := boxlist.New(c, 0)
 	x, stop := context.WithCancel(context.Background())
@@ -77,7 +79,7 @@
 	d, err := daemon.New(settings.Settings{
 		Box: "entry-1", DataCentre: "hall", Callers: "127.0.0.1:0", Peers: "127.0.0.1:0", Advertise: "127.0.0.1:0", Admin: "127.0.0.1:0",
 		KV: serve(t, kvstore.New(1000, 1000)), BoxList: serve(t, list), Cloud: c, Secret: "peers-of-the-test-0123", OperatorKey: operatorKey,
-		MaxBody: 4096, MaxRequests: 100, MaxHeld: 100, StopLimit: 5 * time.Second, ClaimSlots: 4, ClaimTTL: time.Hour,
+		MaxBody: 4096, MaxRequests: 100, MaxHeldAnswers: 100, StopLimit: 5 * time.Second, ClaimSlots: 4, ClaimTTL: time.Hour,
 		WriteRate: 100, ReadRate: 100, Policy: "affinity", LogLevel: "error",
 	}, io.Discard)
 	require.NoError(t, err)
@@ -86,43 +88,44 @@
 		require.NoError(t, d.App.Stop(context.Background()))
 		http.DefaultClient.CloseIdleConnections()
 	})
-	b := &box{daemon: d, text: string(text)}
-	b.operate(t, http.MethodPut, "/operator/config", operator.Edit{Text: b.text, Editor: "test"}, nil)
+	b := &box{daemon: d, config: string(text)}
+	b.callOperator(t, http.MethodPut, "/operator/config", operator.Edit{Text: b.config, Editor: "test"}, nil)
 	b.awaitLoaded(t)
 	return b
 }
 
-type bearer struct{}
+// operatorTransport authenticates requests as the operator.
+type operatorTransport struct{}
 
-func (bearer) RoundTrip(r *http.Request) (*http.Response, error) {
+func (operatorTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.Header.Set("Authorization", "Bearer "+operatorKey)
 	return http.DefaultTransport.RoundTrip(r)
 }
 
-func (b *box) operate(t *testing.T, method, path string, in, out any) {
+func (b *box) callOperator(t *testing.T, method, path string, in, out any) {
 	h := jsonhttp.New(b.daemon.Operator.Listening(), "test", 10*time.Second)
-	h.HTTP.Transport = bearer{}
+	h.HTTP.Transport = operatorTransport{}
 	require.NoError(t, h.Do(t.Context(), method, path, in, out))
 }
 
-// awaitLoaded waits until the placer has had every workload loaded.
+// awaitLoaded waits until the placer has loaded every workload.
 func (b *box) awaitLoaded(t *testing.T) {
 	require.Eventually(t, func() bool {
 		var s operator.Status
-		b.operate(t, http.MethodGet, "/operator/status", nil, &s)
+		b.callOperator(t, http.MethodGet, "/operator/status", nil, &s)
 		n := 0
 		for _, e := range s.Endpoints {
 			if e.Role == fleet.EngineRole {
 				n += len(e.Loaded)
 			}
 		}
-		return n == strings.Count(b.text, "[model")*2
+		return n == strings.Count(b.config, "[model")*2
 	}, time.Minute, 20*time.Millisecond)
 }
 
-// What a service starts ends with it.
-func TestNothingIsLeftRunning(t *testing.T) {
+// No goroutine is left after the daemon has stopped.
+func TestStopLeavesNoGoroutines(t *testing.T) {
 	ignore := goleak.IgnoreCurrent()
 	t.Run("box", func(t *testing.T) {
 		b := start(t, "pamoja.ini", "matokeo-api")
@@ -135,7 +138,8 @@
 	goleak.VerifyNone(t, ignore)
 }
 
-// The OpenAI project's own client gets a plain and a streamed answer.
+// The official OpenAI client works against the daemon: it gets a complete and a streamed answer, the
+// list of models and an error.
 func TestOpenAIClient(t *testing.T) {
 	b := start(t, "pamoja.ini", "matokeo-api")
 	c := openai.NewClient(option.WithBaseURL("http://"+b.daemon.Front.Listening()+"/v1"), option.WithAPIKey("pamoja-key-msasani"))
@@ -164,7 +168,7 @@
 	require.Equal(t, "unknown_model", e.Code)
 }
 
-// Whole sessions of each deployment: request, decisions, answer.
+// Requests to the box of each deployment lead to the decisions and answers in testdata.
 func TestSessions(t *testing.T) {
 	for example, name := range map[string]string{"pamoja": "matokeo-api", "freight": "yard-api"} {
 		t.Run(example, func(t *testing.T) {
@@ -175,7 +179,7 @@
 			got := &txtar.Archive{Comment: golden.Comment}
 			for _, r := range golden.Files {
 				if n, ok := strings.CutSuffix(r.Name, ".request"); ok {
-					decisions, answer := b.session(t, string(r.Data))
+					decisions, answer := b.runSession(t, string(r.Data))
 					got.Files = append(got.Files, r, txtar.File{Name: n + ".decisions", Data: decisions}, txtar.File{Name: n + ".answer", Data: answer})
 				}
 			}
@@ -187,9 +191,9 @@
 	}
 }
 
-// session sends one request, written as HTTP, and returns the decisions that
-// were noted and the answer, both without what differs from run to run.
-func (b *box) session(t *testing.T, request string) (decisions, answer []byte) {
+// runSession sends a request, given as HTTP text, and returns the recorded decisions and the answer.
+// Values that differ between runs are removed or replaced.
+func (b *box) runSession(t *testing.T, request string) (decisions, answer []byte) {
 	head, body, _ := strings.Cut(request, "\n\n")
 	raw := fmt.Sprintf("%s\r\nHost: x\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", strings.ReplaceAll(head, "\n", "\r\n"), len(body), body)
 	c, err := net.Dial("tcp", b.daemon.Front.Listening())
@@ -216,12 +220,12 @@
 	if !bytes.HasSuffix(out.Bytes(), []byte("\n")) {
 		out.WriteByte('\n')
 	}
-	return b.decisions(t, id), out.Bytes()
+	return b.explain(t, id), out.Bytes()
 }
 
-func (b *box) decisions(t *testing.T, id string) []byte {
+func (b *box) explain(t *testing.T, id string) []byte {
 	var ds []decisions.Decision
-	b.operate(t, http.MethodGet, "/operator/explain/"+id, nil, &ds)
+	b.callOperator(t, http.MethodGet, "/operator/explain/"+id, nil, &ds)
 	var out bytes.Buffer
 	for _, d := range ds {
 		f, err := json.Marshal(d.Figures)
@@ -242,61 +246,63 @@
 	return a.StatusCode, a.Header
 }
 
-// A call ended each endpoint that ran it, was sent to three one after the other, and came
-// again: the own interface judges each call by its own attempts, as the users' platform's did.
-// Once three endpoints have ended under it, it is refused.
-func TestRefusesWhatEndsEndpoints(t *testing.T) {
-	var ended atomic.Int64
-	more := make([]fleet.Box, 8)
-	for i := range more {
+// A request that crashes every endpoint that runs it is refused after three crashes. If each call
+// were judged by its own attempts alone, every retry by the caller would crash more endpoints.
+func TestRefusesRequestThatCrashesEndpoints(t *testing.T) {
+	var crashes atomic.Int64
+	endpoints := make([]fleet.Box, 8)
+	for i := range endpoints {
 		var h *httptest.Server
 		h = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path != "/x" {
-				http.NotFound(w, r) // the box asks for the load
+				http.NotFound(w, r) // a load request of the box
 				return
 			}
 			if h.Config.Close() == nil {
-				ended.Add(1)
+				crashes.Add(1)
 			}
 		}))
 		t.Cleanup(h.Close)
-		more[i] = fleet.Box{
+		endpoints[i] = fleet.Box{
 			Name: fmt.Sprint("ending-", i), DataCentre: "hall", Address: h.Listener.Addr().String(), Role: fleet.ServiceRole,
 			Service: "matokeo-api", State: fleet.Live,
 		}
 	}
-	b := start(t, "pamoja.ini", "another-api", more...)
+	b := start(t, "pamoja.ini", "another-api", endpoints...)
 	for range 3 {
 		b.callService(t, "matokeo-api")
 	}
-	require.EqualValues(t, 3, ended.Load())
+	require.EqualValues(t, 3, crashes.Load())
 }
 
-// A plain service that refused and asked for an hour of rest got each of 20 calls of the own
-// interface, while another served, as the least loaded one: like what an endpoint says on the users' platform, the word was passed on
-// to one caller and kept by nobody. Once it has been said, the box leaves the endpoint alone; where
-// all rest, callers are told so at once.
-func TestPlainServicesRest(t *testing.T) {
-	asked := make([]atomic.Int64, 2)
-	resting := make([]atomic.Bool, 2)
-	more := make([]fleet.Box, 2)
-	for i := range more {
+// A box sends nothing to a plain service that refused a call and asked for a pause. If the box only
+// passed the Retry-After header on to the caller, the refusing endpoint would get all further calls
+// as the least loaded one. While all endpoints back off, calls are refused immediately with the
+// remaining time.
+func TestPlainServicesBackOff(t *testing.T) {
+	calls := make([]atomic.Int64, 2)
+	refusing := make([]atomic.Bool, 2)
+	endpoints := make([]fleet.Box, 2)
+	for i := range endpoints {
 		a := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path != "/x" {
 				http.NotFound(w, r)
 				return
 			}
-			asked[i].Add(1)
-			if resting[i].Load() {
+			calls[i].Add(1)
+			if refusing[i].Load() {
 				w.Header().Set("Retry-After", "3600")
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
 		}))
-		more[i] = fleet.Box{Name: fmt.Sprint("resting-", i), DataCentre: "hall", Address: a, Role: fleet.ServiceRole, Service: "matokeo-api", State: fleet.Live}
+		endpoints[i] = fleet.Box{
+			Name: fmt.Sprint("resting-", i), DataCentre: "hall", Address: a, Role: fleet.ServiceRole,
+			Service: "matokeo-api", State: fleet.Live,
+		}
 	}
-	b := start(t, "pamoja.ini", "another-api", more...)
+	b := start(t, "pamoja.ini", "another-api", endpoints...)
 	call := func() (int, http.Header) { return b.callService(t, "matokeo-api") }
-	resting[0].Store(true)
+	refusing[0].Store(true)
 	refused := 0
 	for range 20 {
 		if status, _ := call(); status != http.StatusOK {
@@ -304,15 +310,15 @@
 		}
 	}
 	require.LessOrEqual(t, refused, 1)
-	require.LessOrEqual(t, asked[0].Load(), int64(1))
-	for i := range resting {
-		resting[i].Store(true)
+	require.LessOrEqual(t, calls[0].Load(), int64(1))
+	for i := range refusing {
+		refusing[i].Store(true)
 	}
 	for range 10 {
 		status, _ := call()
 		require.Equal(t, http.StatusServiceUnavailable, status)
 	}
-	require.Equal(t, int64(1), asked[0].Load())
+	require.Equal(t, int64(1), calls[0].Load())
 	_, h := call()
 	require.Equal(t, string(errkind.NotRun), h.Get(front.RunHeader))
 	s, err := strconv.Atoi(h.Get("Retry-After"))
--- /dev/null
+++ b/daemon/gossip.go
@@ -0,0 +1,158 @@
+package daemon
+
+import (
+	"maps"
+	"net/netip"
+	"time"
+
+	"birchlink.dev/birchlink/balance"
+	"birchlink.dev/birchlink/boottime"
+	"birchlink.dev/birchlink/demand"
+	"birchlink.dev/birchlink/endpoint"
+	"birchlink.dev/birchlink/estimate"
+	"birchlink.dev/birchlink/gossip"
+	"birchlink.dev/birchlink/hint"
+	"birchlink.dev/birchlink/quota"
+	"birchlink.dev/birchlink/tally"
+)
+
+// connectGossip connects gossip to the components: which status this box reports, and how it uses
+// those of the other boxes.
+func (p *platformComponents) connectGossip() {
+	g, s := p.gossip, p.settings
+	g.Box, g.DataCentre, g.Address, g.Prefix, g.Seeds, g.Store = s.Box, s.DataCentre, s.Peers, relaysPrefix, s.Seeds, p.store
+	g.FirstStart, g.LinkMbps, g.UsedEndpoints = s.FirstStart, s.LinkMbps, p.known.Roster.WorksWith
+	g.LocalStatus = func() gossip.Status {
+		now := boottime.Now()
+		v, _ := p.known.RawConfig()
+		d := map[string]map[string]demand.Stats{}
+		for n, f := range p.meter.Snapshot(now) {
+			d[n] = map[string]demand.Stats{s.DataCentre: f}
+		}
+		return gossip.Status{
+			Box: s.Box, DataCentre: s.DataCentre, Address: s.Peers, Version: v,
+			Words: p.rollouts.CurrentProgress(), Evidence: p.gossip.Rollouts.Evidence(),
+			Load: p.balancer.OwnLoad(), Failing: p.balancer.FailureReport(now), Demand: d, Speeds: p.balancer.OwnStats(now),
+			Usage: []tally.Report{p.tally.Recent(s.Box+"."+p.incarnation, p.tally.WindowAt(p.clock.At(now))-broadcastWindows)},
+		}
+	}
+	g.OnRound, g.Quota, g.Clock = p.mergeStatus, p.quota, p.clock
+	g.SnapshotKey, g.RestoreQuota = snapshotKey, p.quota.Restore
+	g.RestoreEndpointStats = func(s map[string]estimate.Stats) { p.balancer.Restore(s, boottime.Now()) }
+	g.EndpointStats = func() map[string]estimate.Stats { return p.balancer.Stats(boottime.Now()) }
+	g.Snapshot = func(boxes int) quota.Before {
+		t := p.known.Table()
+		if t == nil {
+			return quota.Before{Boxes: boxes}
+		}
+		return p.quota.Snapshot(boxes, t.Document.Accounts, boottime.Now())
+	}
+}
+
+// mergeStatus updates the components with the sum of the other boxes' statuses after each round.
+func (p *platformComponents) mergeStatus(others gossip.Status) {
+	now := boottime.Now()
+	p.reachableBoxes.Store(int64(others.Boxes + 1))
+	p.budget.SetBoxes(p.quota.MaxBoxes())
+	p.updateHintPeers()
+	p.balancer.Forget(func(id string) bool { _, ok := p.known.Roster.Get(id); return ok })
+	p.balancer.Availability.Rates.Forget(func(incarnation string) bool {
+		e, ok := p.known.Roster.Get(endpoint.IDOf(incarnation))
+		return ok && e.Incarnation() == incarnation
+	}, now)
+	if p.reporter != nil {
+		for _, u := range others.Usage {
+			p.reporter.Hear(u)
+		}
+	}
+	if p.gossip.IsIsolated() {
+		p.balancer.SetRemoteLoad(nil, others.Boxes, now)
+		p.balancer.SetRemoteFailures(nil, now)
+		return
+	}
+	p.mu.Lock()
+	p.remoteDemand, p.remoteEvidence = others.Demand, others.Evidence
+	p.mu.Unlock()
+	p.balancer.SetRemoteLoad(others.Load, others.Boxes, now)
+	p.balancer.SetRemoteFailures(others.Failing, now)
+	p.balancer.SetRemoteStats(others.Speeds)
+}
+
+// recordCrash records that another box found an endpoint crashed. It ignores the report if another
+// process has started under the endpoint's ID since.
+func (p *platformComponents) recordCrash(incarnation string) {
+	id := endpoint.IDOf(incarnation)
+	if e, ok := p.known.Roster.Get(id); ok && e.Incarnation() == incarnation {
+		p.balancer.Crashed(id, boottime.Now())
+	}
+}
+
+// sendHint sends a hint of a long prompt to other boxes.
+func (p *platformComponents) sendHint(e endpoint.Endpoint, tokens int) {
+	h := hint.Hint{Endpoint: e.ID, Tokens: tokens}
+	near, far := p.hintPeers()
+	switch p.balancer.HintScope(e.Service, tokens, boottime.Now()) {
+	case balance.HintAll:
+		p.hints.Send(h, near)
+		p.hints.Send(h, far)
+	case balance.HintNearby:
+		p.hints.Send(h, near)
+	case balance.HintNone:
+	}
+}
+
+// countRequest counts a request of an account that an endpoint began to run at the given time.
+func (p *platformComponents) countRequest(account string, at time.Time) {
+	p.tally.Add(account, p.clock.At(at))
+}
+
+// receiveHint adds a hint from another box to the load of an endpoint.
+func (p *platformComponents) receiveHint(h hint.Hint) {
+	if e, ok := p.known.Roster.Get(h.Endpoint); ok {
+		p.balancer.AddHint(e, h.Tokens, boottime.Now())
+	}
+}
+
+// hintPeers returns the addresses of the boxes that receive hints of all long prompts (near), and
+// of very long prompts only (far).
+func (p *platformComponents) hintPeers() (near, far []netip.AddrPort) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.nearbyPeers, p.distantPeers
+}
+
+// updateHintPeers updates the boxes that receive hints.
+func (p *platformComponents) updateHintPeers() {
+	l := p.gossip.Peers()
+	near, far := parseAddresses(l.Near), parseAddresses(l.Far)
+	p.mu.Lock()
+	p.nearbyPeers, p.distantPeers = near, far
+	p.mu.Unlock()
+	p.balancer.SetPeers(len(near), len(far))
+}
+
+func parseAddresses(as []string) []netip.AddrPort {
+	var out []netip.AddrPort
+	for _, a := range as {
+		if x, err := netip.ParseAddrPort(a); err == nil {
+			out = append(out, x)
+		}
+	}
+	return out
+}
+
+// demandByDataCentre returns the demand for a service on all boxes, by data centre.
+func (p *platformComponents) demandByDataCentre(service string) map[string]demand.Stats {
+	out := map[string]demand.Stats{}
+	p.mu.Lock()
+	maps.Copy(out, p.remoteDemand[service])
+	p.mu.Unlock()
+	own := p.meter.Snapshot(boottime.Now())[service]
+	f := out[p.settings.DataCentre]
+	out[p.settings.DataCentre] = demand.Stats{Tokens: f.Tokens + own.Tokens, Running: f.Running + own.Running}
+	return out
+}
+
+// writesUsage reports whether this box writes its counts of requests to the store itself: as a
+// relay, or while no relay represents it.
+func (p *platformComponents) writesUsage() bool { return p.gossip.IsRelay() || p.known.IsWatching() }
--- /dev/null
+++ b/daemon/platform.go
@@ -0,0 +1,305 @@
+package daemon
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net/netip"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/google/uuid"
+	"github.com/rcrowley/go-metrics"
+	"github.com/rs/zerolog"
+	"go.uber.org/fx"
+
+	"birchlink.dev/birchlink/balance"
+	"birchlink.dev/birchlink/boottime"
+	"birchlink.dev/birchlink/budget"
+	"birchlink.dev/birchlink/daytime"
+	"birchlink.dev/birchlink/demand"
+	"birchlink.dev/birchlink/election"
+	"birchlink.dev/birchlink/endpoint"
+	"birchlink.dev/birchlink/exchange"
+	"birchlink.dev/birchlink/figures"
+	"birchlink.dev/birchlink/forward"
+	"birchlink.dev/birchlink/gossip"
+	"birchlink.dev/birchlink/hint"
+	"birchlink.dev/birchlink/ingress"
+	"birchlink.dev/birchlink/kernel"
+	"birchlink.dev/birchlink/known"
+	"birchlink.dev/birchlink/limit"
+	"birchlink.dev/birchlink/orders"
+	"birchlink.dev/birchlink/peer"
+	"birchlink.dev/birchlink/platform"
+	"birchlink.dev/birchlink/quota"
+	"birchlink.dev/birchlink/reporter"
+	"birchlink.dev/birchlink/rollout"
+	"birchlink.dev/birchlink/scaling"
+	"birchlink.dev/birchlink/session"
+	"birchlink.dev/birchlink/settings"
+	"birchlink.dev/birchlink/store"
+	"birchlink.dev/birchlink/tally"
+)
+
+// endpointDialTimeout bounds the time to connect to an endpoint. Connections normally take
+// milliseconds, also to another data centre.
+const endpointDialTimeout = 250 * time.Millisecond
+
+// broadcastWindows is the number of past usage windows whose counts a box reports to the others.
+const broadcastWindows = 2
+
+// Time limits of a stop. The load balancer checks readiness each second and stops sending requests
+// after two failed checks, so the box keeps accepting them for maxUnreadyPeriod. The
+// last drainReserve of the limit is kept for stopping the other services.
+const (
+	maxUnreadyPeriod = 2500 * time.Millisecond
+	drainReserve     = 700 * time.Millisecond
+)
+
+// Keys of birchlink's own data in the store.
+const (
+	relaysPrefix = platform.OwnPrefix + "relays/"
+	usagePrefix  = platform.OwnPrefix + "usage/"
+	leaderKey    = platform.OwnPrefix + "duty"
+	snapshotKey  = platform.OwnPrefix + "before"
+	rolloutKey   = platform.OwnPrefix + "rollouts"
+)
+
+// peerSecret is the same in every deployment and thus not secret. On the users' platform only boxes
+// can reach the peer address, and a box has no secret before it has read the store.
+const peerSecret = "birchlink-on-the-platform"
+
+// PlatformDaemon is the process of an entry box on the users' platform.
+type PlatformDaemon struct {
+	App *fx.App
+
+	log zerolog.Logger
+}
+
+// NewPlatformDaemon returns a daemon that writes its log to w. The daemon is started and stopped
+// through its App.
+func NewPlatformDaemon(s settings.PlatformSettings, w io.Writer) (*PlatformDaemon, error) {
+	l, err := zerolog.ParseLevel(s.LogLevel)
+	if err != nil {
+		return nil, fmt.Errorf("log level: %w", err)
+	}
+	zerolog.SetGlobalLevel(l)
+	log := zerolog.New(w).With().Timestamp().Str("box", s.Box).Logger()
+	d := &PlatformDaemon{log: log}
+	d.App = fx.New(
+		fx.NopLogger,
+		fx.Supply(s, log),
+		fx.Provide(metrics.NewRegistry, func() *kernel.Kernel { return &kernel.Kernel{} }, newPlatformServices),
+		fx.Invoke(kernel.Run, logLifecycle),
+		fx.StartTimeout(startTimeout),
+		fx.StopTimeout(s.StopLimit+stopTimeoutMargin),
+	)
+	if err := d.App.Err(); err != nil {
+		return nil, fmt.Errorf("assemble services: %w", err)
+	}
+	return d, nil
+}
+
+// platformComponents holds the components that the services of a box on the platform share.
+type platformComponents struct {
+	settings settings.PlatformSettings
+	store    store.Store
+	balancer *balance.Balancer
+	budget   *budget.Budget
+	quota    *quota.Quota
+	meter    *demand.Meter
+	tally    *tally.Tally
+	clock    *daytime.Clock
+	known    *known.Service
+	gossip   *gossip.Gossip
+	hints    *hint.Service
+	reporter *reporter.Reporter // nil unless usage is reported
+	rollouts *rollout.Controller
+
+	reachableBoxes atomic.Int64 // reachable boxes, including this one
+
+	mu           sync.Mutex
+	nearbyPeers  []netip.AddrPort                   // receive hints of all long prompts
+	distantPeers []netip.AddrPort                   // receive hints of very long prompts only
+	remoteDemand map[string]map[string]demand.Stats // of the other boxes, by service and data centre
+	// the other boxes' evidence on versions in rollout, by service
+	remoteEvidence map[string]rollout.Evidence
+
+	// incarnation distinguishes this process from earlier ones on the same box.
+	incarnation string
+}
+
+// newPlatformComponents returns the shared components.
+func newPlatformComponents(s settings.PlatformSettings, log zerolog.Logger) *platformComponents {
+	st := platform.NewStore(s.Store)
+	p := &platformComponents{
+		settings: s, store: st, balancer: &balance.Balancer{Rand: rand.Float64}, quota: &quota.Quota{
+			Terms: quota.Terms{Window: s.QuotaWindow, Overage: s.QuotaOverage, Slack: s.QuotaSlack},
+			Self:  quota.Arbiter{Box: s.Box, DataCentre: s.DataCentre, Address: s.Peers}, Started: boottime.Now(),
+			Chance: rand.Float64,
+		}, meter: &demand.Meter{},
+		budget: budget.New(budget.Limits{Ratio: s.RetryRatio, Slack: s.RetrySlack, Window: s.RetryWindow}),
+		tally:  &tally.Tally{Window: s.ReportWindow}, clock: daytime.New(time.Now),
+		gossip: gossip.New(log), incarnation: uuid.NewString()[:8],
+	}
+	p.known = known.New(known.Source{
+		ConfigKey: platform.ConfigKey, OperatorPrefix: platform.OperatorPrefix, EndpointsPrefix: platform.ServersPrefix,
+		DecodeConfig: platform.DecodeDocument, DecodeEndpoint: platform.DecodeEndpoint, DecodeOrder: platform.DecodeOrder,
+	}, st, log)
+	p.known.OnOrders = p.gossip.BroadcastOrders
+	p.gossip.Rollouts.Random = rand.Float64
+	p.known.DeferWatch = true
+	p.known.Roster.Box, p.known.Roster.DataCentre = s.Box, s.DataCentre
+	p.quota.Incarnation = p.incarnation
+	p.budget.Rand = rand.Float64
+	p.budget.SetBoxes(p.quota.MaxBoxes())
+	q := p.gossip.Quarantine
+	q.Log = log
+	p.gossip.OnCrash = p.recordCrash
+	p.gossip.Rates = &p.balancer.Availability.Rates
+	p.known.Roster.OnLeave(func(e endpoint.Endpoint) {
+		if !e.Draining {
+			q.RecordCrash(e.Incarnation(), "its record was deleted", boottime.Now())
+		}
+	})
+	p.connectGossip()
+	return p
+}
+
+// newPlatformServices returns the services in the order in which they start. They stop in the
+// reverse order, so that callers are drained first.
+func newPlatformServices(s settings.PlatformSettings, m metrics.Registry, log zerolog.Logger) []kernel.Service {
+	p := newPlatformComponents(s, log)
+	limits := limit.New(p.quota, &p.balancer.Availability.Rates, m, log)
+	f := &forward.Forwarder{
+		DataCentre: s.DataCentre, Roster: &p.known.Roster, Balancer: p.balancer, Budget: p.budget, Meter: p.meter,
+		Quarantine: p.gossip.Quarantine, Rollouts: p.gossip.Rollouts,
+		Pool: &exchange.Pool{DialTimeout: endpointDialTimeout}, Codec: platform.Wire{}, OnStart: p.countRequest, Metrics: m, Log: log,
+		OnSend: p.sendHint, OnCrash: func(e endpoint.Endpoint) { p.gossip.BroadcastCrash(e.Incarnation()) },
+		OnDraining:    func(e endpoint.Endpoint) { p.gossip.BroadcastLeaving(e.Incarnation()) },
+		OnLimitChange: p.gossip.BroadcastRate, RequestPermit: limits.Permit,
+	}
+	p.known.Roster.OnReplaced(f.CancelReplaced)
+	p.known.OnInvalidRecord = func(r endpoint.Reason) {
+		metrics.GetOrRegisterCounter("endpoints.foreign."+string(r), m).Inc(1)
+	}
+	p.hints = hint.New(log)
+	p.hints.Address, p.hints.OnHint = s.Peers, p.receiveHint
+	o := ingress.Options{
+		Address: s.Callers, Ready: s.Ready, ReadyPath: platform.ReadyPath,
+		Notice: min(maxUnreadyPeriod, s.StopLimit/3), Limit: s.StopLimit - drainReserve,
+	}
+	ss := []kernel.Service{
+		session.New(p.store, log),
+		peer.NewNode(s.Peers, s.Peers, peerSecret, m),
+		p.known,
+		p.gossip,
+		p.hints,
+		limits,
+	}
+	ss = append(ss, p.newLeaderServices(log)...)
+	in := ingress.New(o, platform.Wire{}, f, limits, m, log)
+	p.gossip.Leaving = in.Leaving
+	return append(ss, p.newMetricsServer(in, f, m, log), in)
+}
+
+// newMetricsServer returns the service that serves the box's metrics, with gauges of its current
+// state registered.
+func (p *platformComponents) newMetricsServer(in *ingress.Ingress, f *forward.Forwarder, m metrics.Registry, log zerolog.Logger) *figures.Server {
+	s := figures.New(p.settings.Metrics, m, log)
+	s.RegisterGauge("configuration.version", func() int64 { v, _ := p.known.RawConfig(); return int64(v) })
+	s.RegisterGauge("endpoints.known", func() int64 { return int64(p.known.Roster.Len()) })
+	s.RegisterGauge("endpoints.leaving", func() int64 { return int64(p.known.Roster.Draining()) })
+	s.RegisterGauge("endpoints.resting", func() int64 { return int64(p.balancer.Availability.CountBackingOff(boottime.Now())) })
+	s.RegisterGauge("endpoints.limited", func() int64 { return int64(p.balancer.Availability.Rates.Len()) })
+	s.RegisterGauge("boxes.known", func() int64 { return p.reachableBoxes.Load() })
+	s.RegisterGauge("requests.live", func() int64 { return int64(in.Live()) })
+	s.RegisterGauge("contents.refused", func() int64 { return int64(len(p.gossip.Quarantine.Refused(boottime.Now()))) })
+	s.RegisterGauge("connections.idle", func() int64 { return int64(f.Pool.CountIdle()) })
+	return s
+}
+
+// newLeaderServices returns the election and the services with calls that only the leader makes.
+func (p *platformComponents) newLeaderServices(log zerolog.Logger) []kernel.Service {
+	s := p.settings
+	e := &election.Election{Store: p.store, Key: leaderKey, Box: s.Box, Term: s.Lease, Eligible: p.gossip.IsRelay, Log: log}
+	ss := []kernel.Service{e, p.newRolloutController(e, log)}
+	if !s.ReportUsage && !s.Autoscale {
+		return ss
+	}
+	cl := platform.NewCloud(s.Cloud)
+	if s.ReportUsage {
+		o := reporter.Options{
+			Prefix: usagePrefix, WritersPrefix: relaysPrefix, Box: s.Box, Incarnation: p.incarnation,
+			Due: s.ReportDue, Writes: p.writesUsage, Now: p.clock.Now,
+		}
+		p.reporter = reporter.New(o, p.tally, p.store, cl, e, log)
+		ss = append(ss, p.reporter)
+	}
+	if s.Autoscale {
+		o := orders.New(log)
+		o.Box, o.Cloud, o.Election, o.Policy, o.Demand = s.Box, cl, e, scaling.Default, p.demandByDataCentre
+		o.Limited = func(e endpoint.Endpoint) bool {
+			return p.balancer.Availability.IsRateLimited(e.Incarnation(), boottime.Now())
+		}
+		o.Capacity = func(service string, slots int, pause time.Duration) scaling.Capacity {
+			m := p.balancer.Model(service)
+			return scaling.Capacity{
+				Reclaimable: m.EndpointCapacity(scaling.LateShareFor(p.balancer.UnobservedFraction()), slots, pause),
+				OnDemand:    m.EndpointCapacity(scaling.LateShareOnDemand, slots, pause),
+			}
+		}
+		ss = append(ss, o)
+	}
+	return ss
+}
+
+// newRolloutController returns the service that decides on rollouts of versions.
+func (p *platformComponents) newRolloutController(e *election.Election, log zerolog.Logger) *rollout.Controller {
+	p.rollouts = &rollout.Controller{
+		Gate: p.gossip.Rollouts, Store: p.store, Key: rolloutKey, Status: platform.EncodeStatus, Fence: e.UseFence, Broadcast: p.gossip.BroadcastProgress,
+		RemoteEvidence: p.loadRemoteEvidence, Now: p.clock.Now, MaxShare: p.settings.RolloutShare, Log: log,
+	}
+	return p.rollouts
+}
+
+// loadRemoteEvidence returns the other boxes' evidence on versions in rollout, by service.
+func (p *platformComponents) loadRemoteEvidence() map[string]rollout.Evidence {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.remoteEvidence
+}
+
+// logLifecycle logs the start and the stop of the box.
+func logLifecycle(l fx.Lifecycle, s settings.PlatformSettings, log zerolog.Logger) {
+	l.Append(fx.Hook{
+		OnStart: func(context.Context) error {
+			log.Info().Str("event", "start").Str("data_centre", s.DataCentre).Str("callers", s.Callers).Msg("serving")
+			return nil
+		},
+		OnStop: func(context.Context) error {
+			log.Info().Str("event", "stop").Msg("stopping")
+			return nil
+		},
+	})
+}
+
+// Reload reads the settings file again and applies the log level, the only setting that can change
+// while the box runs. If the file is not valid, Reload logs that and changes nothing.
+func (d *PlatformDaemon) Reload(path string) {
+	s, err := settings.LoadPlatform(path)
+	if err != nil {
+		d.log.Error().Str("event", "reload").Err(err).Msg("reload failed, keeping the current settings")
+		return
+	}
+	l, err := zerolog.ParseLevel(s.LogLevel)
+	if err != nil {
+		d.log.Error().Str("event", "reload").Err(err).Msg("reload failed, keeping the current settings")
+		return
+	}
+	zerolog.SetGlobalLevel(l)
+	d.log.Info().Str("event", "reload").Str("level", s.LogLevel).Msg("settings reloaded")
+}
--- /dev/null
+++ b/daemon/platform_test.go
@@ -0,0 +1,297 @@
+package daemon_test
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"math"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"golang.org/x/sync/errgroup"
+
+	"birchlink.dev/birchlink/daemon"
+	"birchlink.dev/birchlink/platform/standin"
+	"birchlink.dev/birchlink/settings"
+	"birchlink.dev/birchlink/stand/memstore"
+)
+
+// crashBody is the body of the requests that crash every server that runs them.
+const crashBody = "the body that ends servers"
+
+// platform is a stand-in for the users' platform: its store, and servers. A server that crashes is
+// replaced by a new one.
+type platform struct {
+	t            *testing.T
+	store        *memstore.Memory
+	storeAddress string
+
+	mu      sync.Mutex
+	lastID  int
+	crashed int
+	servers []*standin.Server
+}
+
+func newPlatform(t *testing.T, servers int) *platform {
+	p := &platform{t: t, store: &memstore.Memory{}}
+	p.storeAddress = serve(t, standin.StoreHandler(p.store))
+	p.store.Set(standin.ConfigKey, standin.Config(1, "api"))
+	for range servers {
+		p.startServer()
+	}
+	return p
+}
+
+// startServer starts a server with a new ID, which crashes when it receives crashBody.
+func (p *platform) startServer() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.lastID++
+	s := &standin.Server{ID: fmt.Sprintf("i-%d", p.lastID), Service: "api", Slots: 64, Events: 3, Audit: &standin.Audit{}}
+	p.servers = append(p.servers, s)
+	var h *httptest.Server
+	h = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		body, err := io.ReadAll(r.Body)
+		if err != nil || string(body) != crashBody {
+			s.ServeHTTP(w, r)
+			return
+		}
+		p.crash(h.Config)
+		p.startServer()
+	}))
+	p.t.Cleanup(h.Close)
+	p.store.Set(s.Record(h.Listener.Addr().String(), "north", "ready"))
+}
+
+func (p *platform) crash(h *http.Server) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if h.Close() == nil {
+		p.crashed++
+	}
+}
+
+func (p *platform) crashedServers() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.crashed
+}
+
+// entryBox is a daemon with its listen addresses.
+type entryBox struct {
+	*daemon.PlatformDaemon
+	callersAddress, metricsAddress, readyAddress string
+}
+
+// freeAddress returns an address on which nobody listens. Its IP address differs from the source
+// address of outgoing connections, which might otherwise take the port before the box listens on it.
+func freeAddress(t *testing.T) string {
+	l, err := net.Listen("tcp", "127.0.0.2:0")
+	require.NoError(t, err)
+	defer l.Close()
+	return l.Addr().String()
+}
+
+func (p *platform) startBox(name, dc string) *entryBox {
+	p.t.Helper()
+	b := &entryBox{callersAddress: freeAddress(p.t), metricsAddress: freeAddress(p.t), readyAddress: freeAddress(p.t)}
+	s, err := settings.ParsePlatform(fmt.Appendf(nil, `[box]
+name = %s
+data_centre = %s
+[listen]
+callers = %s
+ready = %s
+peers = %s
+metrics = %s
+[store]
+address = %s
+[retries]
+slack = 100
+[log]
+level = error
+`, name, dc, b.callersAddress, b.readyAddress, freeAddress(p.t), b.metricsAddress, p.storeAddress))
+	require.NoError(p.t, err)
+	b.PlatformDaemon, err = daemon.NewPlatformDaemon(s, io.Discard)
+	require.NoError(p.t, err)
+	require.NoError(p.t, b.App.Start(p.t.Context()))
+	return b
+}
+
+// stopAll stops all boxes at the same time.
+func stopAll(t *testing.T, bs []*entryBox) {
+	var g errgroup.Group
+	for _, b := range bs {
+		g.Go(func() error { return b.App.Stop(context.Background()) })
+	}
+	require.NoError(t, g.Wait())
+}
+
+// call sends a request to a box and returns the status and the body of the answer.
+func (b *entryBox) call(t *testing.T, id, body string) (int, string) {
+	t.Helper()
+	q, err := standin.NewRequest(b.callersAddress, "/again/x", id, 10*time.Second)
+	require.NoError(t, err)
+	q.Body, q.ContentLength, q.GetBody = io.NopCloser(strings.NewReader(body)), int64(len(body)), nil
+	a, err := http.DefaultClient.Do(q)
+	require.NoError(t, err)
+	defer a.Body.Close()
+	text, err := io.ReadAll(a.Body)
+	require.NoError(t, err)
+	return a.StatusCode, string(text)
+}
+
+// hasMetric reports whether a metric of the box has the given value.
+func (b *entryBox) hasMetric(t *testing.T, name string, value int) bool {
+	t.Helper()
+	a, err := http.Get("http://" + b.metricsAddress + "/metrics")
+	require.NoError(t, err)
+	defer a.Body.Close()
+	text, err := io.ReadAll(a.Body)
+	require.NoError(t, err)
+	f := strings.Fields(string(text))
+	for i := range f {
+		if f[i] == name && i+2 < len(f) && f[i+2] == fmt.Sprint(value) {
+			return true
+		}
+	}
+	return false
+}
+
+// All boxes refuse a request after three servers have crashed under it, also after a restart of all
+// boxes, and serve all other requests. If each box judged by its own attempts alone, every box would
+// send the request on and crash more servers.
+func TestAllBoxesRefuseRequestThatCrashesServers(t *testing.T) {
+	p := newPlatform(t, 12)
+	names := []string{"a", "b", "c", "d", "e", "f"}
+	requireRefused := func(bs []*entryBox, round string) {
+		for i, b := range bs {
+			require.Eventually(t, func() bool { return b.hasMetric(t, "contents.refused", 1) }, 20*time.Second, 5*time.Millisecond)
+			status, text := b.call(t, round+names[i], crashBody)
+			require.Equal(t, http.StatusServiceUnavailable, status, text)
+			require.Contains(t, text, "not_run")
+			status, text = b.call(t, "other"+round+names[i], "another body")
+			require.Equal(t, http.StatusOK, status, text)
+		}
+	}
+	bs := p.startFleet(names...)
+	for i := 0; p.crashedServers() < 3; i++ {
+		bs[i].call(t, fmt.Sprint("r", i), crashBody)
+	}
+	requireRefused(bs, "first")
+	require.LessOrEqual(t, p.crashedServers(), 4)
+	crashed := p.crashedServers()
+
+	require.Eventually(t, func() bool { return snapshotHasContent(p.store) }, 20*time.Second, 5*time.Millisecond)
+	stopAll(t, bs)
+	bs = p.startFleet(names...)
+	requireRefused(bs, "second")
+	require.Equal(t, crashed, p.crashedServers())
+	stopAll(t, bs)
+}
+
+// isReady reports whether the readiness check of the box succeeds.
+func (b *entryBox) isReady(t *testing.T) bool {
+	t.Helper()
+	a, err := http.Get("http://" + b.readyAddress + standin.ReadyPath)
+	require.NoError(t, err)
+	require.NoError(t, a.Body.Close())
+	return a.StatusCode == http.StatusOK
+}
+
+// startFleet starts a box for each name, spread over three data centres, and waits until all are
+// ready and know each other. The number of known boxes is not enough for a fleet of one box, which
+// counts itself before it has read the configuration.
+func (p *platform) startFleet(names ...string) []*entryBox {
+	dcs := []string{"north", "south", "west"}
+	bs := make([]*entryBox, len(names))
+	for i, n := range names {
+		bs[i] = p.startBox(n, dcs[i%len(dcs)])
+	}
+	for _, b := range bs {
+		require.Eventually(p.t, func() bool { return b.isReady(p.t) && b.hasMetric(p.t, "boxes.known", len(names)) }, 20*time.Second, 5*time.Millisecond)
+	}
+	return bs
+}
+
+// No box sends requests to a server that is draining, as soon as one box has learned that from an
+// answer of the server, even while the store is unavailable. If boxes learned it from the server's
+// record alone, they would use the server until the store returns; they must stop within 2 s.
+func TestAllBoxesAvoidDrainingServer(t *testing.T) {
+	p := newPlatform(t, 4)
+	bs := p.startFleet("a", "b", "c", "d", "e", "f")
+	defer stopAll(t, bs)
+	p.store.SetDown(true)
+	s := p.servers[0]
+	s.ReportLeaving()
+	for i := 0; s.RequestCount() == 0; i++ {
+		status, text := bs[0].call(t, fmt.Sprint("first", i), "body")
+		require.Equal(t, http.StatusOK, status, text)
+	}
+	for _, b := range bs {
+		require.Eventually(t, func() bool { return b.hasMetric(t, "endpoints.leaving", 1) }, 20*time.Second, 5*time.Millisecond)
+	}
+	requests := s.RequestCount()
+	for i, b := range bs {
+		for j := range 12 {
+			status, text := b.call(t, fmt.Sprint("then", i, "-", j), "body")
+			require.Equal(t, http.StatusOK, status, text)
+		}
+	}
+	require.Equal(t, requests, s.RequestCount())
+}
+
+// A box sends nothing more to a server that refused a request and asked for a pause, which a server
+// does to each box separately. Callers get answers from the other servers. While all servers back
+// off, calls are refused without being run. A box that ignored the pause would send 8 requests in
+// 4 s where 2 are allowed, and tell its callers to retry after 50 ms.
+func TestServersBackOff(t *testing.T) {
+	p := newPlatform(t, 2)
+	bs := p.startFleet("a")
+	defer stopAll(t, bs)
+	p.servers[0].RefuseRequests(time.Hour)
+	for i := range 30 {
+		status, text := bs[0].call(t, fmt.Sprint("one", i), "body")
+		require.Equal(t, http.StatusOK, status, text)
+	}
+	require.LessOrEqual(t, p.servers[0].RequestCount(), 1)
+	p.servers[1].RefuseRequests(2 * time.Hour)
+	for i := range 30 {
+		status, text := bs[0].call(t, fmt.Sprint("both", i), "body")
+		require.Equal(t, http.StatusServiceUnavailable, status, text)
+		require.Contains(t, text, "not_run")
+	}
+	require.Equal(t, 1, p.servers[0].RequestCount())
+	require.Equal(t, 31, p.servers[1].RequestCount())
+}
+
+// All boxes together keep within the request rate that a server states in its answers, and callers
+// get answers while other servers have capacity. A stated rate that each box ignored, or applied
+// alone, would be exceeded by the boxes together.
+func TestAllBoxesShareServerLimit(t *testing.T) {
+	const perSecond, window = 0.5, 4.0
+	p := newPlatform(t, 3)
+	bs := p.startFleet("a", "b", "c", "d", "e", "f")
+	defer stopAll(t, bs)
+	s := p.servers[0]
+	s.ReportLimit(fmt.Sprint(perSecond))
+	startTime := time.Now()
+	for i := range 200 {
+		status, text := bs[i%len(bs)].call(t, fmt.Sprint("call", i), "body")
+		require.Equal(t, http.StatusOK, status, text)
+	}
+	windows := math.Ceil(time.Since(startTime).Seconds() / window)
+	require.LessOrEqual(t, float64(s.RequestCount()), float64(len(bs))+windows*(1.5*window*perSecond+5))
+}
+
+// snapshotHasContent reports whether the snapshot for restarting boxes contains a content that
+// crashes servers.
+func snapshotHasContent(m *memstore.Memory) bool {
+	i, err := m.Get(context.Background(), "birchlink/before")
+	return err == nil && strings.Contains(string(i.Value), `"Contents":[{`)
+}
--- a/front/front.go
+++ b/front/front.go
@@ -226,7 +226,7 @@
 	if d == nil {
 		return nil, errkind.New(errkind.NotReady, "no configuration yet").After(time.Second)
 	}
-	a, ok := d.ByKey(bearer(r))
+	a, ok := d.AccountByKey(bearer(r))
 	if !ok {
 		return nil, errkind.New(errkind.UnknownAccount, "the bearer key is not an account's")
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"birchlink.dev/birchlink/settings"
 )
 
-// Each file is read as a whole, and every mistake in it is reported.
+// Every mistake in a file is reported, not only the first one.
 func TestMistakes(t *testing.T) {
 	fs, err := filepath.Glob("testdata/*.ini")
 	require.NoError(t, err)
--- a/view/view.go
+++ b/view/view.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		return err
 	}
-	f.OnChange(func(d *config.Document) { v.setLabeler(d.Label) })
+	f.OnChange(func(d *config.Document) { v.setLabeler(d.WithLabels) })
 	return nil
 }
 
