--- a/compare/requests.go
+++ b/compare/requests.go
@@ -133,7 +133,7 @@
 	var ts []router.Target
 	var es []*engine
 	for _, e := range s.engines {
-		if e.DataCentre != q.dc || !e.Has(workload) {
+		if e.DataCentre != q.dc || !e.Serves(workload) {
 			continue
 		}
 		es = append(es, e)
--- a/front/front.go
+++ b/front/front.go
@@ -236,7 +236,7 @@
 	if d == nil {
 		return nil, errkind.New(errkind.NotReady, "no configuration yet").WithRetryAfter(time.Second)
 	}
-	a, ok := d.ByKey(bearerToken(r))
+	a, ok := d.AccountByKey(bearerToken(r))
 	if !ok {
 		return nil, errkind.New(errkind.UnknownAccount, "the bearer key is not an account's")
 	}
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -152,7 +152,7 @@
 		wait.For(t.Context(), 1200*time.Millisecond) // between two renewals
 		l := s.Lease()
 		s.MergeReport(0)
-		boottime.Skip(5 * time.Second)
+		boottime.SimulateSuspension(5 * time.Second)
 		m.ExpireLease(l)
 		require.GreaterOrEqual(t, s.StoreUnresponsiveFor(), 5*time.Second)
 		wait.For(t.Context(), session.FastRenewInterval)
--- a/stream/service.go
+++ b/stream/service.go
@@ -288,7 +288,7 @@
 	}
 	l := reclaim.Limits{Notice: notice, Margin: notice / marginDivisor, BytesPerSecond: transferBytesPerSecond}
 	for _, m := range reclaim.Plan(ss, k.freeDestinations(), l) {
-		k.decisions.Note(decisions.Decision{Subject: m.ID, Event: "reclaim", Choice: m.To, Reason: m.Reason, Workload: by[m.ID].Workload})
+		k.decisions.Record(decisions.Decision{Subject: m.ID, Event: "reclaim", Choice: m.To, Reason: m.Reason, Workload: by[m.ID].Workload})
 		if m.Action == reclaim.Finish {
 			continue
 		}
