--- a/admission/request.go
+++ b/admission/request.go
@@ -3,7 +3,7 @@
 // reclaim. The limit is divided fairly among accounts, and part of it is reserved for urgent kinds.
 package admission
 
-// Kind is the kind of a request. It determines the priority.
+// Kind is the kind of a request, which determines its priority.
 type Kind string
 
 // The kinds of requests.
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -27,7 +27,7 @@
 
 const (
 	maxRecords     = 200_000                // keys and tickets
-	peerRetryAfter = 2 * time.Second        // retry time reported while a run goes on or a peer is unavailable
+	peerRetryAfter = 2 * time.Second        // retry time reported while a run is in progress or a peer is unavailable
 	deadlineGrace  = 500 * time.Millisecond // time after the deadline for a stream to report how it ended
 )
 
@@ -108,8 +108,7 @@
 // Do runs a call, or finds the run of an earlier call with the same key or ticket, and passes the
 // response to sink.
 func (d *Dispatcher) Do(c context.Context, q Call, sink Sink) error {
-	// A stream stops at the deadline by itself; deadlineGrace leaves it time to report how it
-	// ended.
+	// The stream itself stops at the deadline; deadlineGrace leaves time to report how it ended.
 	c, cancel := context.WithDeadline(c, q.deadline().Add(deadlineGrace))
 	defer cancel()
 	switch {
@@ -130,11 +129,11 @@
 	}
 	defer release()
 	if q.Plain != nil {
-		a, err := d.proxy.Do(c, *q.Plain)
+		resp, err := d.proxy.Do(c, *q.Plain)
 		if err != nil {
 			return err
 		}
-		return sink(Item{Plain: a})
+		return sink(Item{Plain: resp})
 	}
 	return d.readStream(c, d.startStream(q, remote), sink)
 }
@@ -209,15 +208,15 @@
 		return err
 	}
 	self := d.members.Self().Incarnation
-	in, err := d.claims.Claim(c, ledger.Claim{Key: k[:], Holder: self, Nonce: r.Nonce, At: time.Now().Unix()})
+	claim, err := d.claims.Claim(c, ledger.Claim{Key: k[:], Holder: self, Nonce: r.Nonce, At: time.Now().Unix()})
 	switch {
 	case err != nil:
 		return err
-	case in.Nonce == r.Nonce:
+	case claim.Nonce == r.Nonce:
 		// The key was claimed by this process or by one whose records it took over.
-	case in.Holder != self:
+	case claim.Holder != self:
 		d.records.Drop(name)
-		return d.forward(c, in.Holder, q, sink)
+		return d.forward(c, claim.Holder, q, sink)
 	case fresh:
 		return errkind.New(errkind.OutcomeUnknown, "the key was used here and is no longer remembered")
 	}
@@ -315,8 +314,8 @@
 // run runs the call of a record. The run continues if its caller disconnects.
 func (d *Dispatcher) run(r *once.Record[Result], q Call, remote bool) {
 	if q.Plain != nil {
-		a, err := d.proxy.Do(context.Background(), *q.Plain)
-		r.Finish(Result{Plain: a, Err: err}, mayHaveRun(err))
+		resp, err := d.proxy.Do(context.Background(), *q.Plain)
+		r.Finish(Result{Plain: resp, Err: err}, mayHaveRun(err))
 		return
 	}
 	s := d.startStream(q, remote)
--- a/dispatch/handover.go
+++ b/dispatch/handover.go
@@ -54,8 +54,8 @@
 	}
 	var all []handoverRecord
 	for name, r := range d.records.Close() {
-		if b, ok := packRecord(name, r); ok {
-			all = append(all, b)
+		if h, ok := packRecord(name, r); ok {
+			all = append(all, h)
 		}
 	}
 	c, cancel := context.WithTimeout(c, handoverTimeout)
@@ -86,60 +86,60 @@
 // that is neither open nor done.
 func packRecord(name string, r *once.Record[Result]) (handoverRecord, bool) {
 	s, v, _ := r.Snapshot()
-	b := handoverRecord{Name: name, Nonce: r.Nonce, Digest: r.Digest, Age: r.Age(), Open: s == once.Open, Plain: v.Plain}
-	if b.Open {
-		return b, true
+	h := handoverRecord{Name: name, Nonce: r.Nonce, Digest: r.Digest, Age: r.Age(), Open: s == once.Open, Plain: v.Plain}
+	if h.Open {
+		return h, true
 	}
-	if b.Age > maxResponseAge {
-		b.Plain, b.Kind, b.Reason = nil, errkind.OutcomeUnknown, "it ran; its answer is no longer held"
-		return b, true
+	if h.Age > maxResponseAge {
+		h.Plain, h.Kind, h.Reason = nil, errkind.OutcomeUnknown, "it ran; its answer is no longer held"
+		return h, true
 	}
 	if v.Err != nil {
 		e := errkind.Of(v.Err)
-		b.Kind, b.Reason = e.Kind, e.Message
+		h.Kind, h.Reason = e.Kind, e.Message
 	}
 	if v.Stream != nil {
 		ts, whole, err := v.Stream.Tokens()
-		b.Stream = &partialStream{ID: v.Stream.ID, Account: v.Stream.Account, Tokens: ts, Whole: whole}
+		h.Stream = &partialStream{ID: v.Stream.ID, Account: v.Stream.Account, Tokens: ts, Whole: whole}
 		var m *stream.MovedError
 		if err != nil && !errors.As(err, &m) {
 			e := errkind.Of(err)
-			b.Stream, b.Kind, b.Reason = nil, e.Kind, e.Message
+			h.Stream, h.Kind, h.Reason = nil, e.Kind, e.Message
 		}
 	}
 	if v.Inherited != nil {
-		b.Stream = v.Inherited
+		h.Stream = v.Inherited
 	}
-	return b, s == once.Done
+	return h, s == once.Done
 }
 
 // handleHandover handles the records handed over by a process that shuts down.
-func (d *Dispatcher) handleHandover(_ context.Context, bs []handoverRecord) (struct{}, error) {
-	for _, b := range bs {
-		s, v := once.Done, Result{Plain: b.Plain, Inherited: b.Stream}
-		if b.Reason != "" {
-			v.Err = errkind.New(b.Kind, "%s", b.Reason)
+func (d *Dispatcher) handleHandover(_ context.Context, records []handoverRecord) (struct{}, error) {
+	for _, h := range records {
+		s, v := once.Done, Result{Plain: h.Plain, Inherited: h.Stream}
+		if h.Reason != "" {
+			v.Err = errkind.New(h.Kind, "%s", h.Reason)
 		}
-		if b.Open {
+		if h.Open {
 			s, v = once.Open, Result{}
 		}
-		d.records.TakeOver(b.Name, once.RestoreRecord(b.Nonce, b.Digest, b.Age, s, v))
+		d.records.TakeOver(h.Name, once.RestoreRecord(h.Nonce, h.Digest, h.Age, s, v))
 	}
 	return struct{}{}, nil
 }
 
 // readPartial passes the tokens taken over to sink, and then those that it reads from the peer
 // that continues the stream.
-func (d *Dispatcher) readPartial(c context.Context, h *partialStream, sink Sink) error {
-	for i, t := range h.Tokens {
+func (d *Dispatcher) readPartial(c context.Context, s *partialStream, sink Sink) error {
+	for i, t := range s.Tokens {
 		if err := sink(Item{Index: i, Token: t}); err != nil {
 			return err
 		}
 	}
-	if h.Whole {
+	if s.Whole {
 		return nil
 	}
-	return d.keeper.ReadAnywhere(c, h.ID, h.Account, len(h.Tokens), func(i int, t string) error {
+	return d.keeper.ReadAnywhere(c, s.ID, s.Account, len(s.Tokens), func(i int, t string) error {
 		return sink(Item{Index: i, Token: t})
 	})
 }
--- a/estimate/model.go
+++ b/estimate/model.go
@@ -78,11 +78,11 @@
 func (m *Model) Predict(now time.Time) Prediction {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	v := Prediction{fit: *m.currentFit(now)}
+	p := Prediction{fit: *m.currentFit(now)}
 	if n := m.local.Completed + m.remote.Completed; n > 0 {
-		v.SlotTime = seconds((m.local.SlotSeconds + m.remote.SlotSeconds) / n)
+		p.SlotTime = seconds((m.local.SlotSeconds + m.remote.SlotSeconds) / n)
 	}
-	return v
+	return p
 }
 
 // Local returns the observations of this box, to be reported to other boxes.
@@ -163,14 +163,14 @@
 	defer m.mu.Unlock()
 	s := m.all()
 	f := fitStats(s)
-	b := Capacity{
+	c := Capacity{
 		TokensPerSecond: f.maxPrefillUtilization(&s, maxLate) / max(f.prefillSecondsPerToken(&s), epsilon),
 		Running:         slotShare * float64(max(slots, 1)),
 	}
 	if pauseTarget > 0 {
-		b.Running = min(b.Running, max(f.concurrencyForPause(meanPauseShare*pauseTarget.Seconds()), 1))
+		c.Running = min(c.Running, max(f.concurrencyForPause(meanPauseShare*pauseTarget.Seconds()), 1))
 	}
-	return b
+	return c
 }
 
 // slotShare is the fraction of an endpoint's slots that may be in use on average; the other slots
--- a/estimate/model_test.go
+++ b/estimate/model_test.go
@@ -64,8 +64,8 @@
 }
 
 func predictFirstEvent(m *estimate.Model, l estimate.Load, now time.Time) time.Duration {
-	v := m.Predict(now)
-	return v.FirstEvent(l)
+	p := m.Predict(now)
+	return p.FirstEvent(l)
 }
 
 // observe records a minute of answers, ten per second, which come from the engines in turn.
@@ -209,7 +209,7 @@
 	require.Equal(t, before, predictFirstEvent(&m, l, start.Add(2*time.Minute)))
 }
 
-// Objectives that no route uses any more are removed, so that new ones still fit into the limit.
+// Objectives that are not observed for some time are removed, so that new ones fit into the limit.
 func TestUnusedObjectivesEvicted(t *testing.T) {
 	var m estimate.Model
 	for i := range 100 {
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -95,7 +95,7 @@
 	stop := context.AfterFunc(c, func() { _ = n.net.SetDeadline(time.Unix(1, 0)) })
 	wrote := make(chan error, 1)
 	go func() { wrote <- writeRequest(n, q) }()
-	r, err := readHead(n, q) //nolint:bodyclose // Answer.Close ends the connection or keeps it
+	head, err := readHead(n, q) //nolint:bodyclose // Answer.Close ends the connection or keeps it
 	if err != nil {
 		stop()
 		n.reset()
@@ -104,10 +104,10 @@
 		}
 		return nil, err
 	}
-	a := &Response{Status: r.StatusCode, Header: r.Header, conn: n, pool: p, address: q.Address, raw: r, writeResult: wrote, detach: stop}
-	a.Body = &body{a}
-	a.EventStream = strings.HasPrefix(r.Header.Get("Content-Type"), "text/event-stream")
-	return a, nil
+	resp := &Response{Status: head.StatusCode, Header: head.Header, conn: n, pool: p, address: q.Address, raw: head, writeResult: wrote, detach: stop}
+	resp.Body = &body{resp}
+	resp.EventStream = strings.HasPrefix(head.Header.Get("Content-Type"), "text/event-stream")
+	return resp, nil
 }
 
 // writeRequest sends the whole request in one write.
@@ -165,41 +165,41 @@
 }
 
 // Interrupt makes pending reads of Body fail.
-func (a *Response) Interrupt() { _ = a.conn.net.SetDeadline(time.Unix(1, 0)) }
+func (r *Response) Interrupt() { _ = r.conn.net.SetDeadline(time.Unix(1, 0)) }
 
 // Close ends the call; further calls do nothing. The connection returns to the pool only if the
 // response was read to its end, the request was sent completely, and neither side closes it.
 // If the response is incomplete, the connection is reset.
-func (a *Response) Close() {
-	if a.closed {
+func (r *Response) Close() {
+	if r.closed {
 		return
 	}
-	a.closed = true
-	cancelled := !a.detach()
-	if a.complete && !cancelled && !a.raw.Close && a.Framed() && a.requestSent() && a.conn.reader.Buffered() == 0 {
-		a.conn.keepAlive = keepAliveTimeout(a.Header)
-		a.pool.put(a.address, a.conn)
+	r.closed = true
+	cancelled := !r.detach()
+	if r.complete && !cancelled && !r.raw.Close && r.Framed() && r.requestSent() && r.conn.reader.Buffered() == 0 {
+		r.conn.keepAlive = keepAliveTimeout(r.Header)
+		r.pool.put(r.address, r.conn)
 		return
 	}
-	if a.complete && !cancelled {
-		_ = a.conn.net.Close()
+	if r.complete && !cancelled {
+		_ = r.conn.net.Close()
 		return
 	}
-	a.conn.reset()
+	r.conn.reset()
 }
 
 // Framed reports whether the response has a content length or a transfer encoding. The end of any
 // other response is the end of the connection, so a truncated one looks complete.
-func (a *Response) Framed() bool {
-	return a.raw.ContentLength >= 0 || len(a.raw.TransferEncoding) > 0
+func (r *Response) Framed() bool {
+	return r.raw.ContentLength >= 0 || len(r.raw.TransferEncoding) > 0
 }
 
 // requestSent reports whether the request was sent completely. If the endpoint answers before
 // that, the rest of the body is still to be sent and the connection can't be used for another
 // request.
-func (a *Response) requestSent() bool {
+func (r *Response) requestSent() bool {
 	select {
-	case err := <-a.writeResult:
+	case err := <-r.writeResult:
 		return err == nil
 	case <-time.After(writeGrace):
 		return false
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -42,7 +42,7 @@
 	defer r.f.attempts.add(e.Incarnation(), cancel)()
 	defer r.f.Rollouts.Begin(r.q.Service.Name, e.Version)()
 	sent := boottime.Now()
-	ans, err := r.f.Pool.Do(x, exchange.Request{
+	resp, err := r.f.Pool.Do(x, exchange.Request{
 		Address: e.Address, Method: cl.Method, Target: cl.Target, Host: cl.Host, Header: r.f.Codec.Head(cl, a), Body: cl.Body, MaxIdle: maxIdle,
 		ShouldSend: func() bool { return r.maySend(e) },
 		Matches:    func(h http.Header) bool { return r.f.Codec.Outcome(0, h).ID == cl.ID },
@@ -59,9 +59,9 @@
 		}
 		return attemptResult{breakage: recovery.Gone, err: cancelCause(x, err)}
 	}
-	defer ans.Close()
+	defer resp.Close()
 	r.trace.ResponseTime = boottime.Since(sent)
-	out := r.readResponse(ans, n, w, sent)
+	out := r.readResponse(resp, n, w, sent)
 	r.recordForRollout(ch, out, sent)
 	out.err = cancelCause(x, out.err)
 	n.End(!out.done && c.Err() == nil, boottime.Now())
--- a/forward/crash.go
+++ b/forward/crash.go
@@ -11,8 +11,8 @@
 )
 
 // checkCrash reports an interrupted attempt to the quarantine unless the endpoint was draining, and
-// checks at once whether the endpoint has crashed. A request that crashes endpoints is repeated
-// within a second, and without the check each other request would detect the crash by itself.
+// checks at once whether the endpoint has crashed. A request that crashes endpoints is retried
+// within a second, and without the check every other request would detect the crash on its own.
 func (r *run) checkCrash(c context.Context, out attemptResult, e endpoint.Endpoint) {
 	switch {
 	case errors.Is(out.err, syscall.ECONNREFUSED):
--- a/forward/endpoint_test.go
+++ b/forward/endpoint_test.go
@@ -38,12 +38,12 @@
 	crashed    bool // the endpoint crashed
 }
 
-func newFakeEndpoint(t *testing.T, name string, behave []string) *fakeEndpoint {
+func newFakeEndpoint(t *testing.T, name string, sequence []string) *fakeEndpoint {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	f := &fakeEndpoint{t: t, name: name, listener: l, behaviours: behave, closed: make(chan struct{}, 16)}
-	if behave[0] == "refuse" {
+	f := &fakeEndpoint{t: t, name: name, listener: l, behaviours: sequence, closed: make(chan struct{}, 16)}
+	if sequence[0] == "refuse" {
 		require.NoError(t, l.Close())
 		return f
 	}
@@ -118,8 +118,8 @@
 }
 
 // answer performs a behaviour and reports whether to keep the connection.
-func (f *fakeEndpoint) answer(c net.Conn, behave, id, last string) bool {
-	kind, arg, _ := strings.Cut(behave, ":")
+func (f *fakeEndpoint) answer(c net.Conn, behaviour, id, last string) bool {
+	kind, arg, _ := strings.Cut(behaviour, ":")
 	n, _ := strconv.Atoi(arg)
 	body := "from " + f.name
 	// Send several responses in one write, so that they arrive together.
@@ -209,18 +209,18 @@
 	case "stream", "stream_cut", "stream_torn", "stream_leave", "stream_says_leaving":
 		return f.stream(c, kind, id, last, n)
 	default:
-		f.t.Errorf("no behaviour %q", behave)
+		f.t.Errorf("no behaviour %q", behaviour)
 	}
 	return true
 }
 
 // stream sends the events after last up to n, and ends the response as kind requires.
 func (f *fakeEndpoint) stream(c net.Conn, kind, id, last string, n int) bool {
-	says := ""
+	leavingHeader := ""
 	if kind == "stream_says_leaving" {
-		says = "Leaving: 1\r\n"
+		leavingHeader = "Leaving: 1\r\n"
 	}
-	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\n%sContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", id, says)
+	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\n%sContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", id, leavingHeader)
 	chunk := func(s string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(s), s) }
 	from, _ := strconv.Atoi(last)
 	for i := from + 1; i <= n; i++ {
--- a/forward/flights.go
+++ b/forward/flights.go
@@ -20,33 +20,33 @@
 }
 
 // add adds an attempt. The function that it returns removes the attempt.
-func (f *attemptSet) add(incarnation string, cancel context.CancelCauseFunc) (end func()) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.cancels == nil {
-		f.cancels = map[string]map[int]context.CancelCauseFunc{}
+func (s *attemptSet) add(incarnation string, cancel context.CancelCauseFunc) (end func()) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.cancels == nil {
+		s.cancels = map[string]map[int]context.CancelCauseFunc{}
 	}
-	if f.cancels[incarnation] == nil {
-		f.cancels[incarnation] = map[int]context.CancelCauseFunc{}
+	if s.cancels[incarnation] == nil {
+		s.cancels[incarnation] = map[int]context.CancelCauseFunc{}
 	}
-	f.lastID++
-	n := f.lastID
-	f.cancels[incarnation][n] = cancel
+	s.lastID++
+	n := s.lastID
+	s.cancels[incarnation][n] = cancel
 	return func() {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		delete(f.cancels[incarnation], n)
-		if len(f.cancels[incarnation]) == 0 {
-			delete(f.cancels, incarnation)
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		delete(s.cancels[incarnation], n)
+		if len(s.cancels[incarnation]) == 0 {
+			delete(s.cancels, incarnation)
 		}
 	}
 }
 
 // cancel cancels the attempts at an incarnation.
-func (f *attemptSet) cancel(incarnation string, cause error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, c := range f.cancels[incarnation] {
+func (s *attemptSet) cancel(incarnation string, cause error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, c := range s.cancels[incarnation] {
 		c(cause)
 	}
 }
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -66,7 +66,7 @@
 // soleLeases holds the leases of a single box, granted at the given time.
 type soleLeases time.Time
 
-func (a soleLeases) Given(_ string, now time.Time) (seconds, part float64) {
+func (a soleLeases) Given(_ string, now time.Time) (seconds, share float64) {
 	return now.Sub(time.Time(a)).Seconds(), 1
 }
 
@@ -193,8 +193,8 @@
 		share, err := strconv.ParseFloat(words[2], 64)
 		require.NoError(s.t, err, at)
 		s.progressUpdates++
-		w := rollout.Progress{Order: s.order, Stage: stages[words[1]], Share: share, Count: s.progressUpdates}
-		s.f.Rollouts.UpdateProgress(map[string]rollout.Progress{"s": w}, boottime.Now())
+		p := rollout.Progress{Order: s.order, Stage: stages[words[1]], Share: share, Count: s.progressUpdates}
+		s.f.Rollouts.UpdateProgress(map[string]rollout.Progress{"s": p}, boottime.Now())
 	case "budget":
 		s.f.Budget = budget.New(budget.Limits{Window: time.Minute})
 	case "call":
@@ -298,12 +298,12 @@
 // Tests that logs and metrics distinguish an endpoint that answered with an error from one that did
 // not answer.
 func TestBreakNames(t *testing.T) {
-	for behave, want := range map[string]string{"error:500": "failed", "reset": "gone"} {
+	for behaviour, want := range map[string]string{"error:500": "failed", "reset": "gone"} {
 		var out bytes.Buffer
 		s := newScript(t)
 		s.f.Log = zerolog.New(&out)
 		s.step([]string{"route", "idempotent", "1"}, "")
-		s.step([]string{"endpoint", "a", behave}, "")
+		s.step([]string{"endpoint", "a", behaviour}, "")
 		s.call()
 		require.Contains(t, out.String(), `"break":"`+want+`"`)
 		require.EqualValues(t, 1, metrics.GetOrRegisterCounter("attempts.broke."+want, s.f.Metrics).Count())
--- a/forward/response.go
+++ b/forward/response.go
@@ -25,19 +25,19 @@
 var errCallerWrite = errors.New("the caller does not read")
 
 // readResponse reads a response and passes it to the sink if it is usable.
-func (r *run) readResponse(a *exchange.Response, n *balance.Attempt, w *watchdog, sent time.Time) attemptResult {
-	o := r.f.Codec.Outcome(a.Status, a.Header)
+func (r *run) readResponse(resp *exchange.Response, n *balance.Attempt, w *watchdog, sent time.Time) attemptResult {
+	o := r.f.Codec.Outcome(resp.Status, resp.Header)
 	r.handleOutcome(o)
 	n.BackOff(o.BackOff, boottime.Now())
 	if o.NotRun {
 		n.Refused(boottime.Now())
-		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxResponseSize))
-		return attemptResult{breakage: recovery.Refused, err: fmt.Errorf("status %d: not run", a.Status)}
+		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseSize))
+		return attemptResult{breakage: recovery.Refused, err: fmt.Errorf("status %d: not run", resp.Status)}
 	}
-	if a.EventStream && a.Status < http.StatusMultipleChoices && r.isStream() {
-		return r.forwardEvents(a, n, w)
+	if resp.EventStream && resp.Status < http.StatusMultipleChoices && r.isStream() {
+		return r.forwardEvents(resp, n, w)
 	}
-	b, err := io.ReadAll(io.LimitReader(a.Body, maxResponseSize+1))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseSize+1))
 	if err == nil && len(b) > maxResponseSize {
 		err = fmt.Errorf("the answer is over %d bytes", maxResponseSize)
 	}
@@ -47,20 +47,20 @@
 	n.Progress(boottime.Now())
 	read := boottime.Now()
 	r.recordStart(sent)
-	if a.Status < http.StatusMultipleChoices {
+	if resp.Status < http.StatusMultipleChoices {
 		n.Answered()
 	}
-	r.recordSurvival(a)
-	if a.Status >= http.StatusInternalServerError {
-		r.keepErrorResponse(a, b)
-		return attemptResult{breakage: recovery.Gone, answered: true, err: fmt.Errorf("status %d", a.Status)}
+	r.recordSurvival(resp)
+	if resp.Status >= http.StatusInternalServerError {
+		r.keepErrorResponse(resp, b)
+		return attemptResult{breakage: recovery.Gone, answered: true, err: fmt.Errorf("status %d", resp.Status)}
 	}
 	if r.headSent {
-		return attemptResult{breakage: recovery.Gone, answered: true, err: fmt.Errorf("status %d in place of the rest of a stream", a.Status)}
+		return attemptResult{breakage: recovery.Gone, answered: true, err: fmt.Errorf("status %d in place of the rest of a stream", resp.Status)}
 	}
 	// Return the connection to the pool before writing to a possibly slow caller.
-	a.Close()
-	if err := r.sink.Whole(a.Status, a.Header, b); err != nil {
+	resp.Close()
+	if err := r.sink.Whole(resp.Status, resp.Header, b); err != nil {
 		return attemptResult{breakage: recovery.Gone, err: fmt.Errorf("%w: %w", errCallerWrite, err)}
 	}
 	out := attemptResult{done: true}
@@ -102,20 +102,20 @@
 	if s.Limit.Limited {
 		metrics.GetOrRegisterCounter("answers.says_limit", r.f.Metrics).Inc(1)
 	}
-	w, changed := r.f.Balancer.Availability.Rates.Observe(e.Incarnation(), s.Limit, boottime.Now())
+	report, changed := r.f.Balancer.Availability.Rates.Observe(e.Incarnation(), s.Limit, boottime.Now())
 	if !changed {
 		return
 	}
-	r.f.Log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.StartMillis).Str("request", r.q.Call.ID).Bool("limited", w.Named).
-		Float64("per_second", w.PerSecond).Str("seen", "it said so in an answer").Msg("takes a rate")
-	r.f.OnLimitChange(w)
+	r.f.Log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.StartMillis).Str("request", r.q.Call.ID).Bool("limited", report.Named).
+		Float64("per_second", report.PerSecond).Str("seen", "it said so in an answer").Msg("takes a rate")
+	r.f.OnLimitChange(report)
 }
 
 // recordSurvival reports to the quarantine that the endpoint ran the request without crashing. An
 // error response does not show that, since the endpoint may not have begun to run the request,
 // nor does a response that ends with its connection, since the endpoint may have crashed.
-func (r *run) recordSurvival(a *exchange.Response) {
-	if a.Status < http.StatusInternalServerError && a.Framed() {
+func (r *run) recordSurvival(resp *exchange.Response) {
+	if resp.Status < http.StatusInternalServerError && resp.Framed() {
 		r.f.Quarantine.RecordAnswer(r.trace.Content, boottime.Now())
 	}
 }
@@ -123,17 +123,17 @@
 // keepErrorResponse stores an endpoint's error response, which is returned if no other attempt
 // succeeds. Status 503 tells the caller that the request did not run, which is not known here, so
 // it is not kept.
-func (r *run) keepErrorResponse(a *exchange.Response, b []byte) {
-	if a.Status == http.StatusServiceUnavailable {
+func (r *run) keepErrorResponse(resp *exchange.Response, b []byte) {
+	if resp.Status == http.StatusServiceUnavailable {
 		return
 	}
-	r.errorResponse = &response{a.Status, a.Header, b}
+	r.errorResponse = &response{resp.Status, resp.Header, b}
 }
 
 // forwardEvents passes complete events to the sink as they arrive. The caller gets the head of
 // the first response that has an event.
-func (r *run) forwardEvents(a *exchange.Response, n *balance.Attempt, w *watchdog) attemptResult {
-	rd := sse.NewReader(a.Body)
+func (r *run) forwardEvents(resp *exchange.Response, n *balance.Attempt, w *watchdog) attemptResult {
+	rd := sse.NewReader(resp.Body)
 	out := attemptResult{breakage: recovery.Gone}
 	for {
 		e, err := rd.Next()
@@ -142,7 +142,7 @@
 				out.err = errors.New("the stream ended before its first event")
 				return out
 			}
-			r.recordSurvival(a)
+			r.recordSurvival(resp)
 			out.done = true
 			return out
 		}
@@ -159,7 +159,7 @@
 		r.recordStart(boottime.Now())
 		if !r.headSent {
 			r.headSent = true
-			if err := r.sink.Head(a.Status, a.Header); err != nil {
+			if err := r.sink.Head(resp.Status, resp.Header); err != nil {
 				out.err = fmt.Errorf("%w: %w", errCallerWrite, err)
 				return out
 			}
--- a/forward/watch.go
+++ b/forward/watch.go
@@ -17,8 +17,8 @@
 // for the time maxSilence. Otherwise a stream at an unreachable endpoint would hang until its
 // caller gives up; without unreachable endpoints the watchdog gains nothing. Before the first event
 // of a call the time is longer by expectedFactor times the expected time to the first event: on a
-// day without failures all 8 endpoints that seemed silent were reading long prompts, which took
-// up to three times the expected time.
+// simulated day without failures, all 8 endpoints that seemed unresponsive were prefilling long
+// prompts, which took up to three times the expected time.
 const (
 	maxSilence     = 1200 * time.Millisecond
 	expectedFactor = 2.0
--- a/placement/hold.go
+++ b/placement/hold.go
@@ -9,7 +9,7 @@
 )
 
 // stopMargin is the ratio of slots to wanted slots that must remain when a box is
-// stopped. The distance from 1 keeps the plan from oscillating.
+// stopped. Its distance from 1 keeps the plan from oscillating.
 const stopMargin = 2.0
 
 // minOnDemandShare is the share of the wanted slots that must be on boxes that are not
--- a/placement/plan_test.go
+++ b/placement/plan_test.go
@@ -104,7 +104,7 @@
 	})
 }
 
-// When a box leaves, only the workloads that it had are loaded elsewhere.
+// When a box drains, only the workloads that it had are loaded elsewhere.
 func TestMovesOnlyLostWorkloads(t *testing.T) {
 	d := models(t, 6, "")
 	es := engines(9)
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -176,12 +176,12 @@
 }
 
 // record stores a plan and logs the unmet requirements that the previous plan did not have.
-func (p *Placer) record(n placement.Plan) {
+func (p *Placer) record(plan placement.Plan) {
 	p.mu.Lock()
 	old := p.plan
-	p.plan = n
+	p.plan = plan
 	p.mu.Unlock()
-	for _, u := range n.Unmet {
+	for _, u := range plan.Unmet {
 		if !slices.Contains(old.Unmet, u) {
 			p.decisions.Note(decisions.Decision{Subject: "placement", Event: "unmet", Workload: u.Workload, Choice: u.Selector, Reason: u.Reason})
 		}
@@ -189,8 +189,8 @@
 }
 
 // apply sends orders to the engines that differ from the plan, and starts and stops boxes.
-func (p *Placer) apply(c context.Context, n placement.Plan, fence uint64) {
-	for _, a := range n.Assignments {
+func (p *Placer) apply(c context.Context, plan placement.Plan, fence uint64) {
+	for _, a := range plan.Assignments {
 		s := p.view.Endpoint(a.Box)
 		if s == nil || sameSet(s.Loaded, a.Workloads) || !p.canOrder(s) {
 			continue
@@ -200,12 +200,12 @@
 	if !p.lease.MayActUnfenced(time.Now(), 0) {
 		return
 	}
-	for _, s := range n.Start {
+	for _, s := range plan.Start {
 		p.startBox(c, s)
 	}
-	if len(n.Stop) > 0 && time.Since(p.lastStop) > stopInterval {
+	if len(plan.Stop) > 0 && time.Since(p.lastStop) > stopInterval {
 		p.lastStop = time.Now()
-		p.stopBox(c, n.Stop[0])
+		p.stopBox(c, plan.Stop[0])
 	}
 }
 
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -32,7 +32,7 @@
 	Canary                // a share of the requests does, small enough for a bad version
 	Ramp                  // a larger share does, to test the version under load
 	Whole                 // all new requests do, while the other versions drain
-	Complete              // the other versions are not needed any more
+	Complete              // the other versions are not needed
 	Reverted              // the version is bad
 )
 
--- a/rollout/policy_test.go
+++ b/rollout/policy_test.go
@@ -16,16 +16,16 @@
 func simulatePolicy(
 	seed uint64, rates func(at time.Duration, share float64) (failed, slow float64),
 ) (stages []rollout.Stage, at []time.Duration, sent int) {
-	chance := rand.New(rand.NewPCG(seed, 0))
+	r := rand.New(rand.NewPCG(seed, 0))
 	p := rollout.Policy{MaxShare: 0.1}
 	o := rollout.Order{Service: "s", Version: "v2", Duration: 12 * time.Second, Revision: 1}
 	e := rollout.Evidence{Revision: 1, Routes: map[string]rollout.RouteCounts{}}
 	stage, since := rollout.Closed, time.Duration(0)
 	count := func(c *rollout.Counts, failed, slow float64) {
 		c.Answers++
-		if chance.Float64() < failed {
+		if r.Float64() < failed {
 			c.Failed++
-		} else if chance.Float64() < slow {
+		} else if r.Float64() < slow {
 			c.Slow++
 		}
 	}
@@ -33,7 +33,7 @@
 	for t := time.Duration(0); t < o.Duration && !stage.Final(); t += interval {
 		share := rollout.Share(stage, p.MaxShare)
 		counts := e.Routes["r"]
-		if chance.Float64() < share {
+		if r.Float64() < share {
 			failed, slow := rates(t, share)
 			count(&counts.New, failed, slow)
 			sent++
--- a/scaling/plan.go
+++ b/scaling/plan.go
@@ -22,14 +22,14 @@
 
 // Demand is the load that the boxes of one data centre have to carry for a service.
 type Demand struct {
-	// Tokens is the number of prompt tokens to read per second, and Running the number
+	// Tokens is the number of prompt tokens to prefill per second, and Running the number
 	// of requests under way.
 	Tokens  float64
 	Running float64
 }
 
 // Policy holds the parameters of the decision. The scores in the comments of its fields
-// are means over five days of load with failures.
+// are means over five simulated days with failures.
 type Policy struct {
 	// Surplus is the ratio of reclaimable endpoints to those that the load needs, after
 	// the loss of those of one data centre. They cost a fifth of the price on demand. A
@@ -75,12 +75,12 @@
 
 // LateShareOnDemand is the share of requests that may be late at on-demand endpoints,
 // whatever routing sees. On-demand endpoints cost several times as much as reclaimable ones,
-// but carry the load while those are not available: with 0.25 the score of a day falls by
-// 0.02 to 0.08 if all reclaimable endpoints are reclaimed.
+// but carry the load while those are not available: with 0.25 the score of a simulated day
+// falls by 0.02 to 0.08 if all reclaimable endpoints are reclaimed.
 const LateShareOnDemand = 0.15
 
-// LateShareFor returns the share of requests that may be late by an estimate that assumes
-// that routing sees no prompts of other boxes. Unobserved is the fraction of those prompts that
+// LateShareFor returns the share of late requests to allow in an estimate that assumes that
+// routing sees no prompts of other boxes. Unobserved is the fraction of those prompts that
 // routing does not see. The share grows as unobserved falls, since routing then avoids a part of
 // the estimated waits.
 func LateShareFor(unobserved float64) float64 { return lateShare / (1 - avoidableShare*(1-unobserved)) }
@@ -221,9 +221,9 @@
 
 func ceil(f float64) int { return int(math.Ceil(f)) }
 
-// endpointsFor returns how many endpoints a load needs if each sustains b.
-func endpointsFor(d Demand, b estimate.Capacity) int {
-	return ceil(max(d.Tokens/max(b.TokensPerSecond, 1), d.Running/max(b.Running, 1)))
+// endpointsFor returns how many endpoints a load needs if each sustains c.
+func endpointsFor(d Demand, c estimate.Capacity) int {
+	return ceil(max(d.Tokens/max(c.TokensPerSecond, 1), d.Running/max(c.Running, 1)))
 }
 
 // DataCentres returns the data centres in which a service can be ordered, which are those
--- a/scaling/plan_test.go
+++ b/scaling/plan_test.go
@@ -19,8 +19,8 @@
 
 // equalCapacity returns the same capacity for both kinds of endpoints.
 func equalCapacity(tokens float64) scaling.Capacity {
-	b := estimate.Capacity{TokensPerSecond: tokens, Running: 40}
-	return scaling.Capacity{Reclaimable: b, OnDemand: b}
+	c := estimate.Capacity{TokensPerSecond: tokens, Running: 40}
+	return scaling.Capacity{Reclaimable: c, OnDemand: c}
 }
 
 // sites returns three data centres that each have the same demand, one on-demand endpoint
@@ -59,7 +59,7 @@
 	require.Equal(t, 12, r)
 }
 
-// Starting endpoints count as capacity unless the cloud has no more reclaimable ones, so
+// Starting endpoints count as capacity unless the cloud has no reclaimable ones left, so
 // that fewer on-demand endpoints are added while they start.
 func TestStartingEndpointsCount(t *testing.T) {
 	d, _ := total(scaling.Default.Plan(service, sites(30000, 0), capacity))
@@ -118,13 +118,13 @@
 		s[i].SinceReclaim = time.Second
 	}
 	equal, _ := total(scaling.Default.Plan(service, s, capacity))
-	b := capacity
-	b.OnDemand.TokensPerSecond *= 1.4
-	fewer, _ := total(scaling.Default.Plan(service, s, b))
+	c := capacity
+	c.OnDemand.TokensPerSecond *= 1.4
+	fewer, _ := total(scaling.Default.Plan(service, s, c))
 	require.Less(t, fewer, equal)
 }
 
-// Running requests count as load even if there are no prompt tokens to read.
+// Running requests count as load even if there are no prompt tokens to prefill.
 func TestRunningRequestsCount(t *testing.T) {
 	s := sites(0, 3)
 	for i := range s {
