--- a/admission/service.go
+++ b/admission/service.go
@@ -153,8 +153,8 @@
 	return Limits{Slots: c.EngineSlots * c.RetainedShare / here, PlainSlots: c.ServiceSlots / here, RateShare: a.rateShare(account, here) * here / all}
 }
 
-// rateShare returns this box's share of the data centre's part of the account's rate. It is
-// proportional to demand, but at least a quarter of an equal share.
+// rateShare returns this box's fraction of the data centre's share of the account's rate. The
+// fraction is proportional to demand, but at least a quarter of an equal one.
 func (a *Admission) rateShare(account string, boxes float64) float64 {
 	const minShareDivisor = 4
 	a.mu.Lock()
@@ -171,8 +171,8 @@
 	return max(own/sum, 1/(minShareDivisor*boxes))
 }
 
-// Demand returns the demand at this box, to be reported to other boxes.
-func (a *Admission) Demand() Demand {
+// LocalDemand returns the demand at this box, to be reported to other boxes.
+func (a *Admission) LocalDemand() Demand {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.decay(time.Now())
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -147,7 +147,7 @@
 		DecodeConfig: platform.DecodeDocument, DecodeEndpoint: platform.DecodeEndpoint, DecodeOrder: platform.DecodeOrder,
 	}, st, log)
 	p.known.OnOrders = p.gossip.BroadcastOrders
-	p.gossip.Rollouts.Random = rand.Float64
+	p.gossip.Rollouts.Rand = rand.Float64
 	p.known.DeferWatch = true
 	p.known.Roster.Box, p.known.Roster.DataCentre = s.Box, s.DataCentre
 	p.quota.Incarnation = p.incarnation
--- a/daemon/tell.go
+++ b/daemon/tell.go
@@ -30,7 +30,7 @@
 		}
 		return gossip.Status{
 			Box: s.Box, DataCentre: s.DataCentre, Address: s.Peers, Version: v,
-			Words: p.rollouts.CurrentProgress(), Evidence: p.gossip.Rollouts.Evidence(),
+			Words: p.rollouts.CurrentProgress(), Evidence: p.gossip.Rollouts.LocalEvidence(),
 			Load: p.book.OwnLoad(), Failing: p.book.FailureReport(now), Demand: d, Speeds: p.book.OwnStats(now),
 			Usage: []tally.Report{p.tally.Recent(s.Box+"."+p.incarnation, p.tally.WindowAt(p.clock.At(now))-toldWindows)},
 		}
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -50,7 +50,7 @@
 	members   *member.Service
 	peers     *peer.Node
 	claims    *claims.Service
-	keeper    *stream.Service
+	streams   *stream.Service
 	proxy     *plain.Proxy
 	admission *admission.Admission
 	decisions *decisions.Log
@@ -71,7 +71,7 @@
 		kernel.Bind(k, member.Name, &d.members),
 		kernel.Bind(k, peer.Name, &d.peers),
 		kernel.Bind(k, claims.Name, &d.claims),
-		kernel.Bind(k, stream.Name, &d.keeper),
+		kernel.Bind(k, stream.Name, &d.streams),
 		kernel.Bind(k, plain.Name, &d.proxy),
 		kernel.Bind(k, admission.Name, &d.admission),
 		kernel.Bind(k, decisions.Name, &d.decisions),
@@ -141,9 +141,9 @@
 // startStream starts the stream of a chat call, in this data centre or in another one.
 func (d *Dispatcher) startStream(q Call, remote bool) *stream.Stream {
 	if remote {
-		return d.keeper.RunRemote(*q.Chat)
+		return d.streams.RunRemote(*q.Chat)
 	}
-	return d.keeper.Run(*q.Chat)
+	return d.streams.Run(*q.Chat)
 }
 
 // admit asks admission control for a call. A chat call that is refused for lack of capacity in
@@ -152,7 +152,7 @@
 func (d *Dispatcher) admit(q Call) (release func(), remote bool, err error) {
 	release, err = d.admission.Enter(q.admission())
 	n := decisions.Decision{Subject: q.id(), Event: "admit", Choice: "accepted"}
-	if errkind.Is(err, errkind.Overloaded) && q.Chat != nil && d.keeper.HasRemote() {
+	if errkind.Is(err, errkind.Overloaded) && q.Chat != nil && d.streams.HasRemote() {
 		n.Choice, n.Reason = "abroad", err.Error()
 		release, remote, err = func() {}, true, nil
 	}
@@ -174,7 +174,7 @@
 	err := s.Read(c, 0, each)
 	var m *stream.MovedError
 	if errors.As(err, &m) {
-		return d.keeper.ReadAnywhere(c, s.ID, s.Account, next, each)
+		return d.streams.ReadAnywhere(c, s.ID, s.Account, next, each)
 	}
 	return err
 }
--- a/dispatch/handover.go
+++ b/dispatch/handover.go
@@ -139,7 +139,7 @@
 	if s.Whole {
 		return nil
 	}
-	return d.keeper.ReadAnywhere(c, s.ID, s.Account, len(s.Tokens), func(i int, t string) error {
+	return d.streams.ReadAnywhere(c, s.ID, s.Account, len(s.Tokens), func(i int, t string) error {
 		return sink(Item{Index: i, Token: t})
 	})
 }
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -153,13 +153,13 @@
 }
 
 // body records in its Response when the end of the body has been read.
-type body struct{ a *Response }
+type body struct{ response *Response }
 
 // Read reads from the body of the response.
 func (b *body) Read(p []byte) (int, error) {
-	n, err := b.a.raw.Body.Read(p)
+	n, err := b.response.raw.Body.Read(p)
 	if errors.Is(err, io.EOF) {
-		b.a.complete = true
+		b.response.complete = true
 	}
 	return n, err
 }
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -53,11 +53,11 @@
 		n.End(c.Err() == nil && !notSent, boottime.Now())
 		switch {
 		case unreachable:
-			return attemptResult{breakage: recovery.Unreachable, err: err}
+			return attemptResult{interruption: recovery.Unreachable, err: err}
 		case notSent:
-			return attemptResult{breakage: recovery.NeverSeen, err: err}
+			return attemptResult{interruption: recovery.NeverSeen, err: err}
 		}
-		return attemptResult{breakage: recovery.Gone, err: cancelCause(x, err)}
+		return attemptResult{interruption: recovery.Gone, err: cancelCause(x, err)}
 	}
 	defer resp.Close()
 	r.trace.ResponseTime = boottime.Since(sent)
--- a/forward/crash.go
+++ b/forward/crash.go
@@ -18,7 +18,7 @@
 	case errors.Is(out.err, syscall.ECONNREFUSED):
 		r.reportCrash(e)
 		return
-	case out.breakage != recovery.Gone || out.answered || c.Err() != nil:
+	case out.interruption != recovery.Gone || out.answered || c.Err() != nil:
 		return
 	}
 	if errors.Is(out.err, errReplaced) {
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -74,7 +74,7 @@
 type recorder struct {
 	status int
 	body   string
-	heads  int // calls of Head and Whole
+	heads  int // calls of Head and Response
 }
 
 func (a *recorder) Head(status int, _ http.Header) error {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-func (a *recorder) Whole(status int, _ http.Header, body []byte) error {
+func (a *recorder) Response(status int, _ http.Header, body []byte) error {
 	a.status, a.body = status, string(body)
 	a.heads++
 	return nil
@@ -194,7 +194,7 @@
 		require.NoError(s.t, err, at)
 		s.progressUpdates++
 		p := rollout.Progress{Order: s.order, Stage: stages[words[1]], Share: share, Count: s.progressUpdates}
-		s.f.Rollouts.UpdateProgress(map[string]rollout.Progress{"s": p}, boottime.Now())
+		s.f.Rollouts.MergeReports(map[string]rollout.Progress{"s": p}, boottime.Now())
 	case "budget":
 		s.f.Budget = budget.New(budget.Limits{Window: time.Minute})
 	case "call":
@@ -297,7 +297,7 @@
 
 // Tests that logs and metrics distinguish an endpoint that answered with an error from one that did
 // not answer.
-func TestBreakNames(t *testing.T) {
+func TestInterruptionNames(t *testing.T) {
 	for behaviour, want := range map[string]string{"error:500": "failed", "reset": "gone"} {
 		var out bytes.Buffer
 		s := newScript(t)
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -37,11 +37,11 @@
 }
 
 // Sink receives a response. For a stream of events, Head is called once before the first Event. For
-// any other response, Whole is called instead.
+// any other response, Response is called instead.
 type Sink interface {
 	Head(status int, h http.Header) error
 	Event(raw []byte) error
-	Whole(status int, h http.Header, body []byte) error
+	Response(status int, h http.Header, body []byte) error
 }
 
 // Request is a call with its configuration.
@@ -75,7 +75,7 @@
 type DrainFunc func(e endpoint.Endpoint)
 
 // LimitFunc is called when an endpoint sets, lowers or removes the limit on its request rate.
-type LimitFunc func(w stated.Statement)
+type LimitFunc func(s stated.Statement)
 
 // Forwarder forwards requests. All exported fields must be set.
 type Forwarder struct {
--- a/forward/response.go
+++ b/forward/response.go
@@ -32,7 +32,7 @@
 	if o.NotRun {
 		n.Refused(boottime.Now())
 		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseSize))
-		return attemptResult{breakage: recovery.Refused, err: fmt.Errorf("status %d: not run", resp.Status)}
+		return attemptResult{interruption: recovery.Refused, err: fmt.Errorf("status %d: not run", resp.Status)}
 	}
 	if resp.EventStream && resp.Status < http.StatusMultipleChoices && r.isStream() {
 		return r.forwardEvents(resp, n, w)
@@ -42,7 +42,7 @@
 		err = fmt.Errorf("the answer is over %d bytes", maxResponseSize)
 	}
 	if err != nil {
-		return attemptResult{breakage: recovery.Gone, err: fmt.Errorf("the answer was cut: %w", err)}
+		return attemptResult{interruption: recovery.Gone, err: fmt.Errorf("the answer was cut: %w", err)}
 	}
 	n.Progress(boottime.Now())
 	read := boottime.Now()
@@ -53,15 +53,15 @@
 	r.recordSurvival(resp)
 	if resp.Status >= http.StatusInternalServerError {
 		r.keepErrorResponse(resp, b)
-		return attemptResult{breakage: recovery.Gone, answered: true, err: fmt.Errorf("status %d", resp.Status)}
+		return attemptResult{interruption: recovery.Gone, answered: true, err: fmt.Errorf("status %d", resp.Status)}
 	}
 	if r.headSent {
-		return attemptResult{breakage: recovery.Gone, answered: true, err: fmt.Errorf("status %d in place of the rest of a stream", resp.Status)}
+		return attemptResult{interruption: recovery.Gone, answered: true, err: fmt.Errorf("status %d in place of the rest of a stream", resp.Status)}
 	}
 	// Return the connection to the pool before writing to a possibly slow caller.
 	resp.Close()
-	if err := r.sink.Whole(resp.Status, resp.Header, b); err != nil {
-		return attemptResult{breakage: recovery.Gone, err: fmt.Errorf("%w: %w", errCallerWrite, err)}
+	if err := r.sink.Response(resp.Status, resp.Header, b); err != nil {
+		return attemptResult{interruption: recovery.Gone, err: fmt.Errorf("%w: %w", errCallerWrite, err)}
 	}
 	out := attemptResult{done: true}
 	out.recordEvent(read)
@@ -134,7 +134,7 @@
 // the first response that has an event.
 func (r *run) forwardEvents(resp *exchange.Response, n *balance.Attempt, w *watchdog) attemptResult {
 	rd := sse.NewReader(resp.Body)
-	out := attemptResult{breakage: recovery.Gone}
+	out := attemptResult{interruption: recovery.Gone}
 	for {
 		e, err := rd.Next()
 		if errors.Is(err, io.EOF) {
--- a/forward/run.go
+++ b/forward/run.go
@@ -20,8 +20,8 @@
 
 // A request fails after maxFailedDials endpoints that it could not reach, or maxRefusedDials that
 // refused its connection. An unreachable endpoint costs a quarter of a second, a refusal one round
-// trip. With 3 for both, 7% of the requests failed for want of an endpoint while 39 endpoints, of a
-// dozen at a time, crashed within 17 s.
+// trip. With 3 for both, 7% of the requests failed for lack of an endpoint when 39 endpoints crashed
+// within 17 s and a dozen were in use at a time.
 const (
 	maxFailedDials  = 3
 	maxRefusedDials = 12
@@ -75,11 +75,11 @@
 
 // attemptResult is the result of an attempt.
 type attemptResult struct {
-	breakage recovery.Interruption
-	err      error
-	done     bool // the sink has received the complete response
-	advanced bool // the attempt added events to the caller's stream
-	answered bool // the endpoint sent a complete response that can't be used
+	interruption recovery.Interruption
+	err          error
+	done         bool // the sink has received the complete response
+	advanced     bool // the attempt added events to the caller's stream
+	answered     bool // the endpoint sent a complete response that can't be used
 
 	// The times of the first and the last event and their number. A response that is not a stream
 	// counts as one event.
@@ -96,13 +96,13 @@
 	e.eventCount++
 }
 
-// breakName returns the name of the break in logs and metrics. An endpoint that answered with an
-// error is not gone, although recovery treats both alike.
-func (e attemptResult) breakName() string {
+// interruptionName returns the name of the interruption in logs and metrics. An endpoint that
+// answered with an error is not gone, although recovery treats both alike.
+func (e attemptResult) interruptionName() string {
 	if e.answered {
 		return "failed"
 	}
-	return e.breakage.String()
+	return e.interruption.String()
 }
 
 // step makes one attempt. It reports whether the sink has received the complete response. An error
@@ -139,16 +139,16 @@
 	}
 	r.recordFailure(out, e)
 	r.checkCrash(c, out, e)
-	metrics.GetOrRegisterCounter("attempts.broke."+out.breakName(), r.f.Metrics).Inc(1)
+	metrics.GetOrRegisterCounter("attempts.broke."+out.interruptionName(), r.f.Metrics).Inc(1)
 	d := recovery.Decide(recovery.State{
-		Interruption: out.breakage, Repeatable: r.q.Route.Repeatable(), Reattaches: recovery.MaxReattaches,
+		Interruption: out.interruption, Repeatable: r.q.Route.Repeatable(), Reattaches: recovery.MaxReattaches,
 		Attempts:   r.countAttempts() + (max(r.failedDials-maxFailedDials+1, 0)+max(r.refusedDials-maxRefusedDials+1, 0))*recovery.MaxAttempts,
 		MayHaveRun: r.mayHaveRun, Expired: r.isExpired(c), MaxAttempts: r.maxAttempts(),
-		HasBudget:       out.breakage == recovery.Unreachable || out.breakage == recovery.NeverSeen || r.f.Budget.Allowed(r.q.Service.Name, boottime.Now()),
+		HasBudget:       out.interruption == recovery.Unreachable || out.interruption == recovery.NeverSeen || r.f.Budget.Allowed(r.q.Service.Name, boottime.Now()),
 		ChargesRefusals: true,
 	})
 	r.f.Log.Info().Str("event", "attempt broke").Str("request", r.q.Call.ID).Stringer("content", r.trace.Content).Str("endpoint", e.ID).
-		Int("attempt", len(r.reached)).Str("break", out.breakName()).Str("last_event", r.lastEventID).Bool("ran", r.mayHaveRun).Err(out.err).
+		Int("attempt", len(r.reached)).Str("break", out.interruptionName()).Str("last_event", r.lastEventID).Bool("ran", r.mayHaveRun).Err(out.err).
 		Str("reason", d.Reason).Func(r.trace.marshalReported).Msg("decision")
 	if d.Step == recovery.Failover {
 		return false, nil
@@ -161,11 +161,11 @@
 	switch {
 	case errors.Is(out.err, syscall.ECONNREFUSED):
 		r.refusedDials++
-	case out.breakage == recovery.Unreachable:
+	case out.interruption == recovery.Unreachable:
 		r.failedDials++
 		r.f.Balancer.Avoid(e, boottime.Now())
-	case out.breakage == recovery.NeverSeen:
-	case out.breakage == recovery.Refused:
+	case out.interruption == recovery.NeverSeen:
+	case out.interruption == recovery.Refused:
 		r.reached = append(r.reached, reachedEndpoint{endpoint: e})
 	default:
 		r.reached = append(r.reached, reachedEndpoint{e, out.answered})
@@ -179,8 +179,8 @@
 }
 
 // countAttempts returns the number of attempts that count against the limit of the request.
-// Endpoints that left without an answer do not count: their work is lost in any case. From
-// recovery.MaxAttempts on, all count.
+// Endpoints that drained or were replaced without an answer do not count: their work is lost in
+// any case. From recovery.MaxAttempts on, all count.
 func (r *run) countAttempts() int {
 	if len(r.reached) >= recovery.MaxAttempts {
 		return recovery.MaxAttempts
@@ -216,7 +216,7 @@
 	if r.errorResponse != nil && !r.headSent {
 		r.f.Log.Info().Str("event", "answer").Str("request", r.q.Call.ID).Int("status", r.errorResponse.status).Str("reason", reason).
 			Msg("returning the endpoint's error response")
-		if err := r.sink.Whole(r.errorResponse.status, r.errorResponse.header, r.errorResponse.body); err != nil {
+		if err := r.sink.Response(r.errorResponse.status, r.errorResponse.header, r.errorResponse.body); err != nil {
 			return false, errkind.New(errkind.CallerGone, "the caller left: %w", err)
 		}
 		return true, nil
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -109,7 +109,7 @@
 		return gossip.Status{
 			Box: name, DataCentre: dc, Address: a, Version: v,
 			Speeds: map[string]estimate.Stats{"s": {Moments: [5]float64{1}}}, Load: map[string]balance.Load{"x": {Running: 1, Tokens: 10}},
-			Failing: map[string]balance.CallCounts{"x": {Total: 2, Failed: 1}}, Evidence: b.Rollouts.Evidence(),
+			Failing: map[string]balance.CallCounts{"x": {Total: 2, Failed: 1}}, Evidence: b.Rollouts.LocalEvidence(),
 		}
 	}
 	b.OnRound = func(others gossip.Status) {
--- a/gossip/news.go
+++ b/gossip/news.go
@@ -154,7 +154,7 @@
 	if g.Rollouts.SetOrders(in.Orders) {
 		fresh.Orders = in.Orders
 	}
-	fresh.Words = g.Rollouts.UpdateProgress(in.Words, boottime.Now())
+	fresh.Words = g.Rollouts.MergeReports(in.Words, boottime.Now())
 	switch {
 	case fresh.isEmpty() || !g.holdsSlot():
 	case in.Relay:
--- a/gossip/relay.go
+++ b/gossip/relay.go
@@ -80,7 +80,7 @@
 	g.Quarantine.Merge(in.Suspects, now)
 	g.mergeLeavers(in.Leavers)
 	g.mergeRates(in.Rates.Words)
-	g.Rollouts.UpdateProgress(in.Words, now)
+	g.Rollouts.MergeReports(in.Words, now)
 	in.Suspects, in.Leavers.Incarnations, in.Rates.Words = nil, nil, nil
 	isRelay := g.holdsSlot()
 	represented := isRelay && in.Relay == g.Box
--- a/gossip/rollouts.go
+++ b/gossip/rollouts.go
@@ -16,12 +16,12 @@
 // BroadcastProgress notifies the other boxes immediately of the progress of rollouts. Until they know
 // that a version is bad, they keep sending it requests.
 func (g *Gossip) BroadcastProgress(progress map[string]rollout.Progress) {
-	g.Rollouts.UpdateProgress(progress, boottime.Now())
+	g.Rollouts.MergeReports(progress, boottime.Now())
 	g.notify(notification{Words: progress})
 }
 
 // mergeRollouts takes in what another box reports in a round.
 func (g *Gossip) mergeRollouts(o rollout.Orders, progress map[string]rollout.Progress) {
 	g.Rollouts.SetOrders(o)
-	g.Rollouts.UpdateProgress(progress, boottime.Now())
+	g.Rollouts.MergeReports(progress, boottime.Now())
 }
--- a/gossip/rollouts_test.go
+++ b/gossip/rollouts_test.go
@@ -36,8 +36,8 @@
 	b.Rollouts.RecordAnswer("s", "r", "v2", true, false)
 	bs[0].Rollouts.RecordAnswer("s", "r", "v1", false, true)
 	waitUntil(t, func() bool {
-		e := rollout.AddEvidence(b.Rollouts.Evidence(), b.othersTotal().Evidence)["s"].Routes["r"]
-		f := rollout.AddEvidence(relay.Rollouts.Evidence(), relay.othersTotal().Evidence)["s"].Routes["r"]
+		e := rollout.AddEvidence(b.Rollouts.LocalEvidence(), b.othersTotal().Evidence)["s"].Routes["r"]
+		f := rollout.AddEvidence(relay.Rollouts.LocalEvidence(), relay.othersTotal().Evidence)["s"].Routes["r"]
 		return e.New.Failed == 1 && f.New.Failed == 1 && f.Old.Slow == 1
 	})
 	b.BroadcastProgress(map[string]rollout.Progress{"s": {Order: o, Stage: rollout.Reverted, Fence: 1, Count: 1}})
--- a/ingress/sink.go
+++ b/ingress/sink.go
@@ -41,7 +41,7 @@
 }
 
 // Whole writes a complete response.
-func (s *sink) Whole(status int, h http.Header, body []byte) error {
+func (s *sink) Response(status int, h http.Header, body []byte) error {
 	s.copyHeader(h)
 	s.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	s.headSent, s.status = true, status
--- a/observer/observer.go
+++ b/observer/observer.go
@@ -326,7 +326,7 @@
 	}
 	full := o.factsChanged || o.pushCount%fullPushEvery == 0
 	if o.pushCount%demandPushEvery == 0 {
-		p.Demand = o.demandSource.Demand()
+		p.Demand = o.demandSource.LocalDemand()
 	}
 	o.pushCount++
 	o.factsChanged = false
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -40,15 +40,15 @@
 	// appear. An order can be lost together with its answer.
 	reorderDelay = 8 * time.Second
 
-	// observationPeriod is for how long there must have been demand before it determines
+	// observationPeriod is the time for which there must have been demand before it determines
 	// the counts.
 	observationPeriod = 3 * time.Second
 )
 
 // A smaller count is ordered after it has been wanted for one of these delays. Reclaimable
 // endpoints have the longer one, since they cost a fifth of the price on demand and every
-// replacement has to read its prompts again. Without delays the score of a day is lower by
-// 0.10 to 0.13.
+// replacement has to prefill the prompts again. Without delays the score of a simulated day is
+// lower by 0.10 to 0.13.
 const (
 	scaleDownDelayOnDemand    = 1500 * time.Millisecond
 	scaleDownDelayReclaimable = 12 * time.Second
@@ -57,24 +57,24 @@
 // If there are more than surplusFactor times as many reclaimable endpoints as wanted, those
 // beyond that are given up after surplusDelay. The remaining ones cover a load that doubles
 // while others start. Wanted counts that differ by less than countTolerance, as a fraction,
-// are taken for equal, since a count of hundreds never stands still.
+// are considered equal, since a count in the hundreds changes continuously.
 const (
 	surplusFactor  = 2
 	surplusDelay   = scaleDownDelayOnDemand
 	countTolerance = 0.1
 )
 
-// partitionTimeout is for how long a data centre that does not report its demand is taken
-// to be partitioned. Partitions last up to 12 s.
+// partitionTimeout is the time for which a data centre that does not report its demand is
+// assumed to be partitioned. Partitions last up to 12 s.
 const partitionTimeout = 20 * time.Second
 
-// maxLoggedAge is the largest time since a reclaim that is logged. It stands for no reclaim
-// at all.
+// maxLoggedAge is the largest time since a reclaim that is logged. It is also logged if there
+// was no reclaim.
 const maxLoggedAge = time.Hour
 
-// Orders is the scaling service of one box. It orders only while the box holds the lease.
-// Its exported fields must be set before it starts.
-type Orders struct {
+// Autoscaler is the scaling service of one box. It orders endpoints only while the box holds
+// the lease. Its exported fields must be set before it starts.
+type Autoscaler struct {
 	Box      string
 	Cloud    cloudapi.Cloud
 	Election *election.Election
@@ -134,10 +134,10 @@
 	since   time.Time
 }
 
-// New returns a service whose exported fields have yet to be set. Limited has a default:
+// New returns an Autoscaler whose exported fields have yet to be set. Limited has a default:
 // no endpoint is limited.
-func New(log zerolog.Logger) *Orders {
-	return &Orders{
+func New(log zerolog.Logger) *Autoscaler {
+	return &Autoscaler{
 		log: log, Limited: func(endpoint.Endpoint) bool { return false },
 		reclaimStart: map[string]time.Time{}, demandSince: map[string]time.Time{}, initialCount: map[string]int{},
 		scaleDowns: map[pool]scaleDown{}, lastReport: map[serviceSite]time.Time{},
@@ -145,110 +145,110 @@
 }
 
 // Name returns [Name].
-func (o *Orders) Name() string { return Name }
+func (a *Autoscaler) Name() string { return Name }
 
-// Start binds the services that Orders needs from k and begins to scale the fleet.
-func (o *Orders) Start(_ context.Context, k *kernel.Kernel) error {
-	if err := kernel.Bind(k, known.Name, &o.known); err != nil {
+// Start binds the services that the autoscaler needs from k and begins to scale the fleet.
+func (a *Autoscaler) Start(_ context.Context, k *kernel.Kernel) error {
+	if err := kernel.Bind(k, known.Name, &a.known); err != nil {
 		return err
 	}
 	c, cancel := context.WithCancel(context.Background())
-	o.cancel = cancel
-	o.group.Go(func() { o.run(c) })
+	a.cancel = cancel
+	a.group.Go(func() { a.run(c) })
 	return nil
 }
 
 // Stop ends the scaling and waits until an order under way has ended.
-func (o *Orders) Stop(context.Context) error {
-	o.cancel()
-	o.group.Wait()
+func (a *Autoscaler) Stop(context.Context) error {
+	a.cancel()
+	a.group.Wait()
 	return nil
 }
 
-func (o *Orders) run(c context.Context) {
+func (a *Autoscaler) run(c context.Context) {
 	for c.Err() == nil {
 		wait.For(c, pollInterval)
-		t := o.known.Table()
-		fence, ok := o.Election.UseFence()
-		if !ok || t == nil || !o.known.Ready() {
+		t := a.known.Table()
+		fence, ok := a.Election.UseFence()
+		if !ok || t == nil || !a.known.Ready() {
 			continue
 		}
-		if fence != o.fence {
-			o.fence, o.lastOrders = fence, map[pool]lastOrder{}
-			o.scaleDowns = map[pool]scaleDown{}
+		if fence != a.fence {
+			a.fence, a.lastOrders = fence, map[pool]lastOrder{}
+			a.scaleDowns = map[pool]scaleDown{}
 		}
 		for i := range t.Document.Services {
 			if s := &t.Document.Services[i]; s.Scaling != nil {
-				o.scaleService(c, s)
+				a.scaleService(c, s)
 			}
 		}
 	}
 }
 
 // scaleService computes the counts of one service and orders those that differ.
-func (o *Orders) scaleService(c context.Context, s *catalog.Service) {
+func (a *Autoscaler) scaleService(c context.Context, s *catalog.Service) {
 	now := boottime.Now()
-	all := o.known.Roster.All()
-	load := o.Demand(s.Name)
-	serving := o.known.Roster.Serving(s.Name)
-	limited := slices.DeleteFunc(slices.Clone(serving), func(e endpoint.Endpoint) bool { return !o.Limited(e) })
+	all := a.known.Roster.All()
+	load := a.Demand(s.Name)
+	serving := a.known.Roster.Serving(s.Name)
+	limited := slices.DeleteFunc(slices.Clone(serving), func(e endpoint.Endpoint) bool { return !a.Limited(e) })
 	dcs := scaling.DataCentres(s.Scaling)
 	sites := make([]scaling.Site, 0, len(dcs))
 	partitioned := map[string]bool{}
 	for _, dc := range dcs {
-		f, reported := load[dc]
-		partitioned[dc] = o.isPartitioned(serviceSite{s.Name, dc}, reported, now)
+		stats, reported := load[dc]
+		partitioned[dc] = a.isPartitioned(serviceSite{s.Name, dc}, reported, now)
 		site := scaling.Site{
-			DataCentre: dc, Demand: scaling.Demand{Tokens: f.Tokens, Running: f.Running},
+			DataCentre: dc, Demand: scaling.Demand{Tokens: stats.Tokens, Running: stats.Running},
 			Have: scaling.CountEndpoints(serving, dc), Limited: scaling.CountEndpoints(limited, dc),
-			OutOfSupply: o.lastOrders[pool{s.Name, dc, true}].outOfSupply,
+			OutOfSupply: a.lastOrders[pool{s.Name, dc, true}].outOfSupply,
 		}
 		if !partitioned[dc] {
-			o.detectReclaim(all, s.Name, site, now)
+			a.detectReclaim(all, s.Name, site, now)
 		}
-		site.SinceReclaim = now.Sub(o.reclaimStart[dc])
+		site.SinceReclaim = now.Sub(a.reclaimStart[dc])
 		sites = append(sites, site)
 	}
-	policy := o.Policy
+	policy := a.Policy
 	replacing := false // the initial fleet is being replaced while its load is unknown
-	if !o.demandKnown(s.Name, load, now) {
+	if !a.demandKnown(s.Name, load, now) {
 		// The initial fleet is assumed to carry the load, so only its replacement is ordered.
-		initial := o.initialSize(s.Name, sites)
+		initial := a.initialSize(s.Name, sites)
 		policy.MinEndpoints, policy.Surplus = max(policy.MinEndpoints, initial), 1
 		replacing = initial > 0
 	}
 	if replacing {
-		// The load may be known before the speed of the endpoints. Using it in the first
-		// second orders 33 endpoints too many for 12 s.
+		// The load may be known before the speed of the endpoints. Planning with it in the
+		// first second orders 33 endpoints too many for 12 s.
 		for i := range sites {
 			sites[i].Demand = scaling.Demand{}
 		}
 	}
-	capacity := o.Capacity(s.Name, minSlots(all, s), estimate.PauseTarget(o.known.Table().Document, s.Name))
+	capacity := a.Capacity(s.Name, minSlots(all, s), estimate.PauseTarget(a.known.Table().Document, s.Name))
 	plan := policy.Plan(s.Scaling, sites, capacity)
 	for _, site := range sites {
 		if partitioned[site.DataCentre] {
 			continue
 		}
 		counts := plan[site.DataCentre]
-		o.adjust(c, pool{s.Name, site.DataCentre, true}, counts.Reclaimable, site, capacity, false)
-		o.adjust(c, pool{s.Name, site.DataCentre, false}, counts.OnDemand, site, capacity, replacing)
+		a.adjust(c, pool{s.Name, site.DataCentre, true}, counts.Reclaimable, site, capacity, false)
+		a.adjust(c, pool{s.Name, site.DataCentre, false}, counts.OnDemand, site, capacity, replacing)
 	}
 }
 
 // adjust orders a count for a pool if it differs from the last order. A smaller count is
 // ordered after it has been wanted for some time, or at once if atOnce is set, as the load
 // cannot swing while the initial fleet is replaced.
-func (o *Orders) adjust(c context.Context, p pool, n int, site scaling.Site, capacity scaling.Capacity, atOnce bool) {
+func (a *Autoscaler) adjust(c context.Context, p pool, n int, site scaling.Site, capacity scaling.Capacity, atOnce bool) {
 	now := boottime.Now()
-	last, ordered := o.lastOrders[p]
+	last, ordered := a.lastOrders[p]
 	have := site.Have.OnDemand
 	if p.reclaimable {
 		have = site.Have.Reclaimable
 	}
 	lower := n < max(last.count, have)
 	if !lower {
-		delete(o.scaleDowns, p)
+		delete(a.scaleDowns, p)
 	}
 	switch {
 	case ordered && last.outOfSupply && now.Sub(last.at) < supplyRetryDelay:
@@ -257,61 +257,61 @@
 		return
 	}
 	// An order for endpoints that are not available now is lowered at once, since it would
-	// reserve room that other endpoints can use.
+	// reserve capacity that other endpoints can use.
 	unavailable := p.reclaimable && have == 0 && (last.outOfSupply || last.reclaiming)
-	if lower && !unavailable && !atOnce && !o.isScaleDownDue(p, n, now) {
+	if lower && !unavailable && !atOnce && !a.isScaleDownDue(p, n, now) {
 		n *= surplusFactor
-		if !p.reclaimable || n >= max(last.count, have) || !o.scaleDownPendingFor(p, surplusDelay, now) {
+		if !p.reclaimable || n >= max(last.count, have) || !a.scaleDownPendingFor(p, surplusDelay, now) {
 			return
 		}
 	}
-	o.order(c, p, n, site, capacity)
+	a.order(c, p, n, site, capacity)
 }
 
 // scaleDownPendingFor reports whether a smaller count has been wanted for at least d.
-func (o *Orders) scaleDownPendingFor(p pool, d time.Duration, now time.Time) bool {
-	l, ok := o.scaleDowns[p]
+func (a *Autoscaler) scaleDownPendingFor(p pool, d time.Duration, now time.Time) bool {
+	l, ok := a.scaleDowns[p]
 	return ok && now.Sub(l.since) >= d
 }
 
 // isScaleDownDue records that the smaller count n is wanted and reports whether about that
-// count has been wanted for the delay of the kind of endpoint. The delay starts anew if the
+// count has been wanted for the delay of the kind of endpoint. The delay restarts if the
 // count has grown by more than countTolerance, or after twice the delay.
-func (o *Orders) isScaleDownDue(p pool, n int, now time.Time) bool {
+func (a *Autoscaler) isScaleDownDue(p pool, n int, now time.Time) bool {
 	delay := scaleDownDelayOnDemand
 	if p.reclaimable {
 		delay = scaleDownDelayReclaimable
 	}
-	l, ok := o.scaleDowns[p]
+	l, ok := a.scaleDowns[p]
 	if !ok || n > l.highest && float64(n) > (1+countTolerance)*float64(l.first) || now.Sub(l.since) > 2*delay {
-		o.scaleDowns[p] = scaleDown{n, n, now}
+		a.scaleDowns[p] = scaleDown{n, n, now}
 		return false
 	}
 	l.highest = max(l.highest, n)
-	o.scaleDowns[p] = l
+	a.scaleDowns[p] = l
 	return now.Sub(l.since) >= delay
 }
 
 // order orders a count for a pool from the cloud, records the result and logs it.
-func (o *Orders) order(c context.Context, p pool, n int, site scaling.Site, capacity scaling.Capacity) {
-	fence, ok := o.Election.UseFence()
-	if !ok || fence != o.fence {
+func (a *Autoscaler) order(c context.Context, p pool, n int, site scaling.Site, capacity scaling.Capacity) {
+	fence, ok := a.Election.UseFence()
+	if !ok || fence != a.fence {
 		return
 	}
-	delete(o.scaleDowns, p)
-	err := o.Cloud.Order(c, cloudapi.Lease{Holder: o.Box, Fence: fence}, cloudapi.Order{
+	delete(a.scaleDowns, p)
+	err := a.Cloud.Order(c, cloudapi.Lease{Holder: a.Box, Fence: fence}, cloudapi.Order{
 		Service: p.service, DataCentre: p.dataCentre, Reclaimable: p.reclaimable, Count: n,
 	})
-	previous := o.lastOrders[p]
+	previous := a.lastOrders[p]
 	last := lastOrder{count: n, at: boottime.Now(), accepted: err == nil, maxServing: min(previous.maxServing, n), reclaiming: previous.reclaiming}
 	if errors.Is(err, cloudapi.ErrFenced) {
 		last.outOfSupply = p.reclaimable
 		if !p.reclaimable {
-			o.Election.Resign(fence)
+			a.Election.Resign(fence)
 		}
 	}
-	o.lastOrders[p] = last
-	o.log.Info().Str("event", "order").Str("service", p.service).Str("data_centre", p.dataCentre).Bool("reclaimable", p.reclaimable).
+	a.lastOrders[p] = last
+	a.log.Info().Str("event", "order").Str("service", p.service).Str("data_centre", p.dataCentre).Bool("reclaimable", p.reclaimable).
 		Int("count", n).Uint64("fence", fence).
 		Float64("bears_tokens_per_s", capacity.Reclaimable.TokensPerSecond).Float64("on_demand_bears", capacity.OnDemand.TokensPerSecond).
 		Float64("bears_running", capacity.OnDemand.Running).
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -118,7 +118,7 @@
 
 var dataCentres = []string{"a", "b", "c"}
 
-// fleet is a service whose size is controlled by orders.Orders.
+// fleet is a service whose size is controlled by an orders.Autoscaler.
 type fleet struct {
 	*cloud
 	t *testing.T
@@ -170,9 +170,9 @@
 		},
 	}, m, zerolog.Nop())
 	e := &election.Election{Store: m, Key: "duty", Box: "box", Term: 3 * time.Second, Log: zerolog.Nop()}
-	o := orders.New(zerolog.Nop())
-	o.Box, o.Cloud, o.Election, o.Policy = "box", f, e, scaling.Default
-	o.Demand = func(string) map[string]demand.Stats {
+	a := orders.New(zerolog.Nop())
+	a.Box, a.Cloud, a.Election, a.Policy = "box", f, e, scaling.Default
+	a.Demand = func(string) map[string]demand.Stats {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		out := map[string]demand.Stats{}
@@ -183,17 +183,17 @@
 		}
 		return out
 	}
-	o.Limited = func(e endpoint.Endpoint) bool {
+	a.Limited = func(e endpoint.Endpoint) bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		return slices.Contains(f.limited, e.ID)
 	}
-	o.Capacity = func(string, int, time.Duration) scaling.Capacity {
-		b := estimate.Capacity{TokensPerSecond: 20_000, Running: 40}
-		return scaling.Capacity{Reclaimable: b, OnDemand: b}
+	a.Capacity = func(string, int, time.Duration) scaling.Capacity {
+		c := estimate.Capacity{TokensPerSecond: 20_000, Running: 40}
+		return scaling.Capacity{Reclaimable: c, OnDemand: c}
 	}
 	n := &kernel.Kernel{}
-	services := []kernel.Service{s, k, e, o}
+	services := []kernel.Service{s, k, e, a}
 	for _, x := range services {
 		require.NoError(t, n.Add(x))
 		require.NoError(t, x.Start(t.Context(), n))
--- a/orders/watch.go
+++ b/orders/watch.go
@@ -13,12 +13,12 @@
 // isPartitioned reports whether a data centre does not report its demand now but did so
 // within partitionTimeout. The records of its endpoints expire meanwhile although they
 // serve, which is not a reclaim, so the orders there remain unchanged.
-func (o *Orders) isPartitioned(s serviceSite, reported bool, now time.Time) bool {
+func (a *Autoscaler) isPartitioned(s serviceSite, reported bool, now time.Time) bool {
 	if reported {
-		o.lastReport[s] = now
+		a.lastReport[s] = now
 		return false
 	}
-	return now.Sub(o.lastReport[s]) < partitionTimeout
+	return now.Sub(a.lastReport[s]) < partitionTimeout
 }
 
 // initialSize returns how many endpoints a service is assumed to need while its demand is
@@ -27,60 +27,61 @@
 // start: then an earlier holder of the lease ordered the fleet, and its size says nothing
 // about the demand.
 //
-// Ordering nothing until the demand is known lowers the score of a day by 0.04, because
-// on-demand endpoints then stay until reclaimable ones have started, with callers waiting.
-func (o *Orders) initialSize(service string, sites []scaling.Site) int {
+// Ordering nothing until the demand is known lowers the score of a simulated day by 0.04,
+// because on-demand endpoints then stay until reclaimable ones have started, with callers
+// waiting.
+func (a *Autoscaler) initialSize(service string, sites []scaling.Site) int {
 	n := 0
 	for _, s := range sites {
-		if s.Have.Reclaimable > 0 && o.initialCount[service] == 0 {
+		if s.Have.Reclaimable > 0 && a.initialCount[service] == 0 {
 			return 0
 		}
 		n += s.Have.OnDemand
 	}
-	o.initialCount[service] = max(o.initialCount[service], n)
-	return o.initialCount[service]
+	a.initialCount[service] = max(a.initialCount[service], n)
+	return a.initialCount[service]
 }
 
 // demandKnown reports whether the demand for a service can be relied on: it began at least
 // observationPeriod ago, or there was some earlier and there is none now. Before that the
 // fleet keeps its initial size.
-func (o *Orders) demandKnown(service string, load map[string]demand.Stats, now time.Time) bool {
+func (a *Autoscaler) demandKnown(service string, load map[string]demand.Stats, now time.Time) bool {
 	busy := false
-	for _, f := range load {
-		busy = busy || f.Tokens > 0 || f.Running > 0
+	for _, s := range load {
+		busy = busy || s.Tokens > 0 || s.Running > 0
 	}
 	if !busy {
-		return !o.demandSince[service].IsZero()
+		return !a.demandSince[service].IsZero()
 	}
-	if o.demandSince[service].IsZero() {
-		o.demandSince[service] = now
+	if a.demandSince[service].IsZero() {
+		a.demandSince[service] = now
 	}
-	return now.Sub(o.demandSince[service]) >= observationPeriod
+	return now.Sub(a.demandSince[service]) >= observationPeriod
 }
 
 // detectReclaim records when a reclaim begins in a data centre, which is when fewer than
 // half of the ordered endpoints that have served still serve. A new holder of the lease has
-// no orders to compare with. For it, a reclaim is under way if reclaimable endpoints drain
-// and none serves.
-func (o *Orders) detectReclaim(all []endpoint.Endpoint, service string, site scaling.Site, now time.Time) {
+// no orders to compare with. It assumes a reclaim if reclaimable endpoints drain and none
+// serves.
+func (a *Autoscaler) detectReclaim(all []endpoint.Endpoint, service string, site scaling.Site, now time.Time) {
 	p := pool{service, site.DataCentre, true}
 	have := site.Have.Reclaimable
-	last, ordered := o.lastOrders[p]
+	last, ordered := a.lastOrders[p]
 	if !ordered {
 		if have == 0 && hasDraining(all, service, site.DataCentre) {
-			o.reclaimStart[site.DataCentre] = now
+			a.reclaimStart[site.DataCentre] = now
 		}
 		return
 	}
 	last.maxServing = min(max(last.maxServing, have), last.count)
 	reclaiming := 2*have < last.maxServing
 	if reclaiming && !last.reclaiming {
-		o.reclaimStart[site.DataCentre] = now
-		o.log.Info().Str("event", "reclaim").Str("service", service).Str("data_centre", site.DataCentre).
+		a.reclaimStart[site.DataCentre] = now
+		a.log.Info().Str("event", "reclaim").Str("service", service).Str("data_centre", site.DataCentre).
 			Int("served", last.maxServing).Int("have", have).Msg("reclaim of endpoints began")
 	}
 	last.reclaiming = reclaiming
-	o.lastOrders[p] = last
+	a.lastOrders[p] = last
 }
 
 // hasDraining reports whether a reclaimable endpoint of a service drains in a data centre.
--- a/rollout/any_test.go
+++ b/rollout/any_test.go
@@ -23,10 +23,10 @@
 		f.placeOrder("v2")
 		for n := range int((orderDuration + 6*time.Second) / tick) {
 			f.step(100)
-			if at := time.Duration(n) * tick; faults > 0 && at < orderDuration/2 && f.chance.IntN(int(orderDuration/2/tick)) < faults {
-				kind := f.chance.IntN(6)
+			if at := time.Duration(n) * tick; faults > 0 && at < orderDuration/2 && f.rng.IntN(int(orderDuration/2/tick)) < faults {
+				kind := f.rng.IntN(6)
 				if !holderCrashes {
-					kind = 1 + f.chance.IntN(5)
+					kind = 1 + f.rng.IntN(5)
 				}
 				f.injectFault(kind)
 			}
--- a/rollout/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -60,7 +60,7 @@
 // fleet simulates boxes that send the requests of a service to two versions of its endpoints.
 type fleet struct {
 	t            *testing.T
-	chance       *rand.Rand
+	rng          *rand.Rand
 	store        *memstore.Memory
 	nodes        []*node
 	holder       int       // index of the box with the duty; -1 for none
@@ -109,7 +109,7 @@
 
 func newFleet(t *testing.T, boxes int, seed uint64, defect versionDefect) *fleet {
 	f := &fleet{
-		t: t, chance: rand.New(rand.NewPCG(seed, 7)), store: &memstore.Memory{}, holder: -1, defect: defect, states: map[uint64][]string{},
+		t: t, rng: rand.New(rand.NewPCG(seed, 7)), store: &memstore.Memory{}, holder: -1, defect: defect, states: map[uint64][]string{},
 	}
 	for range boxes {
 		f.nodes = append(f.nodes, &node{})
@@ -126,15 +126,15 @@
 		f.holder, f.leaseExpires = -1, time.Now().Add(leaseTerm) // the previous process held the duty
 	}
 	n := f.nodes[i]
-	*n = node{Gate: &rollout.Gate{Random: f.chance.Float64}, lastRound: time.Now().Add(-time.Duration(f.chance.Int64N(int64(reportInterval))))}
+	*n = node{Gate: &rollout.Gate{Rand: f.rng.Float64}, lastRound: time.Now().Add(-time.Duration(f.rng.Int64N(int64(reportInterval))))}
 	n.controller = &rollout.Controller{
 		Gate: n.Gate, Store: f.store, Key: "rollouts", MaxShare: 0.1, Now: time.Now, Log: zerolog.Nop(),
 		Status: f.status, Fence: func() (uint64, bool) { return f.fence, f.holder == i && n.isUp() },
 		RemoteEvidence: func() map[string]rollout.Evidence { return f.remoteEvidence(i) },
 		Broadcast: func(reports map[string]rollout.Progress) {
 			for j := range f.nodes {
-				if f.connected(i, j) && f.chance.IntN(10) > 0 {
-					f.nodes[j].UpdateProgress(reports, time.Now())
+				if f.connected(i, j) && f.rng.IntN(10) > 0 {
+					f.nodes[j].MergeReports(reports, time.Now())
 				}
 			}
 		},
@@ -212,14 +212,14 @@
 // progress.
 func (f *fleet) exchangeReports(i int, now time.Time) {
 	n := f.nodes[i]
-	n.lastRound, n.lastEvidence = now, n.Evidence()
-	if f.holder < 0 || !f.connected(f.holder, i) || f.chance.IntN(20) == 0 {
+	n.lastRound, n.lastEvidence = now, n.LocalEvidence()
+	if f.holder < 0 || !f.connected(f.holder, i) || f.rng.IntN(20) == 0 {
 		return
 	}
 	if f.order.Revision > 0 {
 		n.SetOrders(f.orders())
 	}
-	n.UpdateProgress(rollout.MergeProgress(nil, f.nodes[f.holder].controller.CurrentProgress(), 300*time.Millisecond), now)
+	n.MergeReports(rollout.MergeProgress(nil, f.nodes[f.holder].controller.CurrentProgress(), 300*time.Millisecond), now)
 }
 
 // passDuty renews the lease of the duty, or passes an expired one to a random box.
@@ -234,7 +234,7 @@
 	if now.Before(f.leaseExpires) {
 		return
 	}
-	i := f.chance.IntN(len(f.nodes))
+	i := f.rng.IntN(len(f.nodes))
 	if n := f.nodes[i]; n.isUp() && !n.partitioned {
 		f.holder = i
 		f.fence++
@@ -243,12 +243,12 @@
 
 // send sends a request through a random box.
 func (f *fleet) send(now time.Time) {
-	i := f.chance.IntN(len(f.nodes))
+	i := f.rng.IntN(len(f.nodes))
 	n := f.nodes[i]
 	if !n.isUp() || f.order.Revision == 0 {
 		return
 	}
-	a := answer{box: i, route: []string{"a", "b", "c"}[f.chance.IntN(3)], version: "v1"}
+	a := answer{box: i, route: []string{"a", "b", "c"}[f.rng.IntN(3)], version: "v1"}
 	p := n.PickVersion("s", false, now)
 	if !p.Allows("v1") {
 		a.version = f.order.Version
@@ -265,11 +265,11 @@
 			f.sentAfterRevert++
 		}
 	}
-	duration := 50*time.Millisecond + time.Duration(f.chance.Int64N(int64(maxRequestTime)))
-	a.failed, a.slow = f.chance.Float64() < 0.01, f.chance.Float64() < 0.04
+	duration := 50*time.Millisecond + time.Duration(f.rng.Int64N(int64(maxRequestTime)))
+	a.failed, a.slow = f.rng.Float64() < 0.01, f.rng.Float64() < 0.04
 	if b := f.defect; a.version != "v1" && now.Sub(f.began) >= b.after && (b.route == "" || b.route == a.route) &&
 		(b.minShare == 0 || f.newVersionShare() > b.minShare) {
-		a.failed = a.failed || f.chance.Float64() < b.failureRate
+		a.failed = a.failed || f.rng.Float64() < b.failureRate
 		a.slow = a.slow || b.slow
 	}
 	a.at, a.end = now.Add(duration), n.Begin("s", a.version)
@@ -340,7 +340,7 @@
 // suspension (2) or partition (3) of another box, an outage of the store (4), or a lost answer of
 // the store (5).
 func (f *fleet) injectFault(kind int) {
-	i := f.chance.IntN(len(f.nodes))
+	i := f.rng.IntN(len(f.nodes))
 	if i == f.holder && kind > 0 {
 		i = (i + 1) % len(f.nodes)
 	}
--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -25,9 +25,9 @@
 // Gate decides for one box which version of a service each request may go to, and collects evidence
 // on the answers. Its zero value has no orders. It is safe for concurrent use.
 type Gate struct {
-	// Random returns random numbers from 0 to 1. If it is nil, the first requests of all boxes may
-	// go to a new version at the same time. It is set before the Gate is used.
-	Random func() float64
+	// Rand returns random numbers in [0, 1). If it is nil, the first requests of all boxes may go
+	// to a new version at the same time. It must be set before the Gate is used.
+	Rand func() float64
 
 	mu       sync.Mutex
 	orders   Orders
@@ -40,7 +40,7 @@
 	progress   Progress
 	reportedAt time.Time      // when the controller made the report
 	credit     float64        // fraction of a request that is due to the new version
-	running    map[string]int // requests in flight, by version
+	inFlight   map[string]int // requests in flight, by version
 	evidence   Evidence
 }
 
@@ -65,7 +65,7 @@
 	}
 	s := g.services[name]
 	if s == nil {
-		s = &service{running: map[string]int{}}
+		s = &service{inFlight: map[string]int{}}
 		g.services[name] = s
 	}
 	return s
@@ -88,8 +88,8 @@
 			continue
 		}
 		s.order, s.credit = x, 0
-		if g.Random != nil {
-			s.credit = g.Random() // so that the boxes do not all send their first request at the same time
+		if g.Rand != nil {
+			s.credit = g.Rand() // so that the boxes do not all send their first request at the same time
 		}
 		s.evidence = Evidence{Revision: x.Revision, Routes: map[string]RouteCounts{}}
 	}
@@ -108,8 +108,9 @@
 	return Orders{Revision: g.orders.Revision, List: slices.Clone(g.orders.List)}
 }
 
-// UpdateProgress takes in reports by service, and returns those that report a new order or stage.
-func (g *Gate) UpdateProgress(reports map[string]Progress, now time.Time) map[string]Progress {
+// MergeReports merges a controller's reports, by service, into the known ones. It returns those
+// that report a new order or stage.
+func (g *Gate) MergeReports(reports map[string]Progress, now time.Time) map[string]Progress {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var changed map[string]Progress
@@ -188,12 +189,12 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.service(name)
-	s.running[version]++
+	s.inFlight[version]++
 	return func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if s.running[version]--; s.running[version] == 0 {
-			delete(s.running, version)
+		if s.inFlight[version]--; s.inFlight[version] == 0 {
+			delete(s.inFlight, version)
 		}
 	}
 }
@@ -222,8 +223,8 @@
 	s.evidence.Routes[route] = counts
 }
 
-// Evidence returns the evidence of this box on the orders in progress, by service.
-func (g *Gate) Evidence() map[string]Evidence {
+// LocalEvidence returns the evidence of this box on the orders in progress, by service.
+func (g *Gate) LocalEvidence() map[string]Evidence {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var out map[string]Evidence
@@ -232,9 +233,9 @@
 			continue
 		}
 		e := Evidence{Revision: s.evidence.Revision, Routes: maps.Clone(s.evidence.Routes)}
-		for v, running := range s.running {
+		for v, count := range s.inFlight {
 			if v != s.order.Version {
-				e.Busy += float64(running)
+				e.Busy += float64(count)
 			}
 		}
 		if out == nil {
--- a/rollout/holder.go
+++ b/rollout/holder.go
@@ -133,7 +133,7 @@
 	if !c.statesLoaded && c.loadStates(ctx) != nil {
 		return
 	}
-	sum := AddEvidence(AddEvidence(nil, c.Gate.Evidence()), c.RemoteEvidence())
+	sum := AddEvidence(AddEvidence(nil, c.Gate.LocalEvidence()), c.RemoteEvidence())
 	changed := map[string]state{}
 	for _, o := range orders {
 		if s, entered := c.decide(o, sum[o.Service]); entered {
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -29,9 +29,9 @@
 // The stages. An order is in progress from Canary to Whole. Complete and Reverted are final.
 const (
 	Closed   Stage = iota // no requests go to the version
-	Canary                // a share of the requests does, small enough for a bad version
-	Ramp                  // a larger share does, to test the version under load
-	Whole                 // all new requests do, while the other versions drain
+	Canary                // a share of the requests that a bad version may receive goes to the version
+	Ramp                  // a larger share goes to the version, to test it under load
+	Whole                 // all new requests go to the version, while the other versions drain
 	Complete              // the other versions are not needed
 	Reverted              // the version is bad
 )
--- a/rollout/policy.go
+++ b/rollout/policy.go
@@ -164,9 +164,9 @@
 	return p.route(allRoutes).update(all) || bad
 }
 
-// allRoutes is the key of the test over the answers of all routes, and not the name of a route.
-// That test detects a version that is bad on all routes sooner; the test of a single route detects
-// sooner a version that is bad on that route only.
+// allRoutes is the key of the test over the answers of all routes. A version that is bad on all
+// routes is detected sooner by this test, and one that is bad on a single route by the test of that
+// route.
 const allRoutes = ""
 
 // route returns the test of a route, which it creates if necessary.
@@ -189,8 +189,8 @@
 }
 
 // updateLLR adds answers of the new version, some of them bad, to a log likelihood ratio and
-// returns the result. It is never negative, so that earlier good answers do not outweigh later bad
-// ones.
+// returns the result. The result is never negative, so that earlier good answers do not outweigh
+// later bad ones.
 func (d defect) updateLLR(llr, oldAnswers, oldBad, answers, bad float64) float64 {
 	goodRate := (oldBad + d.baseline*baselineAnswers) / (oldAnswers + baselineAnswers)
 	goodRate = min(max(goodRate, minBadRate), maxBadRate/d.ratio)
