--- a/daemon/gossip.go
+++ b/daemon/gossip.go
@@ -31,7 +31,7 @@
 		}
 		return gossip.Status{
 			Box: s.Box, DataCentre: s.DataCentre, Address: s.Peers, Version: v,
-			Words: p.rollouts.CurrentProgress(), Evidence: p.gossip.Rollouts.Evidence(),
+			Words: p.rollouts.CurrentProgress(), Evidence: p.gossip.Rollouts.LocalEvidence(),
 			Load: p.balancer.OwnLoad(), Failing: p.balancer.FailureReport(now), Demand: d, Speeds: p.balancer.OwnStats(now),
 			Usage: []tally.Report{p.tally.Recent(s.Box+"."+p.incarnation, p.tally.WindowAt(p.clock.At(now))-broadcastWindows)},
 		}
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -42,7 +42,7 @@
 	defer r.f.attempts.add(e.Incarnation(), cancel)()
 	defer r.f.Rollouts.Begin(r.q.Service.Name, e.Version)()
 	sent := boottime.Now()
-	ans, err := r.f.Pool.Do(x, exchange.Request{
+	resp, err := r.f.Pool.Do(x, exchange.Request{
 		Address: e.Address, Method: cl.Method, Target: cl.Target, Host: cl.Host, Header: r.f.Codec.Head(cl, a), Body: cl.Body, MaxIdle: maxIdle,
 		ShouldSend: func() bool { return r.maySend(e) },
 		Matches:    func(h http.Header) bool { return r.f.Codec.Outcome(0, h).ID == cl.ID },
@@ -53,15 +53,15 @@
 		n.End(c.Err() == nil && !notSent, boottime.Now())
 		switch {
 		case unreachable:
-			return attemptResult{breakage: recovery.Unreachable, err: err}
+			return attemptResult{interruption: recovery.Unreachable, err: err}
 		case notSent:
-			return attemptResult{breakage: recovery.NeverSeen, err: err}
+			return attemptResult{interruption: recovery.NeverSeen, err: err}
 		}
-		return attemptResult{breakage: recovery.Gone, err: cancelCause(x, err)}
+		return attemptResult{interruption: recovery.Gone, err: cancelCause(x, err)}
 	}
-	defer ans.Close()
+	defer resp.Close()
 	r.trace.ResponseTime = boottime.Since(sent)
-	out := r.readResponse(ans, n, w, sent)
+	out := r.readResponse(resp, n, w, sent)
 	r.recordForRollout(ch, out, sent)
 	out.err = cancelCause(x, out.err)
 	n.End(!out.done && c.Err() == nil, boottime.Now())
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -66,7 +66,7 @@
 // soleLeases holds the leases of a single box, granted at the given time.
 type soleLeases time.Time
 
-func (a soleLeases) Given(_ string, now time.Time) (seconds, part float64) {
+func (a soleLeases) Given(_ string, now time.Time) (seconds, share float64) {
 	return now.Sub(time.Time(a)).Seconds(), 1
 }
 
@@ -74,7 +74,7 @@
 type recorder struct {
 	status int
 	body   string
-	heads  int // calls of Head and Whole
+	heads  int // calls of Head and Response
 }
 
 func (a *recorder) Head(status int, _ http.Header) error {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-func (a *recorder) Whole(status int, _ http.Header, body []byte) error {
+func (a *recorder) Response(status int, _ http.Header, body []byte) error {
 	a.status, a.body = status, string(body)
 	a.heads++
 	return nil
@@ -193,8 +193,8 @@
 		share, err := strconv.ParseFloat(words[2], 64)
 		require.NoError(s.t, err, at)
 		s.progressUpdates++
-		w := rollout.Progress{Order: s.order, Stage: stages[words[1]], Share: share, Count: s.progressUpdates}
-		s.f.Rollouts.UpdateProgress(map[string]rollout.Progress{"s": w}, boottime.Now())
+		p := rollout.Progress{Order: s.order, Stage: stages[words[1]], Share: share, Count: s.progressUpdates}
+		s.f.Rollouts.MergeReports(map[string]rollout.Progress{"s": p}, boottime.Now())
 	case "budget":
 		s.f.Budget = budget.New(budget.Limits{Window: time.Minute})
 	case "call":
@@ -297,13 +297,13 @@
 
 // Tests that logs and metrics distinguish an endpoint that answered with an error from one that did
 // not answer.
-func TestBreakNames(t *testing.T) {
-	for behave, want := range map[string]string{"error:500": "failed", "reset": "gone"} {
+func TestInterruptionNames(t *testing.T) {
+	for behaviour, want := range map[string]string{"error:500": "failed", "reset": "gone"} {
 		var out bytes.Buffer
 		s := newScript(t)
 		s.f.Log = zerolog.New(&out)
 		s.step([]string{"route", "idempotent", "1"}, "")
-		s.step([]string{"endpoint", "a", behave}, "")
+		s.step([]string{"endpoint", "a", behaviour}, "")
 		s.call()
 		require.Contains(t, out.String(), `"break":"`+want+`"`)
 		require.EqualValues(t, 1, metrics.GetOrRegisterCounter("attempts.broke."+want, s.f.Metrics).Count())
