--- a/balance/choose.go
+++ b/balance/choose.go
@@ -29,7 +29,7 @@
 	// in addition to the delay of the answer itself. Reading them also delays other answers, and
 	// evicts parts that are then read again. It raises the mean score of five days with faults from
 	// 0.561 with 0 to 0.580.
-	rereadWeight = 4
+	recomputeWeight = 4
 
 	// failurePenalty is the cost of an endpoint that fails every call; it scales with the square of
 	// the failure probability. Where a fifth to a third of the endpoints fail 45% of their calls
@@ -92,16 +92,16 @@
 // event, Tokens the prompt tokens that the endpoint has to read, Running the requests that it has,
 // and LoadAge the age of the other boxes' load reports.
 type Choice struct {
-	Endpoint     endpoint.Endpoint
-	Expected     time.Duration
-	Objective    time.Duration
-	Tokens       int
-	RereadTokens int // of Tokens, those of parts that other requests share
-	Load         estimate.Load
-	Parts        []call.Part
-	Avoided      bool
-	Running      int
-	LoadAge      time.Duration
+	Endpoint        endpoint.Endpoint
+	Expected        time.Duration
+	Objective       time.Duration
+	Tokens          int
+	RecomputeTokens int // of Tokens, those of parts that other requests share
+	Load            estimate.Load
+	Parts           []call.Part
+	Avoided         bool
+	Running         int
+	LoadAge         time.Duration
 
 	// TypicalFirstEvent is the time to the first event that the service's endpoints take on average
 	// under this load with nothing of the prompt cached, and Pause the average time between two
@@ -120,7 +120,7 @@
 	if len(es) == 0 {
 		return Choice{}, false
 	}
-	s := search{book: b, query: &q, now: now, isExcluded: b.exclusion(&q, now), view: b.model(es[0].Service).Predict(now)}
+	s := search{balancer: b, query: &q, now: now, isExcluded: b.exclusion(&q, now), prediction: b.model(es[0].Service).Predict(now)}
 	preferredID := q.Preferred.ID
 	if preferredID == "" {
 		preferredID = preferredEndpoint(es, &q, s.isExcluded)
@@ -156,11 +156,11 @@
 
 // search is the state of one choice: the best endpoint so far. The balancer's lock is held.
 type search struct {
-	book       *Balancer
+	balancer   *Balancer
 	query      *Query
 	now        time.Time
 	isExcluded func(*endpoint.Endpoint) bool
-	view       estimate.Prediction
+	prediction estimate.Prediction
 
 	best  Choice
 	cost  time.Duration
@@ -172,8 +172,8 @@
 	if s.isExcluded(e) {
 		return
 	}
-	c := s.book.evaluate(e, *s.query, preferred, &s.view, s.now)
-	d := c.Expected + s.book.penalty(&c, *s.query, &s.view, s.now)
+	c := s.balancer.evaluate(e, *s.query, preferred, &s.prediction, s.now)
+	d := c.Expected + s.balancer.penalty(&c, *s.query, &s.prediction, s.now)
 	switch {
 	case !s.found, s.best.Avoided && !c.Avoided, s.best.Avoided == c.Avoided && d < s.cost:
 		s.best, s.cost, s.found = c, d, true
@@ -204,7 +204,7 @@
 			cached = max(cached, int(preferredCachedFraction*float64(sharedTokens(q))))
 		}
 		c.Tokens = max(q.Prompt-cached, 0)
-		c.RereadTokens = max(sharedTokens(q)-cached, 0)
+		c.RecomputeTokens = max(sharedTokens(q)-cached, 0)
 		remote := st.hinted.remaining(v.PrefillRate(), now) + b.unobservedFraction()*float64(st.remote.tokens)
 		c.Load.Prefill, c.Load.LocalQueued, c.Load.RemoteQueued = c.Tokens, st.tokens, int(remote)
 	}
@@ -228,8 +228,8 @@
 	st := b.lookup(e.ID)
 	f := st.failureProbability(now)
 	d := time.Duration(f*f*float64(failurePenalty)) + time.Duration(coldFraction*float64(e.ColdLeft))
-	if c.RereadTokens > 0 {
-		d += rereadWeight * v.PrefillTime(c.RereadTokens)
+	if c.RecomputeTokens > 0 {
+		d += recomputeWeight * v.PrefillTime(c.RecomputeTokens)
 	}
 	switch {
 	case e.DataCentre == q.DataCentre:
--- a/balance/reach.go
+++ b/balance/reach.go
@@ -21,14 +21,14 @@
 // threshold for long prompts grows in proportion to their number, so that the rate of hints to each
 // box stays bounded.
 const (
-	longPromptReading     = 10 * time.Millisecond
-	veryLongPromptReading = 120 * time.Millisecond
-	maxFullHintPeers      = 32
+	minLongPrefill     = 10 * time.Millisecond
+	minVeryLongPrefill = 120 * time.Millisecond
+	maxFullHintPeers   = 32
 )
 
 // longReading returns the least reading time of the prompts of which nearby boxes get hints.
-func (b *Balancer) longReading() time.Duration {
-	return max(longPromptReading, longPromptReading*time.Duration(b.nearPeers)/maxFullHintPeers)
+func (b *Balancer) longPrefill() time.Duration {
+	return max(minLongPrefill, minLongPrefill*time.Duration(b.nearPeers)/maxFullHintPeers)
 }
 
 // HintScope returns which other boxes should get a hint of a prompt that this box sends, and counts
@@ -41,12 +41,12 @@
 	}
 	v := b.model(service).Predict(now)
 	d := v.PrefillTime(tokens)
-	b.veryLong.add(float64(tokens), d >= veryLongPromptReading, now)
-	b.long.add(float64(tokens), d >= b.longReading(), now)
+	b.veryLong.add(float64(tokens), d >= minVeryLongPrefill, now)
+	b.long.add(float64(tokens), d >= b.longPrefill(), now)
 	switch {
-	case d >= veryLongPromptReading:
+	case d >= minVeryLongPrefill:
 		return HintAll
-	case d >= b.longReading():
+	case d >= b.longPrefill():
 		return HintNearby
 	default:
 		return HintNone
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -134,9 +134,9 @@
 	st := platform.NewStore(s.Store)
 	p := &entryParts{
 		settings: s, store: st, book: &balance.Balancer{Rand: rand.Float64}, quota: &quota.Quota{
-			Terms: quota.Terms{Window: s.QuotaWindow, Overage: s.QuotaOverage, Slack: s.QuotaSlack},
-			Self:  quota.Arbiter{Box: s.Box, DataCentre: s.DataCentre, Address: s.Peers}, Started: boottime.Now(),
-			Chance: rand.Float64,
+			Tolerance: quota.Tolerance{Window: s.QuotaWindow, Overage: s.QuotaOverage, Slack: s.QuotaSlack},
+			Self:      quota.Arbiter{Box: s.Box, DataCentre: s.DataCentre, Address: s.Peers}, Started: boottime.Now(),
+			Rand: rand.Float64,
 		}, meter: &demand.Meter{},
 		budget: budget.New(budget.Limits{Ratio: s.RetryRatio, Slack: s.RetrySlack, Window: s.RetryWindow}),
 		tally:  &tally.Tally{Window: s.ReportWindow}, clock: daytime.New(time.Now),
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -66,7 +66,7 @@
 // soleLeases holds the leases of a single box, granted at the given time.
 type soleLeases time.Time
 
-func (a soleLeases) Given(_ string, now time.Time) (seconds, part float64) {
+func (a soleLeases) Accrued(_ string, now time.Time) (seconds, part float64) {
 	return now.Sub(time.Time(a)).Seconds(), 1
 }
 
--- a/forward/response.go
+++ b/forward/response.go
@@ -106,7 +106,7 @@
 	if !changed {
 		return
 	}
-	r.f.Log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.StartMillis).Str("request", r.q.Call.ID).Bool("limited", w.Named).
+	r.f.Log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.StartMillis).Str("request", r.q.Call.ID).Bool("limited", w.Limited).
 		Float64("per_second", w.PerSecond).Str("seen", "it said so in an answer").Msg("takes a rate")
 	r.f.OnLimitChange(w)
 }
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -101,7 +101,7 @@
 	b.Clock = daytime.New(time.Now)
 	b.Quota = &quota.Quota{
 		Self: quota.Arbiter{Box: name, DataCentre: dc, Address: a}, Started: time.Now(),
-		Incarnation: fmt.Sprint("life", processCount.Add(1)), Chance: rand.Float64,
+		Incarnation: fmt.Sprint("life", processCount.Add(1)), Rand: rand.Float64,
 	}
 	b.Box, b.DataCentre, b.Address, b.Prefix, b.Store = name, dc, a, "relays/", s
 	b.LocalStatus = func() gossip.Status {
--- a/gossip/news.go
+++ b/gossip/news.go
@@ -75,7 +75,7 @@
 func (g *Gossip) mergeRates(statements []stated.Statement) []stated.Statement {
 	fresh := g.Rates.Merge(statements, boottime.Now())
 	for _, w := range fresh {
-		g.log.Info().Str("event", "endpoint").Str("endpoint", w.Incarnation).Bool("limited", w.Named).Float64("per_second", w.PerSecond).
+		g.log.Info().Str("event", "endpoint").Str("endpoint", w.Incarnation).Bool("limited", w.Limited).Float64("per_second", w.PerSecond).
 			Dur("age", w.Age).Str("seen", "another box was told").Msg("takes a rate")
 	}
 	return fresh
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -50,7 +50,7 @@
 
 // newLimiter returns the rate limiter of a box that has run for a minute.
 func newLimiter() localLimiter {
-	q := &quota.Quota{Self: quota.Arbiter{Box: "x"}, Started: time.Now().Add(-time.Minute), Chance: rand.Float64}
+	q := &quota.Quota{Self: quota.Arbiter{Box: "x"}, Started: time.Now().Add(-time.Minute), Rand: rand.Float64}
 	q.Restore(quota.Before{Division: quota.Division{Version: 1, Boxes: soleBoxView.Boxes}})
 	b := localLimiter{q}
 	b.Update(soleBoxView, document.Accounts, time.Now().Add(-time.Second))
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -40,9 +40,9 @@
 	n := peer.NewNode(a, a, "secret", metrics.NewRegistry())
 	b := &box{metrics: metrics.NewRegistry()}
 	q := &quota.Quota{
-		Terms:       quota.Terms{Window: 8 * time.Second},
+		Tolerance:   quota.Tolerance{Window: 8 * time.Second},
 		Self:        quota.Arbiter{Box: name, DataCentre: "dc", Address: a},
-		Incarnation: name, Started: time.Now().Add(-time.Minute), Chance: rand.Float64,
+		Incarnation: name, Started: time.Now().Add(-time.Minute), Rand: rand.Float64,
 	}
 	b.Service = limit.New(q, &stated.Rates{}, b.metrics, zerolog.Nop())
 	k := &kernel.Kernel{}
--- a/quota/ask.go
+++ b/quota/ask.go
@@ -89,7 +89,7 @@
 		need = urgentReserve * share * b.burst
 	}
 	if share < smallShare {
-		need = max(need, x.Size*q.Chance())
+		need = max(need, x.Size*q.Rand())
 	}
 	if b.level > 0 && b.level >= need {
 		b.level -= x.Size
--- a/quota/even.go
+++ b/quota/even.go
@@ -20,7 +20,7 @@
 type evenLeases struct {
 	lessor    lessor
 	lessee    lessee
-	granted   [shardCount]float64 // seconds' worth of a rate accrued, by shard
+	accrued   [shardCount]float64 // seconds' worth of a rate accrued, by shard
 	accruedTo time.Time           // time of the last accrual
 }
 
@@ -59,9 +59,9 @@
 	if now.Before(e.accruedTo) {
 		return // a concurrent call with a later time came first
 	}
-	for s := range e.granted {
+	for s := range e.accrued {
 		seconds, _ := e.lessee.granted(evenlyDivided, s, e.accruedTo, now)
-		e.granted[s] += seconds
+		e.accrued[s] += seconds
 	}
 	e.accruedTo = now
 }
@@ -69,20 +69,20 @@
 // Given returns how many seconds' worth of an evenly divided rate this box has accrued up to
 // now, and the share of the rate that it has now. The seconds count from an arbitrary
 // origin, so only differences are meaningful.
-func (q *Quota) Given(name string, now time.Time) (seconds, share float64) {
+func (q *Quota) Accrued(name string, now time.Time) (seconds, share float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.evenLeases.accrue(now)
 	s := shard(name)
 	_, share = q.evenLeases.lessee.granted(evenlyDivided, s, now, now)
-	return q.evenLeases.granted[s], share
+	return q.evenLeases.accrued[s], share
 }
 
 // Arbiters returns the arbiters to ask for an evenly divided rate, in order: this box while
 // no relay represents it, the two arbiters of the rate, and leaving relays, which may still
 // hold pieces of it.
 func (q *Quota) Arbiters(name string, now time.Time) []Arbiter {
-	_, share := q.Given(name, now)
+	_, share := q.Accrued(name, now)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	out := pickArbiters(withoutLeaving(q.arbiters), shard(name))
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -15,13 +15,13 @@
 	"birchlink.dev/birchlink/throttle"
 )
 
-var terms = quota.Terms{Window: 8 * time.Second, Overage: 0.1, Slack: 72000}
+var tolerance = quota.Tolerance{Window: 8 * time.Second, Overage: 0.1, Slack: 72000}
 
 var account = &catalog.Account{Name: "a", InTokens: true, Rate: 100000, Burst: 100000}
 
 // windowLimit is the number of units that any window may hold.
 func windowLimit() float64 {
-	return (account.Rate*terms.Window.Seconds()+account.Burst)*(1+terms.Overage) + terms.Slack
+	return (account.Rate*tolerance.Window.Seconds()+account.Burst)*(1+tolerance.Overage) + tolerance.Slack
 }
 
 const (
@@ -111,8 +111,8 @@
 	n := f.nodes[i]
 	*n = node{starts: n.starts + 1, partition: n.partition, relay: -1, members: map[int]time.Time{}, relays: map[int]relayReport{}}
 	n.Quota = &quota.Quota{
-		Terms: terms, Started: f.now, Incarnation: fmt.Sprint(n.starts),
-		Self: f.arbiter(i), Chance: f.rng.Float64,
+		Tolerance: tolerance, Started: f.now, Incarnation: fmt.Sprint(n.starts),
+		Self: f.arbiter(i), Rand: f.rng.Float64,
 	}
 	n.available, n.throttle = &availability.Availability{}, &throttle.Throttle{Leases: f.leases(i)}
 	n.retries = budget.New(retryBudget)
@@ -439,7 +439,7 @@
 	top, sum, from := 0.0, 0.0, 0
 	for _, e := range f.admissions {
 		sum += e.size
-		for e.at.Sub(f.admissions[from].at) >= terms.Window {
+		for e.at.Sub(f.admissions[from].at) >= tolerance.Window {
 			sum -= f.admissions[from].size
 			from++
 		}
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -18,7 +18,7 @@
 // rate over the window plus its burst. All boxes together may exceed that by Overage, a
 // fraction of it, plus Slack, in units. The tolerance covers requests that are larger than
 // the level of a bucket, and state that is lost at a restart.
-type Terms struct {
+type Tolerance struct {
 	Window  time.Duration
 	Overage float64
 	Slack   float64
@@ -43,7 +43,7 @@
 // defaultWindow is used if Terms.Window is zero.
 const defaultWindow = 8 * time.Second
 
-func (t Terms) window() time.Duration {
+func (t Tolerance) window() time.Duration {
 	if t.Window > 0 {
 		return t.Window
 	}
@@ -52,7 +52,7 @@
 
 // bucketLimit returns the rate, in units a second, and the burst, in units, of a token
 // bucket that keeps an account within its limit in every window.
-func (t Terms) bucketLimit(a *catalog.Account) (rate, burst float64) {
+func (t Tolerance) bucketLimit(a *catalog.Account) (rate, burst float64) {
 	spread := spreadBurstShare * a.Burst
 	overage := t.toleratedOverage(a)
 	w := t.window().Seconds()
@@ -61,7 +61,7 @@
 
 // toleratedOverage returns by how many units all boxes together may exceed an account's
 // limit in a window.
-func (t Terms) toleratedOverage(a *catalog.Account) float64 {
+func (t Tolerance) toleratedOverage(a *catalog.Account) float64 {
 	return t.Overage*(a.Rate*t.window().Seconds()+a.Burst) + t.Slack
 }
 
@@ -85,7 +85,7 @@
 // Quota enforces the limits at one box. Its zero value with the exported fields set is
 // ready to use. It is safe for concurrent use.
 type Quota struct {
-	Terms
+	Tolerance
 	Self        Arbiter
 	Incarnation string
 
@@ -94,7 +94,7 @@
 	Started time.Time
 
 	// Chance returns random numbers in [0, 1).
-	Chance func() float64
+	Rand func() float64
 
 	mu          sync.Mutex
 	arbiters    []Arbiter
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -39,7 +39,7 @@
 	f.send(5*time.Second, 0.5*account.Rate, 8000, 1, 2, 3, 1, 1, 1)
 	f.send(20*time.Second, 6*account.Rate, 8000, 1, 2, 3, 1, 1, 1)
 	require.LessOrEqual(t, f.peakWindow(), windowLimit())
-	require.GreaterOrEqual(t, f.peakWindow(), 0.94*(account.Rate*terms.Window.Seconds()+account.Burst))
+	require.GreaterOrEqual(t, f.peakWindow(), 0.94*(account.Rate*tolerance.Window.Seconds()+account.Burst))
 }
 
 // Restarting all boxes twice within a window does not grant a second burst.
@@ -92,7 +92,7 @@
 	require.Positive(t, after[0])
 	require.Less(t, after[0], 2*time.Second)
 	require.Greater(t, after[1], after[0])
-	require.LessOrEqual(t, after[199], terms.Window)
+	require.LessOrEqual(t, after[199], tolerance.Window)
 }
 
 // The retry delay comes only from arbiters that have a share of the account. A box that has
@@ -139,7 +139,7 @@
 	require.Greater(t, f.admittedShare(), 0.97)
 	f.send(10*time.Second, 6*account.Rate, 4000)
 	require.LessOrEqual(t, f.peakWindow(), windowLimit())
-	require.GreaterOrEqual(t, f.peakWindow(), 0.8*account.Rate*terms.Window.Seconds())
+	require.GreaterOrEqual(t, f.peakWindow(), 0.8*account.Rate*tolerance.Window.Seconds())
 }
 
 // unevenWeights sends most of the requests to a few of the boxes, as clients with persistent
@@ -160,7 +160,7 @@
 		f.send(10*time.Second, 0.5*account.Rate, size, unevenWeights()...)
 		f.send(20*time.Second, 5*account.Rate, size, unevenWeights()...)
 		require.LessOrEqual(t, f.peakWindow(), windowLimit(), "requests of %.0f", size)
-		require.GreaterOrEqual(t, f.peakWindow(), 0.94*(account.Rate*terms.Window.Seconds()+account.Burst), "requests of %.0f", size)
+		require.GreaterOrEqual(t, f.peakWindow(), 0.94*(account.Rate*tolerance.Window.Seconds()+account.Burst), "requests of %.0f", size)
 	}
 }
 
--- a/quota/rates_test.go
+++ b/quota/rates_test.go
@@ -68,23 +68,23 @@
 // equalShare implements throttle.Leases with an equal share of each rate, by the number of boxes
 // that a box can reach.
 type equalShare struct {
-	fleet *fleet
-	box   int
-	at    time.Time
-	given float64
+	fleet   *fleet
+	box     int
+	at      time.Time
+	accrued float64
 }
 
-func (e *equalShare) Given(_ string, now time.Time) (seconds, share float64) {
+func (e *equalShare) Accrued(_ string, now time.Time) (seconds, share float64) {
 	n := 0
 	for _, k := range e.fleet.view(e.box).Boxes {
 		n += k
 	}
 	share = 1 / math.Max(float64(n), 1)
 	if !e.at.IsZero() {
-		e.given += share * now.Sub(e.at).Seconds()
+		e.accrued += share * now.Sub(e.at).Seconds()
 	}
 	e.at = now
-	return e.given, share
+	return e.accrued, share
 }
 
 func (f *fleet) leases(i int) throttle.Leases {
@@ -188,7 +188,7 @@
 
 // answerPermit returns the answer of an arbiter.
 func (f *fleet) answerPermit(n *node, x throttle.Question) throttle.Answer {
-	n.available.Rates.Merge([]stated.Statement{{Incarnation: x.Endpoint, Named: true, PerSecond: x.PerSecond, Age: x.Age}}, f.now)
+	n.available.Rates.Merge([]stated.Statement{{Incarnation: x.Endpoint, Limited: true, PerSecond: x.PerSecond, Age: x.Age}}, f.now)
 	l, _ := n.available.Rates.Limit(x.Endpoint, f.now)
 	if !l.Limited {
 		return throttle.Answer{OK: true}
--- a/stated/rates.go
+++ b/stated/rates.go
@@ -40,7 +40,7 @@
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Incarnation string
-	Named       bool
+	Limited     bool
 	PerSecond   float64
 	Age         time.Duration
 }
@@ -79,7 +79,7 @@
 	}
 	r.records[incarnation] = record{l, now}
 	urgent = old.Limited != l.Limited || l.PerSecond < (1-urgentDrop)*old.PerSecond
-	return Statement{Incarnation: incarnation, Named: l.Limited, PerSecond: l.PerSecond}, urgent
+	return Statement{Incarnation: incarnation, Limited: l.Limited, PerSecond: l.PerSecond}, urgent
 }
 
 // Merge takes in statements from other boxes. It returns those that add a limit or remove one.
@@ -93,14 +93,14 @@
 	for _, s := range statements {
 		at := now.Add(-max(s.Age, 0))
 		old := r.records[s.Incarnation]
-		if !at.After(old.at) || !s.Named && now.Sub(at) > tombstoneTTL {
+		if !at.After(old.at) || !s.Limited && now.Sub(at) > tombstoneTTL {
 			continue
 		}
 		if r.records == nil {
 			r.records = map[string]record{}
 		}
-		r.records[s.Incarnation] = record{endpoint.Limit{Limited: s.Named, PerSecond: s.PerSecond}, at}
-		if s.Named != old.Limited {
+		r.records[s.Incarnation] = record{endpoint.Limit{Limited: s.Limited, PerSecond: s.PerSecond}, at}
+		if s.Limited != old.Limited {
 			changes = append(changes, s)
 		}
 	}
@@ -127,7 +127,7 @@
 	p := Report{Sum: r.sum()}
 	for inc, rec := range r.records {
 		if age := max(now.Sub(rec.at), 0); p.Sum != sum || age < recentWindow {
-			p.Words = append(p.Words, Statement{Incarnation: inc, Named: rec.Limited, PerSecond: rec.PerSecond, Age: age})
+			p.Words = append(p.Words, Statement{Incarnation: inc, Limited: rec.Limited, PerSecond: rec.PerSecond, Age: age})
 		}
 	}
 	slices.SortFunc(p.Words, newestFirst)
--- a/stated/rates_test.go
+++ b/stated/rates_test.go
@@ -17,7 +17,7 @@
 
 func at(d time.Duration) time.Time { return epoch.Add(d) }
 
-func named(perSecond float64) endpoint.Limit {
+func limited(perSecond float64) endpoint.Limit {
 	return endpoint.Limit{Limited: true, PerSecond: perSecond}
 }
 
@@ -42,15 +42,15 @@
 		urgent bool
 	}{
 		{0, endpoint.Limit{}, false},
-		{0, named(10), true},
-		{time.Second, named(10), false},
-		{time.Second, named(20), false},
-		{time.Second, named(19), false},
-		{time.Second, named(5), true},
+		{0, limited(10), true},
+		{time.Second, limited(10), false},
+		{time.Second, limited(20), false},
+		{time.Second, limited(19), false},
+		{time.Second, limited(5), true},
 		{2 * time.Second, endpoint.Limit{}, false},
 		{3 * time.Second, endpoint.Limit{}, true},
 		{3 * time.Second, endpoint.Limit{}, false},
-		{4 * time.Second, named(5), true},
+		{4 * time.Second, limited(5), true},
 	} {
 		_, urgent := r.Observe("e", x.limit, at(x.offset))
 		require.Equal(t, x.urgent, urgent, i)
@@ -61,11 +61,11 @@
 // every answer may name it.
 func TestLimitExpires(t *testing.T) {
 	var r stated.Rates
-	r.Observe("e", named(1), epoch)
+	r.Observe("e", limited(1), epoch)
 	for d := time.Duration(0); d < 10*time.Second; d += 100 * time.Millisecond {
 		r.Observe("e", endpoint.Limit{}, at(d))
 		if d%time.Second == 0 {
-			r.Observe("e", named(1), at(d))
+			r.Observe("e", limited(1), at(d))
 		}
 		require.Equal(t, 1, r.Len())
 	}
@@ -77,8 +77,8 @@
 // limit that was removed.
 func TestMergeOrder(t *testing.T) {
 	statements := []stated.Statement{
-		{Incarnation: "e", Named: true, PerSecond: 1, Age: 4 * time.Second},
-		{Incarnation: "e", Named: true, PerSecond: 2, Age: 3 * time.Second},
+		{Incarnation: "e", Limited: true, PerSecond: 1, Age: 4 * time.Second},
+		{Incarnation: "e", Limited: true, PerSecond: 2, Age: 3 * time.Second},
 		{Incarnation: "e", Age: time.Second},
 	}
 	for seed := range uint64(20) {
@@ -93,7 +93,7 @@
 	require.Len(t, r.Merge(statements[:1], epoch), 1)
 	require.Empty(t, r.Merge(statements[:2], epoch))
 	l, age := r.Limit("e", epoch)
-	require.Equal(t, named(2), l)
+	require.Equal(t, limited(2), l)
 	require.Equal(t, 3*time.Second, age)
 	require.Empty(t, r.Merge([]stated.Statement{{Incarnation: "other", Age: time.Minute}}, epoch))
 }
@@ -103,7 +103,7 @@
 func TestReport(t *testing.T) {
 	var r, other stated.Rates
 	for i := range 100 {
-		r.Observe(fmt.Sprint("e", i), named(1), at(time.Duration(i)*100*time.Millisecond))
+		r.Observe(fmt.Sprint("e", i), limited(1), at(time.Duration(i)*100*time.Millisecond))
 	}
 	now := at(10 * time.Second)
 	require.Len(t, r.Report(0, now).Words, 100)
@@ -112,7 +112,7 @@
 	require.Equal(t, r.Sum(), other.Sum())
 	require.Zero(t, (&stated.Rates{}).Sum())
 	for i := range 1000 {
-		r.Observe(fmt.Sprint("f", i), named(1), now)
+		r.Observe(fmt.Sprint("f", i), limited(1), now)
 	}
 	require.Len(t, r.Report(0, now).Words, 128)
 }
@@ -121,7 +121,7 @@
 func TestForget(t *testing.T) {
 	var r stated.Rates
 	for _, e := range []string{"a", "b", "c"} {
-		r.Observe(e, named(1), epoch)
+		r.Observe(e, limited(1), epoch)
 	}
 	r.Observe("c", endpoint.Limit{}, at(3*time.Second))
 	r.Forget(func(e string) bool { return e != "a" }, at(20*time.Second))
@@ -133,7 +133,7 @@
 
 // A report survives encoding, and one statement takes at most 64 bytes on the wire.
 func TestEncoding(t *testing.T) {
-	in := stated.Report{Sum: 7, Words: []stated.Statement{{Incarnation: "e/1", Named: true, PerSecond: 0.3, Age: time.Second}}}
+	in := stated.Report{Sum: 7, Words: []stated.Statement{{Incarnation: "e/1", Limited: true, PerSecond: 0.3, Age: time.Second}}}
 	b, err := msgpack.Marshal(in)
 	require.NoError(t, err)
 	var out stated.Report
--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -43,7 +43,7 @@
 type Leases interface {
 	// Given returns the integral of the box's share of the named rate over time, in seconds, and
 	// the current share, from 0 to 1.
-	Given(name string, now time.Time) (seconds, share float64)
+	Accrued(name string, now time.Time) (seconds, share float64)
 }
 
 // Question asks whether one more request may be sent to an endpoint, named by its incarnation.
@@ -82,7 +82,7 @@
 
 // Ask answers q and, if the request may be sent, takes one token from the endpoint's bucket.
 func (t *Throttle) Ask(q Question, now time.Time) Answer {
-	leased, share := t.Leases.Given(q.Endpoint, now)
+	leased, share := t.Leases.Accrued(q.Endpoint, now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	b := t.bucket(q.Endpoint, leased)
--- a/throttle/throttle_test.go
+++ b/throttle/throttle_test.go
@@ -16,7 +16,7 @@
 // fixedLease is a constant share of every rate, leased since the epoch.
 type fixedLease float64
 
-func (l fixedLease) Given(_ string, now time.Time) (seconds, share float64) {
+func (l fixedLease) Accrued(_ string, now time.Time) (seconds, share float64) {
 	return float64(l) * now.Sub(epoch).Seconds(), float64(l)
 }
 
