--- a/availability/availability.go
+++ b/availability/availability.go
@@ -1,6 +1,6 @@
-// Package availability tells whether an endpoint accepts a request now and, if not, when it will.
-// An endpoint is unavailable while it backs off, as it asked this box, and while its rate limit,
-// which all boxes share, is used up.
+// Package availability tracks whether endpoints accept requests and, if not, when they will. An
+// endpoint is unavailable during a back-off period that it requested of this box, and while its
+// rate limit, which all boxes share, is used up.
 package availability
 
 import (
@@ -13,7 +13,7 @@
 	"birchlink.dev/birchlink/stated"
 )
 
-// Availability is what one box knows about the availability of endpoints, which it identifies by
+// Availability holds the availability of endpoints as known to one box. Endpoints are identified by
 // their incarnations. Its zero value is ready to use, and its methods may be called concurrently.
 type Availability struct {
 	// Rates holds the rate limits of endpoints, which apply to all boxes together.
@@ -33,14 +33,14 @@
 	perSecond float64
 }
 
-// BackOff records that an endpoint asks this box for no requests for the time d, and returns the
-// time left, which is longer if an earlier period ends later.
+// BackOff records that an endpoint asked this box to back off for the time d. It returns the time
+// left, which exceeds d if an earlier period ends later.
 func (a *Availability) BackOff(incarnation string, d time.Duration, now time.Time) time.Duration {
 	a.backOffs.Extend(incarnation, d, now)
 	return a.backOffs.Remaining(incarnation, now)
 }
 
-// IsBackingOff reports whether an endpoint has asked this box for no requests now.
+// IsBackingOff reports whether an endpoint is in a back-off period that it requested of this box.
 func (a *Availability) IsBackingOff(incarnation string, now time.Time) bool {
 	return !a.backOffs.IsEmpty(now) && a.backOffs.Remaining(incarnation, now) > 0
 }
@@ -94,7 +94,7 @@
 	return l.Limited
 }
 
-// CountBackingOff returns the number of endpoints that have asked this box for no requests.
+// CountBackingOff returns the number of endpoints in a back-off period.
 func (a *Availability) CountBackingOff(now time.Time) int { return a.backOffs.Len(now) }
 
 // skippedFor returns how long an endpoint is skipped because its rate limit is used up. A skip ends
--- a/balance/avoid.go
+++ b/balance/avoid.go
@@ -6,8 +6,8 @@
 	"birchlink.dev/birchlink/endpoint"
 )
 
-// dataCentreState is what this box knows of a data centre as a whole: the last endpoint that could
-// not be reached and when, and until when all its endpoints are avoided.
+// dataCentreState is the state of a data centre as a whole: its last endpoint that could not be
+// reached, the time of that failure, and the time until which all its endpoints are avoided.
 type dataCentreState struct {
 	lastEndpoint string
 	lastFailure  time.Time
@@ -41,8 +41,8 @@
 // endpoint and gets its connections refused reports the same.
 const crashAvoid = 4 * time.Second
 
-// Crashed records that some box found that an endpoint crashed. Anything that the endpoint sends
-// this box later revokes the finding.
+// Crashed records a report that an endpoint crashed. Anything that the endpoint sends this box later
+// revokes the report.
 func (b *Balancer) Crashed(endpoint string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balance/backlog.go
+++ b/balance/backlog.go
@@ -6,15 +6,15 @@
 	"birchlink.dev/birchlink/endpoint"
 )
 
-// backlog is the prompt tokens of other boxes that an endpoint still has to read, according to the
-// hints that those boxes sent.
+// backlog is the number of prompt tokens of other boxes that an endpoint still has to prefill,
+// according to the hints that those boxes sent.
 type backlog struct {
 	tokens float64
 	at     time.Time
 }
 
-// remaining returns the tokens still to be read at time now by an endpoint that reads perSecond
-// tokens a second.
+// remaining returns the tokens that are still to be prefilled at time now by an endpoint that
+// prefills perSecond tokens a second.
 func (l *backlog) remaining(perSecond float64, now time.Time) float64 {
 	if l.tokens <= 0 {
 		return 0
--- a/balance/book.go
+++ b/balance/book.go
@@ -19,7 +19,7 @@
 	// regardless of the number of boxes.
 	Rand func() float64
 
-	// Availability tells which endpoints accept calls of this box.
+	// Availability holds which endpoints accept calls of this box.
 	Availability availability.Availability
 
 	mu          sync.Mutex
@@ -34,7 +34,7 @@
 	models      map[string]*estimate.Model // by service
 }
 
-// endpointState is what this box knows of one endpoint. The field tokens counts the prompt tokens
+// endpointState is the state of one endpoint as seen by this box. The field tokens counts the prompt tokens
 // of this box's calls that have had no event yet.
 type endpointState struct {
 	running             int
--- a/balance/book_test.go
+++ b/balance/book_test.go
@@ -216,7 +216,7 @@
 	})
 }
 
-// A hinted prompt of another box counts at once, and only for as long as the endpoint reads it.
+// A hinted prompt of another box counts at once, and only for as long as the endpoint prefills it.
 func TestHintedPromptsCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		es := endpoints(3)
@@ -239,10 +239,10 @@
 	var b balance.Balancer
 	q := balance.Query{Engine: true, Prompt: 500}
 	b.SetRemoteLoad(map[string]balance.Load{"e0": {Running: 1, Tokens: 8000}}, 4, time.Now())
-	for near, told := range []int{8000, 6000, 4000, 2000, 0} {
+	for near, queued := range []int{8000, 6000, 4000, 2000, 0} {
 		b.SetPeers(near, 0)
 		c, _ := b.Choose(es, q, time.Now())
-		require.Equal(t, told, c.Load.RemoteQueued)
+		require.Equal(t, queued, c.Load.RemoteQueued)
 	}
 }
 
@@ -261,8 +261,8 @@
 	})
 }
 
-// BenchmarkChoose chooses among 111 endpoints of which none backs off. Checking once whether any
-// does takes 25.4 us per choice, looking up each endpoint 27.8 us.
+// BenchmarkChoose measures a choice among 111 endpoints of which none backs off. A choice takes
+// 25.4 µs with one check whether any does, and 27.8 µs if each endpoint is looked up.
 func BenchmarkChoose(b *testing.B) {
 	es := endpoints(111)
 	var k balance.Balancer
@@ -279,7 +279,7 @@
 	es := endpoints(9)
 	var b balance.Balancer
 	for i := range 100 {
-		// An endpoint reads 100,000 tokens a second.
+		// An endpoint prefills 100,000 tokens a second.
 		l := estimate.Load{Prefill: 100 * i, RemoteQueued: 50 * (i % 30)}
 		d := 30*time.Millisecond + time.Duration(l.Prefill+l.RemoteQueued)*10*time.Microsecond
 		b.Model("s").Observe(l, d, time.Second, time.Now())
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -12,8 +12,8 @@
 // Costs of an endpoint besides its expected time to the first event.
 const (
 	// remotePenalty is the cost of an endpoint in another data centre: the round trip takes some
-	// milliseconds, and its traffic is billed. Without it the score of a day falls by 0.006, which
-	// is within the variation between runs.
+	// milliseconds, and its traffic is billed. Without it the score of a simulated day falls by 0.006,
+	// which is within the variation between runs.
 	remotePenalty = 10 * time.Millisecond
 
 	// remoteRetryPenalty replaces remotePenalty for a request that has lost an endpoint: the link
@@ -22,18 +22,18 @@
 
 	// slownessThreshold is the ratio of observed to expected time above which the estimate of an
 	// endpoint is scaled by its own ratio. Where a quarter of the endpoints are four times slower
-	// for 12 s, it adds 0.013 to the score of a day.
+	// for 12 s, it adds 0.013 to the score of a simulated day.
 	slownessThreshold = 1.5
 
-	// rereadWeight is the weight of the time to read shared parts that the endpoint has not cached,
-	// in addition to the delay of the answer itself. Reading them also delays other answers, and
-	// evicts parts that are then read again. It raises the mean score of five days with faults from
-	// 0.561 with 0 to 0.580.
+	// recomputeWeight is the weight of the time to prefill shared parts that the endpoint has not
+	// cached, in addition to the delay of the answer itself. Prefilling them also delays other
+	// answers and evicts parts that must then be recomputed. With 0 the mean score of five simulated
+	// days with faults is 0.561 instead of 0.580.
 	recomputeWeight = 4
 
 	// failurePenalty is the cost of an endpoint that fails every call; it scales with the square of
 	// the failure probability. Where a fifth to a third of the endpoints fail 45% of their calls
-	// for some seconds, it reduces the failed requests of a day from 12 to 7 in 1,000.
+	// for some seconds, it reduces the failed requests of a simulated day from 12 to 7 in 1,000.
 	failurePenalty = 3 * time.Second
 
 	// coldFraction is the fraction of a cold endpoint's remaining warm-up time that counts.
@@ -41,8 +41,8 @@
 
 	// preferredCachedFraction is the fraction of a prompt's shared tokens that the preferred
 	// endpoint is assumed to have cached. Boxes thereby send prompts with the same start to one
-	// endpoint without communicating. Without preferred endpoints the score of a day falls by 0.04
-	// to 0.05.
+	// endpoint without communicating. Without preferred endpoints the score of a simulated
+	// day falls by 0.04 to 0.05.
 	preferredCachedFraction = 0.7
 )
 
@@ -62,7 +62,7 @@
 	Parts        []call.Part
 	SharedParts  int             // length of the prefix of Parts that other requests may share
 	Prompt       int             // tokens, all parts together
-	Engine       bool            // the endpoints read prompts, and cache them
+	Engine       bool            // the endpoints prefill prompts and cache them
 	EndpointLost bool            // an earlier attempt of this request lost its endpoint
 	Objective    time.Duration   // for the time to the first event
 	Skip         map[string]bool // incarnations that the request was already sent to
@@ -89,8 +89,8 @@
 }
 
 // Choice is the chosen endpoint with the estimate behind it. Expected is the time to the first
-// event, Tokens the prompt tokens that the endpoint has to read, Running the requests that it has,
-// and LoadAge the age of the other boxes' load reports.
+// event, Tokens the prompt tokens that the endpoint has to prefill, Running the calls under way
+// there, and LoadAge the age of the other boxes' load reports.
 type Choice struct {
 	Endpoint        endpoint.Endpoint
 	Expected        time.Duration
@@ -213,7 +213,7 @@
 	uncached.Prefill = q.Prompt
 	c.TypicalFirstEvent, c.Pause = v.FirstEvent(uncached), v.Pause(c.Running)
 	if excess := c.Running + 1 - e.Slots; excess > 0 {
-		// All slots taken together, one becomes free every Held / Slots.
+		// One of all slots becomes free every SlotTime / Slots on average.
 		c.Expected += v.SlotTime * time.Duration(excess) / time.Duration(max(e.Slots, 1))
 	}
 	if st.slowness > slownessThreshold {
--- a/balance/entry.go
+++ b/balance/entry.go
@@ -95,7 +95,7 @@
 // End records that the call is over, and whether the endpoint failed or refused it. A refusal
 // counts as a failure: refusals are faster than answers and would otherwise attract calls to the
 // endpoints that refuse. Where a third of the endpoints refuse nine in ten calls for some seconds,
-// this reduces the refused requests of a day from 0.056 to 0.024.
+// this reduces the refused requests of a simulated day from 0.056 to 0.024.
 func (a *Attempt) End(failed bool, now time.Time) {
 	a.balancer.mu.Lock()
 	defer a.balancer.mu.Unlock()
--- a/balance/failing.go
+++ b/balance/failing.go
@@ -10,8 +10,8 @@
 
 // failureHalfLife is the half-life of the failures of an endpoint. Without decay an endpoint that
 // has recovered would get no calls. Where a third of the endpoints refuse nine in ten calls for
-// some seconds, 0.024 of a day's requests are refused with 10 s, 0.021 without decay and 0.026 with
-// 3 s; where they fail these calls, 0.0138, 0.0132 and 0.0157 fail.
+// some seconds, 0.024 of the requests of a simulated day are refused with 10 s, 0.021 without decay
+// and 0.026 with 3 s; where they fail these calls, 0.0138, 0.0132 and 0.0157 fail.
 const failureHalfLife = 10 * time.Second
 
 const (
@@ -58,9 +58,9 @@
 
 // failureProbability returns the probability that a call at the endpoint fails: the rate that this
 // box has seen or that of all boxes of its data centre together, whichever is higher. With 70 boxes
-// and 60 endpoints, a box sends to each endpoint only once in some seconds and learns too late by
-// itself. Where some endpoints refuse much of their work, 0.031 of a day's requests are refused
-// with the counts of the other boxes and 0.051 without.
+// and 60 endpoints, a box sends to each endpoint only once in some seconds, so its own counts show a
+// failing endpoint too late. Where some endpoints refuse much of their work, 0.031 of the requests
+// of a simulated day are refused with the counts of the other boxes and 0.051 without.
 func (st *endpointState) failureProbability(now time.Time) float64 {
 	own := st.ownFailureRate(now)
 	if st.remoteCalls.Failed == 0 {
@@ -78,8 +78,8 @@
 	return st.failureRate * math.Exp2(-float64(max(now.Sub(st.failureRateAt), 0))/float64(failureHalfLife))
 }
 
-// FailureReport returns what this box reports to the others of its data centre: its calls at the
-// endpoints that failed some of them, or that others report as failing.
+// FailureReport returns this box's report to the other boxes of its data centre: the counts of its
+// calls at the endpoints that failed some of them or that others report as failing.
 func (b *Balancer) FailureReport(now time.Time) map[string]CallCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balance/parts.go
+++ b/balance/parts.go
@@ -6,8 +6,8 @@
 	"birchlink.dev/birchlink/call"
 )
 
-// Bounds of what is remembered of an endpoint's cache. The endpoint evicts the least recently used
-// parts, and other boxes fill its cache as well.
+// Bounds on the record of an endpoint's cache. The endpoint evicts the least recently used parts,
+// and other boxes fill its cache as well.
 const (
 	partTTL  = 30 * time.Second
 	maxParts = 4096
--- a/balance/reach.go
+++ b/balance/reach.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// HintScope says which other boxes get a hint of a prompt.
+// HintScope selects the other boxes that get a hint of a prompt.
 type HintScope int
 
-// Hints go to no box, to the boxes nearby, or to all boxes.
+// Scopes of a hint: no box, the nearby boxes, or all boxes.
 const (
 	HintNone HintScope = iota
 	HintNearby
 	HintAll
 )
 
-// Minimum reading times of long and very long prompts. A prompt shorter than longPromptReading does
+// Minimum prefill times of long and very long prompts. A prompt with a time below minLongPrefill does
 // not delay others noticeably. Where drafts are mixed with short answers, one prompt in six is very
-// long, and these are half of all tokens read. With more than maxFullHintPeers boxes nearby, the
+// long, and these prompts have half of all prefilled tokens. With more than maxFullHintPeers boxes nearby, the
 // threshold for long prompts grows in proportion to their number, so that the rate of hints to each
 // box stays bounded.
 const (
@@ -26,13 +26,13 @@
 	maxFullHintPeers   = 32
 )
 
-// longReading returns the least reading time of the prompts of which nearby boxes get hints.
+// longPrefill returns the least prefill time of the prompts of which nearby boxes get hints.
 func (b *Balancer) longPrefill() time.Duration {
 	return max(minLongPrefill, minLongPrefill*time.Duration(b.nearPeers)/maxFullHintPeers)
 }
 
-// HintScope returns which other boxes should get a hint of a prompt that this box sends, and counts
-// the prompt for UnobservedFraction.
+// HintScope returns the scope of the hint of a prompt that this box sends, and counts the prompt for
+// UnobservedFraction.
 func (b *Balancer) HintScope(service string, tokens int, now time.Time) HintScope {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balance/rest.go
+++ b/balance/rest.go
@@ -10,11 +10,11 @@
 // a fraction of that time. It keeps them from retrying all at once.
 const retryAfterJitter = 0.2
 
-// BackOff records that the endpoint asks this box for no calls for the time d; if d is not positive
-// it does nothing. During this time the endpoint is not chosen, even if there is no other: a
+// BackOff records that the endpoint asked this box to back off for the time d. BackOff does nothing
+// if d is not positive. During this period the endpoint is not chosen, even if there is no other: a
 // refusal ends a call in 2 ms, so that a refusing endpoint looks like the fastest. Without this
-// rule three such endpoints were the first choice of 75 requests in six seconds, up to 8 of them
-// from one box, and refused all. After the period the endpoint gets one call at a time until it
+// rule, three such endpoints are the first choice of 75 requests in six seconds, up to 8 of them
+// from one box, and refuse them all. After the period the endpoint gets one call at a time until it
 // runs one.
 func (a *Attempt) BackOff(d time.Duration, now time.Time) {
 	if d <= 0 {
--- a/balance/spread_test.go
+++ b/balance/spread_test.go
@@ -13,8 +13,8 @@
 )
 
 // If every scan started at the same endpoint, boxes that know of no load would all choose the first
-// by ID: with 985 boxes sending half a request a second each to 305 endpoints, 123 endpoints got
-// none and the busiest ten times the mean. Equal endpoints must be equally likely.
+// by ID: with 985 boxes sending half a request a second each to 305 endpoints, 123 endpoints would
+// get none and the busiest ten times the mean. Equal endpoints must be equally likely.
 func TestChooseSpreadsOverEqualEndpoints(t *testing.T) {
 	es := make([]endpoint.Endpoint, 305)
 	for i := range es {
--- a/demand/meter.go
+++ b/demand/meter.go
@@ -13,8 +13,8 @@
 // second, and long enough to smooth the gaps between arrivals.
 const rateHalfLife = 2 * time.Second
 
-// Stats is the demand for a service: the rate of prompt tokens to read, per second, and the number
-// of requests under way.
+// Stats is the demand for a service: the rate of prompt tokens to prefill, per second, and the
+// number of requests under way.
 type Stats struct {
 	Tokens  float64
 	Running float64
--- a/hint/hint.go
+++ b/hint/hint.go
@@ -1,7 +1,7 @@
 // Package hint lets boxes notify each other of the long prompts that they send to endpoints. Load
-// reports come twice a second, but a prompt is read in a fraction of that time, so they arrive too
-// late to show it. Hints are datagrams without retransmission: a lost hint only makes a choice
-// slightly worse, and a late one is useless. With the endpoints reading for an eighth of their
+// reports are sent twice a second, but a prompt is prefilled in a fraction of that interval and may
+// be missing from all reports. Hints are datagrams without retransmission: a lost hint only makes a
+// choice slightly worse, and a late one is useless. With endpoints that prefill for an eighth of the
 // time, 3% of short answers wait for more than 68 ms with hints, and for more than 165 ms without.
 package hint
 
@@ -21,14 +21,14 @@
 // Name is the service's name.
 const Name = "hint"
 
-// Limits of a hint: its size in bytes, which leaves room for any endpoint ID, and its tokens, which
-// exceed those of any prompt. Larger hints did not come from a box and are ignored.
+// Limits of a hint. maxSize, in bytes, leaves room for any endpoint ID, and maxTokens exceeds the
+// tokens of any prompt. Larger hints cannot come from a box and are ignored.
 const (
 	maxSize   = 512
 	maxTokens = 10_000_000
 )
 
-// Hint says that a box sends a prompt to an endpoint, and how many tokens the endpoint has to read.
+// Hint announces that a box sends a prompt to an endpoint, which has to prefill Tokens tokens of it.
 type Hint struct {
 	Endpoint string `msgpack:"e"`
 	Tokens   int    `msgpack:"t"`
--- a/ledger/page_test.go
+++ b/ledger/page_test.go
@@ -69,8 +69,8 @@
 		}
 		b, err := p.Bytes()
 		require.NoError(t, err)
-		again, err := ledger.Parse(b)
+		reparsed, err := ledger.Parse(b)
 		require.NoError(t, err)
-		require.Equal(t, len(p.Claims), len(again.Claims))
+		require.Equal(t, len(p.Claims), len(reparsed.Claims))
 	})
 }
--- a/limit/limit.go
+++ b/limit/limit.go
@@ -30,8 +30,8 @@
 )
 
 // A call usually takes a few milliseconds, and the shortest latency objectives are 100 ms. A
-// call that exceeds askTimeout is abandoned, and that box is skipped for the cooldown; after it
-// a single request probes the box. If no arbiter answers, all are asked once more with
+// call that exceeds askTimeout is abandoned, and the called box is skipped during the cooldown,
+// after which a single request probes it. If no arbiter answers, all are asked once more with
 // finalAskTimeout.
 const (
 	askTimeout      = 25 * time.Millisecond
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -19,7 +19,7 @@
 	"birchlink.dev/birchlink/stated"
 )
 
-// freeAddress returns a loopback address on which nobody listens.
+// freeAddress returns a loopback address that is not in use.
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/quarantine/decide.go
+++ b/quarantine/decide.go
@@ -8,7 +8,7 @@
 	"birchlink.dev/birchlink/content"
 )
 
-// updateRefused drops expired records, computes the set of refused contents anew and logs the
+// updateRefused drops expired records, recomputes the set of refused contents and logs the
 // changes.
 func (q *Quarantine) updateRefused(now time.Time) {
 	for h, r := range q.records {
@@ -32,7 +32,7 @@
 
 // selectRefused returns the contents that explain the crashes. It is a greedy set cover: the content
 // with the most unexplained crashes is selected first, and its crashes no longer count for any other
-// content. Contents with equally many are selected together, until further crashes tell them apart.
+// content. Contents with equally many are selected together, until further crashes distinguish them.
 func selectRefused(records map[content.Hash]*record) map[content.Hash]bool {
 	refused := map[content.Hash]bool{}
 	explained := map[uint64]bool{}
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -58,8 +58,8 @@
 	// heartbeats.
 	confirmWindow = 6 * time.Second
 
-	// recentWindow is how long a box reports what it saw. It covers the four seconds within which
-	// a box finds another relay.
+	// recentWindow is how long a box reports its observations. The window covers the four seconds
+	// within which a box finds another relay.
 	recentWindow = 10 * time.Second
 
 	// Bounds on the number of suspected contents, of crashes per content, of failed attempts that
@@ -76,7 +76,7 @@
 // holdTimes are the hold times after no, one, and two or more failed trials.
 var holdTimes = [...]time.Duration{5 * time.Second, time.Minute, 10 * time.Minute}
 
-// Quarantine holds what one box knows about contents that may crash endpoints. The zero value is
+// Quarantine holds the records of one box about contents that may crash endpoints. The zero value is
 // ready to use.
 type Quarantine struct {
 	Log zerolog.Logger
@@ -103,7 +103,7 @@
 	at       time.Time
 }
 
-// RecordFailure records that an attempt broke at an endpoint that did not announce that it leaves.
+// RecordFailure records that an attempt broke at an endpoint that had not announced its shutdown.
 // The failure counts against the content once the endpoint is found to have crashed.
 func (q *Quarantine) RecordFailure(h content.Hash, endpoint string, now time.Time) {
 	q.mu.Lock()
@@ -117,8 +117,8 @@
 	q.failed = append(q.failed, failedAttempt{h, endpoint, now})
 }
 
-// RecordCrash records that an endpoint has crashed. The text in how says how that was detected, for
-// the log.
+// RecordCrash records that an endpoint has crashed. how names the means of detection, for the
+// log.
 func (q *Quarantine) RecordCrash(endpoint, how string, now time.Time) {
 	q.mu.Lock()
 	changed := q.confirm(endpoint, how, now)
@@ -213,7 +213,7 @@
 	}
 }
 
-// RecordSend records that a content is sent to an endpoint. For a refused content that is a trial.
+// RecordSend records that a content is sent to an endpoint. The send of a refused content is a trial.
 func (q *Quarantine) RecordSend(h content.Hash, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -223,7 +223,7 @@
 	}
 }
 
-// Merge takes in suspects from another box or from the store. It reports whether anything changed.
+// Merge merges suspects from another box or from the store. It reports whether anything changed.
 // For a content that this box has seen answered recently, it clears the content and passes the
 // answer to OnChange.
 func (q *Quarantine) Merge(suspects []Suspect, now time.Time) bool {
@@ -272,8 +272,8 @@
 	})
 }
 
-// Verdicts returns what a relay sends to its members: the contents that are refused, and those that
-// were suspected and have been answered within answerProtection.
+// Verdicts returns the records that a relay sends to its members: those of the contents that are
+// refused, and of suspected contents that were answered within answerProtection.
 func (q *Quarantine) Verdicts(now time.Time) []Suspect {
 	return q.list(now, func(h content.Hash, r *record) bool {
 		return q.refused[h] || now.Sub(r.lastAnswer) < answerProtection
--- a/quota/arbiter.go
+++ b/quota/arbiter.go
@@ -15,9 +15,9 @@
 	Leaving    bool // still answers, but gets no new leases
 }
 
-// shardCount is the number of groups of accounts, each with its own arbiters. Sixteen
-// spread over the relays of nine data centres, and the pieces of all of them fit in one
-// message.
+// shardCount is the number of groups of accounts, each with its own arbiters. 16
+// shards spread over the relays of nine data centres, and the pieces of all shards fit in
+// one message.
 const shardCount = 16
 
 func shard(account string) int { return int(rendezvous.Hash(account) % shardCount) }
@@ -60,8 +60,8 @@
 
 // askOrder returns the arbiters that a box asks for an account, in order: the home relay
 // of its data centre, the account's arbiters, and the other relays of the data centre,
-// since leases may have moved to them. Leaving arbiters are included because they can
-// spend their leases until these expire.
+// since leases may have moved to them. Leaving arbiters are included because they may
+// spend their leases until the leases expire.
 func askOrder(self Arbiter, arbiters []Arbiter, account string) []Arbiter {
 	staying, sh := withoutLeaving(arbiters), shard(account)
 	var out []Arbiter
--- a/quota/ask.go
+++ b/quota/ask.go
@@ -51,9 +51,9 @@
 	Urgent     bool
 }
 
-// Answer reports whether a request was admitted and, if not, after what delay its caller
-// may retry. Level is what the bucket that decided holds, in units, and Part is the share
-// of the account's rate that fills this bucket.
+// Answer reports whether a request was admitted and, if not, the delay after which its
+// caller may retry. Level is the level of the deciding bucket, in units, and Part is the
+// share of the account's rate that fills this bucket.
 type Answer struct {
 	OK    bool
 	After time.Duration
@@ -68,8 +68,8 @@
 // Ask decides a question from this box's bucket. A request may be larger than the
 // capacity of a bucket, so it is admitted while the level is positive, and the level
 // becomes negative. Many boxes with a small share each would together admit too much
-// that way: below smallShare a request is admitted with the probability that the level
-// covers its size.
+// that way, so below smallShare the level must cover a random fraction of the size, which
+// admits a request with a probability of the level divided by the size.
 func (q *Quota) Ask(x Question, now time.Time) Answer {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -101,6 +101,6 @@
 }
 
 const (
-	urgentReserve = 0.1  // share of a bucket's capacity that is kept for urgent requests
+	urgentReserve = 0.1  // share of a bucket's capacity reserved for urgent requests
 	smallShare    = 0.12 // share of the rate below which a bucket is one of many
 )
--- a/quota/before.go
+++ b/quota/before.go
@@ -8,10 +8,10 @@
 )
 
 // initialBurstShare is the share of its burst with which an account that was not short
-// starts after a restart of all boxes. It is granted once at each box and once more where
-// the box's share is leased to. The windows have room for that, since the account asked for
-// less than its rate and nothing ran during the restart. Until boxes reach each other, each
-// has only its own share of it. With 2.2, accounts exceed their limits in 13 of 372
+// starts after a restart of all boxes. This level is granted once at each box and again at
+// the boxes to which its share is leased. The windows have room for both, since the account
+// demanded less than its rate and nothing ran during the restart. Until boxes reach each
+// other, each has only its own share of the level. With 2.2, accounts exceed their limits in 13 of 372
 // simulated runs of TestLimitUnderRandomFaults.
 const initialBurstShare = 0.9
 
@@ -23,9 +23,9 @@
 // boxes start at once, they have exchanged leases by then.
 const restoreMaxAge = 3500 * time.Millisecond
 
-// Before is the state saved by the boxes before this process started: how many boxes
-// there were, the levels of the accounts that were short, in units, and the division of
-// the limits.
+// Before is the state that the boxes saved before this process started: the number of
+// boxes, the levels of the accounts that were short, in units, and the division of the
+// limits.
 type Before struct {
 	Boxes    int
 	Short    map[string]float64
@@ -40,9 +40,9 @@
 	return initialBurstShare * b.burst
 }
 
-// Snapshot returns the state to save for processes that start later: the accounts that are
-// short by the deficits of all relays together, and a division computed from the current
-// box counts and demand.
+// Snapshot returns the state to save for processes that start later: the levels of the
+// accounts that are short, given the deficits of all relays together, and a division
+// computed from the current box counts and demand.
 func (q *Quota) Snapshot(boxes int, accounts []catalog.Account, now time.Time) Before {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -118,8 +118,8 @@
 }
 
 // restoreLevels adds the initial levels to the buckets, in proportion to shares that are
-// leased to this process for the first time. What the buckets held of them before the
-// restart is lost, here or at the box to which they were leased.
+// leased to this process for the first time. The tokens that these shares had accrued before
+// the restart are lost, at this box or at the box to which the shares were leased.
 func (q *Quota) restoreLevels(h heldLease, now time.Time) {
 	if q.saved == nil || q.age(now) > restoreMaxAge || len(h.pieces) != shardCount {
 		return
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -8,7 +8,7 @@
 )
 
 // maxDebtShare is the largest debt of a bucket, as a share of what the account's rate
-// yields in a window. A single request may be larger than that, and must not block its
+// yields in a window. A single request may be larger than that and must not block its
 // account for minutes.
 const maxDebtShare = 0.75
 
@@ -50,15 +50,15 @@
 	}
 }
 
-// fill adds the tokens accrued from leases since the last call and returns the share of
-// the rate that this box has now. The level is capped by the current share of the burst,
+// fill adds the tokens accrued from leases since the last call and returns this box's
+// current share of the rate. The level is capped by the current share of the burst,
 // so tokens of a lease that has ended are dropped and all buckets together never hold more
 // than one burst.
 //
 // The cap does not apply to a process younger than restoreMaxAge. While boxes represent
-// only themselves, a box's share of the burst is smaller than a request. If 70 boxes have
-// restarted and an account asks for 0.55 of its rate in requests of a twentieth of its
-// burst, 32 of 140 are refused in 2.5 s, and 61 with the cap
+// only themselves, a box's share of the burst is smaller than a request. When 70 boxes
+// restart and an account sends 0.55 of its rate in requests of a twentieth of its burst, 32
+// of 140 requests are refused in 2.5 s, and 61 with the cap
 // (TestRestartBelowRateWithLargeRequests). All shares together still accrue no more than
 // the rate.
 func (q *Quota) fill(b *bucket, now time.Time) float64 {
--- a/quota/division.go
+++ b/quota/division.go
@@ -15,9 +15,9 @@
 	Weights map[string]map[string]float64 // by account and data centre; an account without weights is divided evenly
 }
 
-// retainFor is how long a division is respected after it was replaced, and how long a box is
+// retainFor is how long a division is respected after its replacement, and how long a box is
 // counted after it was last reachable. A partitioned box may still use the old division.
-// Partitions of 12 s are usual.
+// Partitions of 12 s are common.
 const retainFor = 20 * time.Second
 
 // assumedBoxes is the number of boxes assumed while no division is known.
--- a/quota/even.go
+++ b/quota/even.go
@@ -66,9 +66,9 @@
 	e.accruedTo = now
 }
 
-// Given returns how many seconds' worth of an evenly divided rate this box has accrued up to
-// now, and the share of the rate that it has now. The seconds count from an arbitrary
-// origin, so only differences are meaningful.
+// Accrued returns how many seconds' worth of an evenly divided rate this box has accrued up to
+// now, and its current share of the rate. The seconds count from an arbitrary origin, so only
+// differences are meaningful.
 func (q *Quota) Accrued(name string, now time.Time) (seconds, share float64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -143,8 +143,8 @@
 	return !x.dead && !x.frozen && !y.dead && !y.frozen && x.partition == y.partition && f.rng.Float64() >= f.lossRate
 }
 
-// relays returns the relays of a data centre: its first two live boxes, which would
-// eventually hold the leases in the store.
+// relays returns the relays of a data centre: its first two live boxes. In a real fleet these
+// would be the boxes that hold the relay leases in the store.
 func (f *fleet) relays(dc int) []int {
 	var out []int
 	for i := dc; i < len(f.nodes) && len(out) < 2; i += f.dataCentres {
--- a/quota/hold.go
+++ b/quota/hold.go
@@ -40,9 +40,9 @@
 // filled up to now, since replace drops leases that have ended.
 //
 // A box that is stopping keeps pieces that the new lease lacks until their lease ends.
-// Their lessor leases them to no other box before that, so nobody else could spend them. If
-// three of six relays stop at once, all requests of an account at half of its rate are
-// admitted; otherwise 54 or 85 in 100 are, if those three hold all of its pieces
+// Their lessor leases them to no other box before that, so they would be unused. With this
+// rule, all requests of an account at half of its rate are admitted while three of six relays
+// stop at once; without it, 54 or 85 in 100 are, if those three hold all of its pieces
 // (TestRelaysStop).
 func (l *lessee) replace(h heldLease, now time.Time) {
 	valid := len(h.pieces) == shardCount
--- a/quota/lease.go
+++ b/quota/lease.go
@@ -46,8 +46,8 @@
 
 // homeShare is the share that stays in a data centre, for its boxes to spend while they are
 // partitioned and the leases have not moved yet. With 0.1, 69 of 402 requests are refused in
-// the first two seconds of a partition, and 9 in 1,000 over a day; with 0.5, 4 in 1,000 over
-// a day.
+// the first two seconds of a partition, and 9 in 1,000 over a simulated day; with 0.5, 4 in
+// 1,000 over a simulated day.
 const homeShare = 0.5
 
 // Pieces is a bit set of the pieces into which a lessor divides its share of each shard:
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -3,7 +3,7 @@
 // represents the boxes that it serves and leases their shares to two arbiters of each
 // account, which the other boxes ask. A box can spend only what is leased to it, so limits
 // hold during partitions and restarts. Rates that do not belong to accounts and are not
-// configured are divided evenly over all boxes and leased in the same way (Given, Arbiters).
+// configured are divided evenly over all boxes and leased in the same way (Accrued, Arbiters).
 package quota
 
 import (
@@ -14,10 +14,11 @@
 	"birchlink.dev/birchlink/catalog"
 )
 
-// Terms define how the limit of an account is enforced: in each Window it may spend its
-// rate over the window plus its burst. All boxes together may exceed that by Overage, a
-// fraction of it, plus Slack, in units. The tolerance covers requests that are larger than
-// the level of a bucket, and state that is lost at a restart.
+// Tolerance defines how strictly the limit of an account is enforced. In each Window an
+// account may spend its rate over the window plus its burst. All boxes together may exceed
+// this amount by Overage, as a fraction of it, plus Slack, in units. The excess comes from
+// requests that are larger than the level of a bucket and from state that is lost at a
+// restart.
 type Tolerance struct {
 	Window  time.Duration
 	Overage float64
@@ -40,7 +41,7 @@
 	toleratedBurstShare = 0.2  // share granted at once
 )
 
-// defaultWindow is used if Terms.Window is zero.
+// defaultWindow is used if Tolerance.Window is zero.
 const defaultWindow = 8 * time.Second
 
 func (t Tolerance) window() time.Duration {
@@ -93,7 +94,7 @@
 	// they are passed to Restore; otherwise buckets start empty.
 	Started time.Time
 
-	// Chance returns random numbers in [0, 1).
+	// Rand returns random numbers in [0, 1).
 	Rand func() float64
 
 	mu          sync.Mutex
@@ -213,7 +214,7 @@
 		q.received = map[string]Lease{}
 	}
 	if old, ok := q.received[l.From]; ok && old.Now.Incarnation != l.Now.Incarnation {
-		// The lessor restarted and assigns its pieces anew.
+		// The lessor restarted and reassigns its pieces.
 		q.fillAll(now)
 		q.lessee.drop(l.From)
 		q.evenLeases.drop(l.From, now)
@@ -231,8 +232,8 @@
 	q.evenLeases.accept(l.From, l.Even, until, now)
 }
 
-// Forget removes the last message of a relay that is unreachable. Its leases expire on
-// their own.
+// Forget removes the last lease message of an unreachable relay. The leases that it granted
+// stay until they expire.
 func (q *Quota) Forget(relay string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/quota/rates_test.go
+++ b/quota/rates_test.go
@@ -18,9 +18,9 @@
 	"birchlink.dev/birchlink/throttle"
 )
 
-// Bound on the requests that boxes which know an endpoint's limit may send it in rateWindow, from
-// rateSettleTime after the limit was first reported: rateTolerance times the limit plus
-// rateAllowance requests.
+// Bound on the requests that the boxes which know an endpoint's limit may send to it in rateWindow:
+// rateTolerance times the limit plus rateAllowance requests. The bound holds from rateSettleTime
+// after the limit was first reported.
 const (
 	rateWindow     = 4 * time.Second
 	rateSettleTime = 3 * time.Second
--- a/rendezvous/rank.go
+++ b/rendezvous/rank.go
@@ -1,5 +1,5 @@
-// Package rendezvous assigns keys to members by rendezvous hashing (highest random weight). All who
-// know the same members choose the same ones without communicating.
+// Package rendezvous assigns keys to members by rendezvous hashing (highest random weight).
+// Processes that know the same members choose the same ones without communicating.
 package rendezvous
 
 import (
@@ -26,8 +26,8 @@
 // Hash returns the hash of a string, as a key or as a member.
 func Hash(s string) uint64 { return xxhash.Sum64String(s) }
 
-// Top returns the n members with the highest weights for a key in descending order. It returns all
-// if there are fewer than n.
+// Top returns the n members with the highest weights for a key in descending order, or all
+// members if there are fewer than n.
 func Top(key uint64, members []string, n int) []string {
 	s := slices.Clone(members)
 	slices.SortFunc(s, func(a, b string) int {
--- a/rest/rest.go
+++ b/rest/rest.go
@@ -1,5 +1,5 @@
-// Package rest records until when endpoints accept no calls of this box, as they asked in the
-// Retry-After header of a refusal.
+// Package rest records the back-off periods that endpoints request of this box in the Retry-After
+// header of a refusal.
 package rest
 
 import (
@@ -14,7 +14,7 @@
 // overflowing a time.Duration.
 const MaxBackOff = 24 * time.Hour
 
-// retryAfterHeader is the header that says when to retry.
+// retryAfterHeader is the header that carries the back-off period.
 const retryAfterHeader = "Retry-After"
 
 // BackOffs holds the back-off periods of endpoints by the names of their incarnations. The zero
@@ -44,8 +44,8 @@
 	return min(max(at.Sub(now), 0), MaxBackOff)
 }
 
-// Extend records that an endpoint asks for no calls for the time d. It does nothing if d is not
-// positive, and does not shorten a period that ends later.
+// Extend records that an endpoint asked this box to back off for the time d. It does nothing if d is
+// not positive, and does not shorten a period that ends later.
 func (r *BackOffs) Extend(name string, d time.Duration, now time.Time) {
 	if d <= 0 {
 		return
--- a/router/affinity.go
+++ b/router/affinity.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// prefillFactor is the ratio of the speed at which an engine reads a prompt to the speed at which
-// it generates an answer, both in tokens per second.
+// prefillFactor is the ratio of the speed at which an engine prefills a prompt to the speed at
+// which it generates an answer, both in tokens per second.
 const prefillFactor = 40
 
 // preferencePenalty is the cost of a target whose Preference is 0.
--- a/router/target.go
+++ b/router/target.go
@@ -5,7 +5,7 @@
 
 // Target is one endpoint that may take the request. Busy counts its streams, running or waiting.
 // Hash is the hash of its name for rendezvous hashing. Preference ranges from 0 to 1. PrefixCached
-// says that its cache is known to hold the prefix, and NetworkDelay is added to its expected time.
+// reports whether its cache is known to hold the prefix. NetworkDelay is added to its expected time.
 type Target struct {
 	Box             string
 	Hash            uint64
@@ -27,8 +27,8 @@
 }
 
 // Choice is the index of the chosen target, or -1 if there is none, with its expected time to the
-// first token of an urgent request or to the last token of any other. Preferred says that it is the
-// preferred target of the prefix.
+// first token of an urgent request or to the last token of any other. Preferred reports whether it is
+// the preferred target of the prefix.
 type Choice struct {
 	Index     int
 	Expected  time.Duration
--- a/stated/rates.go
+++ b/stated/rates.go
@@ -17,7 +17,7 @@
 
 const (
 	// limitTTL is the age at which an answer without a limit removes a known one. A younger limit
-	// is kept, because not every answer may name it and an answer may arrive late.
+	// is kept, because not every answer may carry it and an answer may arrive late.
 	limitTTL = 2 * time.Second
 
 	// tombstoneTTL is how long the removal of a limit is kept, so that an older statement which
@@ -35,7 +35,7 @@
 )
 
 // Statement is the limit stated by one incarnation of an endpoint, and its age. PerSecond is in
-// requests per second. If Named is false, the endpoint has no limit any longer.
+// requests per second. If Limited is false, the endpoint has lifted its limit.
 type Statement struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -58,7 +58,7 @@
 	records map[string]record // by incarnation
 }
 
-// record is a limit, or a tombstone if the limit is not named, and the time it was stated.
+// record is a limit, or a tombstone if Limited is false, and the time it was stated.
 type record struct {
 	endpoint.Limit
 	at time.Time
@@ -82,7 +82,7 @@
 	return Statement{Incarnation: incarnation, Limited: l.Limited, PerSecond: l.PerSecond}, urgent
 }
 
-// Merge takes in statements from other boxes. It returns those that add a limit or remove one.
+// Merge merges statements from other boxes. It returns those that add a limit or remove one.
 func (r *Rates) Merge(statements []Statement, now time.Time) []Statement {
 	if len(statements) == 0 {
 		return nil
--- a/stated/rates_test.go
+++ b/stated/rates_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// An answer without a limit removes the limit only if no answer has named it for a while, since not
-// every answer may name it.
+// An answer without a limit removes the limit only if no answer has carried it for limitTTL, since
+// not every answer may carry it.
 func TestLimitExpires(t *testing.T) {
 	var r stated.Rates
 	r.Observe("e", limited(1), epoch)
--- a/suspects/suspects.go
+++ b/suspects/suspects.go
@@ -113,7 +113,7 @@
 // RecordAnswer records that an endpoint has answered a content completely.
 func (s *Service) RecordAnswer(h content.Hash) { s.quarantine.RecordAnswer(h, boottime.Now()) }
 
-// RecordFailure records that an attempt broke at a process that did not announce that it leaves. It
+// RecordFailure records that an attempt broke at a process that had not announced its shutdown. It
 // dials the address and records a crash if the connection is refused.
 func (s *Service) RecordFailure(c context.Context, h content.Hash, process, address string) {
 	s.quarantine.RecordFailure(h, process, boottime.Now())
--- a/suspects/suspects_test.go
+++ b/suspects/suspects_test.go
@@ -29,7 +29,7 @@
 	address string
 }
 
-// freeAddress returns an address on which nobody listens. Its IP address is used for no outgoing
+// freeAddress returns an address that is not in use. Its IP address is used for no outgoing
 // connections, whose local ports could collide with it.
 func freeAddress(t *testing.T) string {
 	t.Helper()
--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// minPerSecond is the lowest rate, in requests per second, at which an endpoint is used. One
-	// that states a lower rate still gets requests, since only its answers show that the rate has
-	// risen.
+	// minPerSecond is the lowest rate, in requests per second, at which an endpoint is used. An
+	// endpoint that states a lower rate still gets requests at this rate, since only its answers
+	// show that its limit has risen.
 	minPerSecond = 0.2
 
 	// burstWindow is the time over which unused rate accumulates, in addition to one request.
@@ -41,7 +41,7 @@
 
 // Leases reports the shares of rates that are leased to this box.
 type Leases interface {
-	// Given returns the integral of the box's share of the named rate over time, in seconds, and
+	// Accrued returns the integral of the box's share of the named rate over time, in seconds, and
 	// the current share, from 0 to 1.
 	Accrued(name string, now time.Time) (seconds, share float64)
 }
@@ -75,7 +75,7 @@
 // bucket is a token bucket for one endpoint. A request takes a whole token: if a fraction sufficed,
 // each of many boxes with a small share could send a request at the same time.
 type bucket struct {
-	leased  float64 // result of Leases.Given, in seconds, at the last fill
+	leased  float64 // result of Leases.Accrued, in seconds, at the last fill
 	level   float64 // tokens
 	waiting float64 // refused callers whose retry time is still ahead
 }
