--- a/balance/avoid.go
+++ b/balance/avoid.go
@@ -41,9 +41,9 @@
 // endpoint and gets its connections refused reports the same.
 const crashAvoid = 4 * time.Second
 
-// Crashed records a report that an endpoint crashed. Anything that the endpoint sends this box later
-// revokes the report.
-func (b *Balancer) Crashed(endpoint string, now time.Time) {
+// RecordCrash records a report that an endpoint crashed. Anything that the endpoint sends this box
+// later revokes the report.
+func (b *Balancer) RecordCrash(endpoint string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state(endpoint).avoidedUntil = now.Add(crashAvoid)
--- a/balance/book_test.go
+++ b/balance/book_test.go
@@ -34,8 +34,8 @@
 	require.True(t, ok)
 	n := b.Begin(c.Endpoint, c, time.Now())
 	wait.For(t.Context(), latency)
-	n.Progress(time.Now())
-	n.Answered()
+	n.RecordProgress(time.Now())
+	n.RecordAnswer()
 	n.End(false, time.Now())
 }
 
@@ -97,7 +97,7 @@
 	bad, _ := b.Choose(es, q, time.Now())
 	for range 10 {
 		n := b.Begin(bad.Endpoint, bad, time.Now())
-		n.Progress(time.Now())
+		n.RecordProgress(time.Now())
 		n.End(true, time.Now())
 	}
 	c, _ := b.Choose(es, q, time.Now())
@@ -138,7 +138,7 @@
 		require.Zero(t, b.UnresponsiveFor("e0", time.Now()))
 		wait.For(t.Context(), 2*time.Second)
 		require.Equal(t, 2*time.Second, b.UnresponsiveFor("e0", time.Now()))
-		one.Progress(time.Now())
+		one.RecordProgress(time.Now())
 		require.Zero(t, b.UnresponsiveFor("e0", time.Now()))
 		one.End(false, time.Now())
 		two.End(false, time.Now())
@@ -167,8 +167,8 @@
 			d := latency(c.Endpoint, c.Tokens)
 			n := b.Begin(c.Endpoint, c, time.Now())
 			wait.For(t.Context(), d)
-			n.Progress(time.Now())
-			n.Answered()
+			n.RecordProgress(time.Now())
+			n.RecordAnswer()
 			n.End(false, time.Now())
 			wait.For(t.Context(), 100*time.Millisecond-d%(100*time.Millisecond))
 			if i >= 400 {
@@ -191,7 +191,7 @@
 			c, _ := b.Choose(es, q, time.Now())
 			n := b.Begin(c.Endpoint, c, time.Now())
 			wait.For(t.Context(), time.Millisecond)
-			n.Progress(time.Now())
+			n.RecordProgress(time.Now())
 			n.End(true, time.Now())
 		}
 		after, _ := b.Choose(es, q, time.Now())
--- a/balance/entry.go
+++ b/balance/entry.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Progress records that the endpoint, which runs the call, sent something for it.
-func (a *Attempt) Progress(now time.Time) {
+// RecordProgress records that the endpoint, which runs the call, sent something for it.
+func (a *Attempt) RecordProgress(now time.Time) {
 	a.balancer.mu.Lock()
 	defer a.balancer.mu.Unlock()
 	a.recordEvent(now)
@@ -57,8 +57,8 @@
 	}
 }
 
-// Refused records that the endpoint answered that it does not run the call.
-func (a *Attempt) Refused(now time.Time) {
+// RecordRefusal records that the endpoint answered that it does not run the call.
+func (a *Attempt) RecordRefusal(now time.Time) {
 	a.balancer.mu.Lock()
 	defer a.balancer.mu.Unlock()
 	a.recordEvent(now)
@@ -79,9 +79,9 @@
 	a.state.tokens -= a.tokens
 }
 
-// Answered records that the first event belonged to an answer, not to a failure. Its latency is a
-// sample of the endpoint's speed.
-func (a *Attempt) Answered() {
+// RecordAnswer records that the first event belonged to an answer, not to a failure. The latency of
+// the event is a sample of the endpoint's speed.
+func (a *Attempt) RecordAnswer() {
 	a.balancer.mu.Lock()
 	defer a.balancer.mu.Unlock()
 	took := a.firstEvent.Sub(a.start)
--- a/balance/failing_test.go
+++ b/balance/failing_test.go
@@ -75,15 +75,15 @@
 // finish ends an attempt. A failed one is retried at another endpoint if an attempt is left.
 func (c *simulation) finish(x inFlight, now time.Time) {
 	if !x.failed {
-		x.attempt.Progress(now)
-		x.attempt.Answered()
+		x.attempt.RecordProgress(now)
+		x.attempt.RecordAnswer()
 		x.attempt.End(false, now)
 		if x.counted {
 			c.served++
 		}
 		return
 	}
-	x.attempt.Refused(now)
+	x.attempt.RecordRefusal(now)
 	x.attempt.End(true, now)
 	if len(x.tried) < maxAttempts {
 		c.send(x.balancer, x.tried, x.counted, now)
--- a/balance/rest_test.go
+++ b/balance/rest_test.go
@@ -21,7 +21,7 @@
 	require.True(t, ok)
 	n := b.Begin(c.Endpoint, c, now)
 	n.BackOff(backOff, now)
-	n.Refused(now)
+	n.RecordRefusal(now)
 	n.End(false, now)
 }
 
@@ -65,13 +65,13 @@
 	before := b.Begin(c.Endpoint, c, epoch)
 	refuse(t, b, es, time.Second, epoch)
 	now := epoch.Add(2 * time.Second)
-	before.Progress(now)
+	before.RecordProgress(now)
 	c, _ = b.Choose(es, balance.Query{}, now)
 	require.False(t, c.Avoided)
 	n := b.Begin(c.Endpoint, c, now)
 	c, _ = b.Choose(es, balance.Query{}, now)
 	require.True(t, c.Avoided)
-	n.Progress(now)
+	n.RecordProgress(now)
 	c, _ = b.Choose(es, balance.Query{}, now)
 	require.False(t, c.Avoided)
 	n.End(false, now)
@@ -89,8 +89,8 @@
 		for i := range n {
 			now := from.Add(time.Duration(i) * 10 * time.Millisecond)
 			if len(inFlight) >= 6 {
-				inFlight[0].Progress(now)
-				inFlight[0].Answered()
+				inFlight[0].RecordProgress(now)
+				inFlight[0].RecordAnswer()
 				inFlight[0].End(false, now)
 				inFlight = inFlight[1:]
 			}
@@ -102,7 +102,7 @@
 				sent++
 			}
 			if bad && refuses {
-				x.Refused(now)
+				x.RecordRefusal(now)
 				x.End(true, now)
 				continue
 			}
@@ -140,10 +140,10 @@
 				backOff := time.Duration(r.IntN(3000)) * time.Millisecond
 				n.BackOff(backOff, now)
 				until[i] = now.Add(backOff)
-				n.Refused(now)
+				n.RecordRefusal(now)
 			} else {
-				n.Progress(now.Add(step))
-				n.Answered()
+				n.RecordProgress(now.Add(step))
+				n.RecordAnswer()
 			}
 			n.End(false, now.Add(step))
 		}
--- a/budget/budget.go
+++ b/budget/budget.go
@@ -18,8 +18,8 @@
 	Window time.Duration
 }
 
-// Fractions of the limits that boxes use. The rest is a margin: a box that restarts forgets what
-// it spent, and boxes and endpoints count a call at different moments.
+// Fractions of the limits that boxes use. The rest is a margin: a box that restarts loses its
+// counts, and boxes and endpoints count a call at different moments.
 const (
 	ratioShare = 0.7
 	slackShare = 0.4
--- a/daemon/tell.go
+++ b/daemon/tell.go
@@ -82,7 +82,7 @@
 func (p *entryParts) ended(incarnation string) {
 	id := endpoint.IDOf(incarnation)
 	if e, ok := p.known.Roster.Get(id); ok && e.Incarnation() == incarnation {
-		p.book.Crashed(id, boottime.Now())
+		p.book.RecordCrash(id, boottime.Now())
 	}
 }
 
--- a/forward/crash.go
+++ b/forward/crash.go
@@ -39,7 +39,7 @@
 // reportCrash records that an endpoint has crashed, since it refuses connections.
 func (r *run) reportCrash(e endpoint.Endpoint) {
 	now := boottime.Now()
-	r.f.Balancer.Crashed(e.ID, now)
+	r.f.Balancer.RecordCrash(e.ID, now)
 	r.f.Quarantine.RecordCrash(e.Incarnation(), "it refuses connections", now)
 	r.f.OnCrash(e)
 }
--- a/forward/response.go
+++ b/forward/response.go
@@ -30,7 +30,7 @@
 	r.handleOutcome(o)
 	n.BackOff(o.BackOff, boottime.Now())
 	if o.NotRun {
-		n.Refused(boottime.Now())
+		n.RecordRefusal(boottime.Now())
 		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxResponseSize))
 		return attemptResult{breakage: recovery.Refused, err: fmt.Errorf("status %d: not run", a.Status)}
 	}
@@ -44,11 +44,11 @@
 	if err != nil {
 		return attemptResult{breakage: recovery.Gone, err: fmt.Errorf("the answer was cut: %w", err)}
 	}
-	n.Progress(boottime.Now())
+	n.RecordProgress(boottime.Now())
 	read := boottime.Now()
 	r.recordStart(sent)
 	if a.Status < http.StatusMultipleChoices {
-		n.Answered()
+		n.RecordAnswer()
 	}
 	r.recordSurvival(a)
 	if a.Status >= http.StatusInternalServerError {
@@ -151,10 +151,10 @@
 			return out
 		}
 		w.recordEvent()
-		n.Progress(boottime.Now())
+		n.RecordProgress(boottime.Now())
 		out.recordEvent(boottime.Now())
 		if !out.advanced {
-			n.Answered()
+			n.RecordAnswer()
 		}
 		r.recordStart(boottime.Now())
 		if !r.headSent {
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -75,10 +75,10 @@
 	delete(r.crashes, oldest)
 }
 
-// addAnswer records that an endpoint answered the content without crashing. That discards all
-// earlier crashes, and those up to answerProtection later. It reports whether the record changed
-// enough to notify others: an answer that other boxes send back appears a few milliseconds newer
-// than the one recorded here and must not be forwarded again.
+// addAnswer records that an endpoint answered the content without crashing. All earlier
+// crashes, and those up to answerProtection later, are discarded. addAnswer reports whether the
+// record changed enough to notify others: an answer that other boxes send back appears a few
+// milliseconds newer than the one recorded here and must not be forwarded again.
 func (r *record) addAnswer(at time.Time) bool {
 	crashes := len(r.crashes)
 	maps.DeleteFunc(r.crashes, func(_ uint64, t time.Time) bool { return !t.After(at.Add(answerProtection)) })
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -68,7 +68,7 @@
 	require.LessOrEqual(t, f.peakWindow(), windowLimit())
 }
 
-// A box that restarts while others run does not admit again what was already spent.
+// A box that restarts while others run does not grant tokens that were already spent.
 func TestLimitAfterRestartOfOne(t *testing.T) {
 	f := newSettledFleet(smallFleet, 1)
 	f.send(10*time.Second, 5*account.Rate, 8000)
