--- a/balance/book_test.go
+++ b/balance/book_test.go
@@ -34,8 +34,8 @@
 	require.True(t, ok)
 	n := b.Begin(c.Endpoint, c, time.Now())
 	wait.For(t.Context(), latency)
-	n.Progress(time.Now())
-	n.Answered()
+	n.RecordProgress(time.Now())
+	n.RecordAnswer()
 	n.End(false, time.Now())
 }
 
@@ -97,7 +97,7 @@
 	bad, _ := b.Choose(es, q, time.Now())
 	for range 10 {
 		n := b.Begin(bad.Endpoint, bad, time.Now())
-		n.Progress(time.Now())
+		n.RecordProgress(time.Now())
 		n.End(true, time.Now())
 	}
 	c, _ := b.Choose(es, q, time.Now())
@@ -138,7 +138,7 @@
 		require.Zero(t, b.UnresponsiveFor("e0", time.Now()))
 		wait.For(t.Context(), 2*time.Second)
 		require.Equal(t, 2*time.Second, b.UnresponsiveFor("e0", time.Now()))
-		one.Progress(time.Now())
+		one.RecordProgress(time.Now())
 		require.Zero(t, b.UnresponsiveFor("e0", time.Now()))
 		one.End(false, time.Now())
 		two.End(false, time.Now())
@@ -167,8 +167,8 @@
 			d := latency(c.Endpoint, c.Tokens)
 			n := b.Begin(c.Endpoint, c, time.Now())
 			wait.For(t.Context(), d)
-			n.Progress(time.Now())
-			n.Answered()
+			n.RecordProgress(time.Now())
+			n.RecordAnswer()
 			n.End(false, time.Now())
 			wait.For(t.Context(), 100*time.Millisecond-d%(100*time.Millisecond))
 			if i >= 400 {
@@ -191,7 +191,7 @@
 			c, _ := b.Choose(es, q, time.Now())
 			n := b.Begin(c.Endpoint, c, time.Now())
 			wait.For(t.Context(), time.Millisecond)
-			n.Progress(time.Now())
+			n.RecordProgress(time.Now())
 			n.End(true, time.Now())
 		}
 		after, _ := b.Choose(es, q, time.Now())
@@ -216,7 +216,7 @@
 	})
 }
 
-// A hinted prompt of another box counts at once, and only for as long as the endpoint reads it.
+// A hinted prompt of another box counts at once, and only for as long as the endpoint prefills it.
 func TestHintedPromptsCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		es := endpoints(3)
@@ -239,10 +239,10 @@
 	var b balance.Balancer
 	q := balance.Query{Engine: true, Prompt: 500}
 	b.SetRemoteLoad(map[string]balance.Load{"e0": {Running: 1, Tokens: 8000}}, 4, time.Now())
-	for near, told := range []int{8000, 6000, 4000, 2000, 0} {
+	for near, queued := range []int{8000, 6000, 4000, 2000, 0} {
 		b.SetPeers(near, 0)
 		c, _ := b.Choose(es, q, time.Now())
-		require.Equal(t, told, c.Load.RemoteQueued)
+		require.Equal(t, queued, c.Load.RemoteQueued)
 	}
 }
 
@@ -261,8 +261,8 @@
 	})
 }
 
-// BenchmarkChoose chooses among 111 endpoints of which none backs off. Checking once whether any
-// does takes 25.4 us per choice, looking up each endpoint 27.8 us.
+// BenchmarkChoose measures a choice among 111 endpoints of which none backs off. A choice takes
+// 25.4 µs with one check whether any does, and 27.8 µs if each endpoint is looked up.
 func BenchmarkChoose(b *testing.B) {
 	es := endpoints(111)
 	var k balance.Balancer
@@ -279,7 +279,7 @@
 	es := endpoints(9)
 	var b balance.Balancer
 	for i := range 100 {
-		// An endpoint reads 100,000 tokens a second.
+		// An endpoint prefills 100,000 tokens a second.
 		l := estimate.Load{Prefill: 100 * i, RemoteQueued: 50 * (i % 30)}
 		d := 30*time.Millisecond + time.Duration(l.Prefill+l.RemoteQueued)*10*time.Microsecond
 		b.Model("s").Observe(l, d, time.Second, time.Now())
--- a/daemon/gossip.go
+++ b/daemon/gossip.go
@@ -83,7 +83,7 @@
 func (p *platformComponents) recordCrash(incarnation string) {
 	id := endpoint.IDOf(incarnation)
 	if e, ok := p.known.Roster.Get(id); ok && e.Incarnation() == incarnation {
-		p.balancer.Crashed(id, boottime.Now())
+		p.balancer.RecordCrash(id, boottime.Now())
 	}
 }
 
--- a/forward/response.go
+++ b/forward/response.go
@@ -30,7 +30,7 @@
 	r.handleOutcome(o)
 	n.BackOff(o.BackOff, boottime.Now())
 	if o.NotRun {
-		n.Refused(boottime.Now())
+		n.RecordRefusal(boottime.Now())
 		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseSize))
 		return attemptResult{interruption: recovery.Refused, err: fmt.Errorf("status %d: not run", resp.Status)}
 	}
@@ -44,11 +44,11 @@
 	if err != nil {
 		return attemptResult{interruption: recovery.Gone, err: fmt.Errorf("the answer was cut: %w", err)}
 	}
-	n.Progress(boottime.Now())
+	n.RecordProgress(boottime.Now())
 	read := boottime.Now()
 	r.recordStart(sent)
 	if resp.Status < http.StatusMultipleChoices {
-		n.Answered()
+		n.RecordAnswer()
 	}
 	r.recordSurvival(resp)
 	if resp.Status >= http.StatusInternalServerError {
@@ -106,7 +106,7 @@
 	if !changed {
 		return
 	}
-	r.f.Log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.StartMillis).Str("request", r.q.Call.ID).Bool("limited", report.Named).
+	r.f.Log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.StartMillis).Str("request", r.q.Call.ID).Bool("limited", report.Limited).
 		Float64("per_second", report.PerSecond).Str("seen", "it said so in an answer").Msg("takes a rate")
 	r.f.OnLimitChange(report)
 }
@@ -151,10 +151,10 @@
 			return out
 		}
 		w.recordEvent()
-		n.Progress(boottime.Now())
+		n.RecordProgress(boottime.Now())
 		out.recordEvent(boottime.Now())
 		if !out.advanced {
-			n.Answered()
+			n.RecordAnswer()
 		}
 		r.recordStart(boottime.Now())
 		if !r.headSent {
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -3,7 +3,7 @@
 // represents the boxes that it serves and leases their shares to two arbiters of each
 // account, which the other boxes ask. A box can spend only what is leased to it, so limits
 // hold during partitions and restarts. Rates that do not belong to accounts and are not
-// configured are divided evenly over all boxes and leased in the same way (Given, Arbiters).
+// configured are divided evenly over all boxes and leased in the same way (Accrued, Arbiters).
 package quota
 
 import (
@@ -14,11 +14,12 @@
 	"birchlink.dev/birchlink/catalog"
 )
 
-// Terms define how the limit of an account is enforced: in each Window it may spend its
-// rate over the window plus its burst. All boxes together may exceed that by Overage, a
-// fraction of it, plus Slack, in units. The tolerance covers requests that are larger than
-// the level of a bucket, and state that is lost at a restart.
-type Terms struct {
+// Tolerance defines how strictly the limit of an account is enforced. In each Window an
+// account may spend its rate over the window plus its burst. All boxes together may exceed
+// this amount by Overage, as a fraction of it, plus Slack, in units. The excess comes from
+// requests that are larger than the level of a bucket and from state that is lost at a
+// restart.
+type Tolerance struct {
 	Window  time.Duration
 	Overage float64
 	Slack   float64
@@ -40,10 +41,10 @@
 	toleratedBurstShare = 0.2  // share granted at once
 )
 
-// defaultWindow is used if Terms.Window is zero.
+// defaultWindow is used if Tolerance.Window is zero.
 const defaultWindow = 8 * time.Second
 
-func (t Terms) window() time.Duration {
+func (t Tolerance) window() time.Duration {
 	if t.Window > 0 {
 		return t.Window
 	}
@@ -52,7 +53,7 @@
 
 // bucketLimit returns the rate, in units a second, and the burst, in units, of a token
 // bucket that keeps an account within its limit in every window.
-func (t Terms) bucketLimit(a *catalog.Account) (rate, burst float64) {
+func (t Tolerance) bucketLimit(a *catalog.Account) (rate, burst float64) {
 	spread := spreadBurstShare * a.Burst
 	overage := t.toleratedOverage(a)
 	w := t.window().Seconds()
@@ -61,7 +62,7 @@
 
 // toleratedOverage returns by how many units all boxes together may exceed an account's
 // limit in a window.
-func (t Terms) toleratedOverage(a *catalog.Account) float64 {
+func (t Tolerance) toleratedOverage(a *catalog.Account) float64 {
 	return t.Overage*(a.Rate*t.window().Seconds()+a.Burst) + t.Slack
 }
 
@@ -85,7 +86,7 @@
 // Quota enforces the limits at one box. Its zero value with the exported fields set is
 // ready to use. It is safe for concurrent use.
 type Quota struct {
-	Terms
+	Tolerance
 	Self        Arbiter
 	Incarnation string
 
@@ -93,8 +94,8 @@
 	// they are passed to Restore; otherwise buckets start empty.
 	Started time.Time
 
-	// Chance returns random numbers in [0, 1).
-	Chance func() float64
+	// Rand returns random numbers in [0, 1).
+	Rand func() float64
 
 	mu          sync.Mutex
 	arbiters    []Arbiter
@@ -213,7 +214,7 @@
 		q.received = map[string]Lease{}
 	}
 	if old, ok := q.received[l.From]; ok && old.Now.Incarnation != l.Now.Incarnation {
-		// The lessor restarted and assigns its pieces anew.
+		// The lessor restarted and reassigns its pieces.
 		q.fillAll(now)
 		q.lessee.drop(l.From)
 		q.evenLeases.drop(l.From, now)
@@ -231,8 +232,8 @@
 	q.evenLeases.accept(l.From, l.Even, until, now)
 }
 
-// Forget removes the last message of a relay that is unreachable. Its leases expire on
-// their own.
+// Forget removes the last lease message of an unreachable relay. The leases that it granted
+// stay until they expire.
 func (q *Quota) Forget(relay string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/stated/rates.go
+++ b/stated/rates.go
@@ -17,7 +17,7 @@
 
 const (
 	// limitTTL is the age at which an answer without a limit removes a known one. A younger limit
-	// is kept, because not every answer may name it and an answer may arrive late.
+	// is kept, because not every answer may carry it and an answer may arrive late.
 	limitTTL = 2 * time.Second
 
 	// tombstoneTTL is how long the removal of a limit is kept, so that an older statement which
@@ -35,12 +35,12 @@
 )
 
 // Statement is the limit stated by one incarnation of an endpoint, and its age. PerSecond is in
-// requests per second. If Named is false, the endpoint has no limit any longer.
+// requests per second. If Limited is false, the endpoint has lifted its limit.
 type Statement struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Incarnation string
-	Named       bool
+	Limited     bool
 	PerSecond   float64
 	Age         time.Duration
 }
@@ -58,7 +58,7 @@
 	records map[string]record // by incarnation
 }
 
-// record is a limit, or a tombstone if the limit is not named, and the time it was stated.
+// record is a limit, or a tombstone if Limited is false, and the time it was stated.
 type record struct {
 	endpoint.Limit
 	at time.Time
@@ -79,10 +79,10 @@
 	}
 	r.records[incarnation] = record{l, now}
 	urgent = old.Limited != l.Limited || l.PerSecond < (1-urgentDrop)*old.PerSecond
-	return Statement{Incarnation: incarnation, Named: l.Limited, PerSecond: l.PerSecond}, urgent
+	return Statement{Incarnation: incarnation, Limited: l.Limited, PerSecond: l.PerSecond}, urgent
 }
 
-// Merge takes in statements from other boxes. It returns those that add a limit or remove one.
+// Merge merges statements from other boxes. It returns those that add a limit or remove one.
 func (r *Rates) Merge(statements []Statement, now time.Time) []Statement {
 	if len(statements) == 0 {
 		return nil
@@ -93,14 +93,14 @@
 	for _, s := range statements {
 		at := now.Add(-max(s.Age, 0))
 		old := r.records[s.Incarnation]
-		if !at.After(old.at) || !s.Named && now.Sub(at) > tombstoneTTL {
+		if !at.After(old.at) || !s.Limited && now.Sub(at) > tombstoneTTL {
 			continue
 		}
 		if r.records == nil {
 			r.records = map[string]record{}
 		}
-		r.records[s.Incarnation] = record{endpoint.Limit{Limited: s.Named, PerSecond: s.PerSecond}, at}
-		if s.Named != old.Limited {
+		r.records[s.Incarnation] = record{endpoint.Limit{Limited: s.Limited, PerSecond: s.PerSecond}, at}
+		if s.Limited != old.Limited {
 			changes = append(changes, s)
 		}
 	}
@@ -127,7 +127,7 @@
 	p := Report{Sum: r.sum()}
 	for inc, rec := range r.records {
 		if age := max(now.Sub(rec.at), 0); p.Sum != sum || age < recentWindow {
-			p.Words = append(p.Words, Statement{Incarnation: inc, Named: rec.Limited, PerSecond: rec.PerSecond, Age: age})
+			p.Words = append(p.Words, Statement{Incarnation: inc, Limited: rec.Limited, PerSecond: rec.PerSecond, Age: age})
 		}
 	}
 	slices.SortFunc(p.Words, newestFirst)
--- a/throttle/throttle.go
+++ b/throttle/throttle.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// minPerSecond is the lowest rate, in requests per second, at which an endpoint is used. One
-	// that states a lower rate still gets requests, since only its answers show that the rate has
-	// risen.
+	// minPerSecond is the lowest rate, in requests per second, at which an endpoint is used. An
+	// endpoint that states a lower rate still gets requests at this rate, since only its answers
+	// show that its limit has risen.
 	minPerSecond = 0.2
 
 	// burstWindow is the time over which unused rate accumulates, in addition to one request.
@@ -41,9 +41,9 @@
 
 // Leases reports the shares of rates that are leased to this box.
 type Leases interface {
-	// Given returns the integral of the box's share of the named rate over time, in seconds, and
+	// Accrued returns the integral of the box's share of the named rate over time, in seconds, and
 	// the current share, from 0 to 1.
-	Given(name string, now time.Time) (seconds, share float64)
+	Accrued(name string, now time.Time) (seconds, share float64)
 }
 
 // Question asks whether one more request may be sent to an endpoint, named by its incarnation.
@@ -75,14 +75,14 @@
 // bucket is a token bucket for one endpoint. A request takes a whole token: if a fraction sufficed,
 // each of many boxes with a small share could send a request at the same time.
 type bucket struct {
-	leased  float64 // result of Leases.Given, in seconds, at the last fill
+	leased  float64 // result of Leases.Accrued, in seconds, at the last fill
 	level   float64 // tokens
 	waiting float64 // refused callers whose retry time is still ahead
 }
 
 // Ask answers q and, if the request may be sent, takes one token from the endpoint's bucket.
 func (t *Throttle) Ask(q Question, now time.Time) Answer {
-	leased, share := t.Leases.Given(q.Endpoint, now)
+	leased, share := t.Leases.Accrued(q.Endpoint, now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	b := t.bucket(q.Endpoint, leased)
