--- a/cmd/birchsoak/main.go
+++ b/cmd/birchsoak/main.go
@@ -1,4 +1,5 @@
-// Command birchsoak runs boxes under faults drawn from seeds.
+// Command birchsoak runs boxes under injected faults, whose schedule is drawn from a seed, and reports
+// violated guarantees. It exits with 1 if there are any and with 2 if a run cannot be set up.
 package main
 
 import (
@@ -26,7 +27,7 @@
 	Quiet   bool          `arg:"--quiet" help:"do not print the faults as they are injected"`
 }
 
-// Description says what the program is for.
+// Description returns the first lines of the help text.
 func (arguments) Description() string {
 	return "birchsoak runs boxes as real processes, injects faults drawn from a seed, and checks the promises.\n" +
 		"Example: birchsoak --seed 7 --seeds 50 --for 20s"
@@ -37,7 +38,7 @@
 	arg.MustParse(&a)
 	broken := 0
 	for i := range a.Seeds {
-		n, err := play(a, a.Seed+uint64(i))
+		n, err := runSeed(a, a.Seed+uint64(i))
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(2)
@@ -50,7 +51,8 @@
 	}
 }
 
-func play(a arguments, seed uint64) (int, error) {
+// runSeed runs one seed, prints its violations and returns their number.
+func runSeed(a arguments, seed uint64) (int, error) {
 	dir, err := os.MkdirTemp("", "birchsoak")
 	if err != nil {
 		return 0, fmt.Errorf("make a folder: %w", err)
@@ -65,7 +67,7 @@
 		out = io.Discard
 	}
 	faults, err := soak.Run(context.Background(), soak.Options{
-		Seed: seed, For: a.For, Boxes: a.Boxes, Servers: a.Servers, Callers: a.Callers, Dir: dir, Program: a.Program, Out: out,
+		Seed: seed, Duration: a.For, Boxes: a.Boxes, Servers: a.Servers, Callers: a.Callers, Dir: dir, Program: a.Program, Out: out,
 	})
 	if err != nil {
 		return 0, err
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -12,18 +12,16 @@
 	"birchlink.dev/birchlink/platform/standin"
 )
 
-// callerWait is how long a caller waits for an answer, and pause the longest that
-// it rests between two calls.
+// callTimeout bounds a call, and maxCallPause the random pause between two calls of a caller.
 const (
-	callerWait = 4 * time.Second
-	pause      = 60 * time.Millisecond
+	callTimeout  = 4 * time.Second
+	maxCallPause = 60 * time.Millisecond
 )
 
-// caller makes calls one after the other, on connections that it keeps while the
-// box does, until the run ends.
-func (r *run) caller(c context.Context, n int) {
+// runCaller makes calls in sequence over keep-alive connections until c is done.
+func (r *run) runCaller(c context.Context, n int) {
 	rnd := rand.New(rand.NewPCG(r.Seed, uint64(n)+2))
-	h := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, DisableCompression: true}, Timeout: 2 * callerWait}
+	h := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, DisableCompression: true}, Timeout: 2 * callTimeout}
 	for i := 0; c.Err() == nil; i++ {
 		b := r.fleet.Boxes[rnd.IntN(len(r.fleet.Boxes))]
 		id := fmt.Sprintf("r-%d-%d-%d", r.Seed, n, i)
@@ -37,41 +35,42 @@
 		default:
 			r.probeVersion(h, b, id)
 		}
-		time.Sleep(time.Duration(rnd.Int64N(int64(pause))))
+		time.Sleep(time.Duration(rnd.Int64N(int64(maxCallPause))))
 	}
 }
 
-func (r *run) count(outcome string) {
+// countOutcome counts a call by its outcome, such as its status code.
+func (r *run) countOutcome(outcome string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.calls[outcome]++
+	r.outcomes[outcome]++
 }
 
-// call makes one call and judges its answer.
+// call makes one call and checks its answer.
 func (r *run) call(h *http.Client, b *Box, path, id string) {
-	q, err := standin.NewRequest(b.Callers, path, id, callerWait)
+	q, err := standin.NewRequest(b.CallerAddress, path, id, callTimeout)
 	if err != nil {
-		r.fault("%v", err)
+		r.reportViolation("%v", err)
 		return
 	}
-	// A body that can be made again would let the library send the call again.
+	// With GetBody set, net/http may retry the request on its own.
 	q.GetBody = nil
 	began := time.Now()
 	a, err := h.Do(q)
 	if err != nil {
-		r.cut(b, path, id, began, err)
+		r.checkNoAnswer(b, path, id, began, err)
 		return
 	}
 	defer a.Body.Close()
 	text, err := io.ReadAll(a.Body)
 	if err != nil {
-		r.broken(b, path, id, began, err)
+		r.checkBrokenAnswer(b, path, id, began, err)
 		return
 	}
-	r.count(fmt.Sprint(a.StatusCode))
+	r.countOutcome(fmt.Sprint(a.StatusCode))
 	switch {
 	case a.StatusCode == http.StatusOK:
-		r.whole(path, id, string(text), standin.Stamped(a.Header))
+		r.checkAnswer(path, id, string(text), standin.Stamped(a.Header))
 	case a.StatusCode == http.StatusServiceUnavailable, a.StatusCode == http.StatusTooManyRequests:
 		if path == "/once/x" {
 			r.mu.Lock()
@@ -79,36 +78,38 @@
 			r.mu.Unlock()
 		}
 	case a.StatusCode < http.StatusInternalServerError:
-		r.fault("%s to %s: %d %s", id, b.Name, a.StatusCode, text)
+		r.reportViolation("%s to %s: %d %s", id, b.Name, a.StatusCode, text)
 	}
 	if path == "/once/x" && r.fleet.Audit.Runs(id) > 1 {
-		r.fault("%s ran %d times", id, r.fleet.Audit.Runs(id))
+		r.reportViolation("%s ran %d times", id, r.fleet.Audit.Runs(id))
 	}
 }
 
-// cut judges a call whose connection ended without an answer: only a fault at the
-// box excuses that, or a connection that never came up.
-func (r *run) cut(b *Box, path, id string, began time.Time, err error) {
-	r.count("no answer")
+// checkNoAnswer handles a call that failed without an answer. A request that reached a server may
+// fail so only while its box is faulty.
+func (r *run) checkNoAnswer(b *Box, path, id string, began time.Time, err error) {
+	r.countOutcome("no answer")
 	ran := r.fleet.Audit.Runs(id)
 	if ran > 1 && path == "/once/x" {
-		r.fault("%s ran %d times", id, ran)
+		r.reportViolation("%s ran %d times", id, ran)
 	}
-	if ran > 0 && !b.Harmed(began.Add(-margin)) {
-		r.fault("%s to %s (%s) was passed on and not answered: %v", id, b.Name, path, err)
+	if ran > 0 && !b.FaultySince(began.Add(-hostMargin)) {
+		r.reportViolation("%s to %s (%s) was passed on and not answered: %v", id, b.Name, path, err)
 	}
 }
 
-// broken judges an answer that was cut off. A stream may break with its servers.
-func (r *run) broken(b *Box, path, id string, began time.Time, err error) {
-	r.count("broken")
-	if path != "/stream/x" && !b.Harmed(began.Add(-margin)) {
-		r.fault("the answer of %s to %s was cut off: %v", b.Name, id, err)
+// checkBrokenAnswer handles an answer that was truncated. A stream may break when its server fails;
+// any other answer only while its box is faulty.
+func (r *run) checkBrokenAnswer(b *Box, path, id string, began time.Time, err error) {
+	r.countOutcome("broken")
+	if path != "/stream/x" && !b.FaultySince(began.Add(-hostMargin)) {
+		r.reportViolation("the answer of %s to %s was cut off: %v", b.Name, id, err)
 	}
 }
 
-// whole judges a success: the whole answer to this call, from a server.
-func (r *run) whole(path, id, text string, stamped bool) {
+// checkAnswer checks that a successful answer is complete, belongs to this call and was stamped by a
+// server.
+func (r *run) checkAnswer(path, id, text string, stamped bool) {
 	want := standin.ExpectedAnswer(id)
 	if path == "/stream/x" {
 		want = ""
@@ -117,30 +118,30 @@
 		}
 	}
 	if text != want || !stamped {
-		r.fault("%s got %q", id, strings.ReplaceAll(text, "\n", " "))
+		r.reportViolation("%s got %q", id, strings.ReplaceAll(text, "\n", " "))
 	}
 }
 
-// probeVersion calls the route that only the version in force has: a box that
-// nothing has happened to serves it once the version is old enough.
+// probeVersion calls a route that only the current configuration version has. A box without recent
+// faults must serve the route within configApplyTime after the version is stored.
 func (r *run) probeVersion(h *http.Client, b *Box, id string) {
-	version, since, sound := r.current()
-	q, err := standin.NewRequest(b.Callers, standin.VersionPath(version)+"x", id, callerWait)
+	version, since, reliable := r.currentVersion()
+	q, err := standin.NewRequest(b.CallerAddress, standin.VersionPath(version)+"x", id, callTimeout)
 	if err != nil {
-		r.fault("%v", err)
+		r.reportViolation("%v", err)
 		return
 	}
 	began := time.Now()
 	a, err := h.Do(q)
 	if err != nil {
-		r.count("probe cut")
+		r.countOutcome("probe cut")
 		return
 	}
 	defer a.Body.Close()
 	_, _ = io.Copy(io.Discard, a.Body)
-	r.count(fmt.Sprintf("probe %d", a.StatusCode))
-	old := began.Sub(since) > applied+margin
-	if a.StatusCode == http.StatusNotFound && old && sound && !b.Harmed(began.Add(-recovered)) {
-		r.fault("%s does not know version %d after %v", b.Name, version, began.Sub(since))
+	r.countOutcome(fmt.Sprintf("probe %d", a.StatusCode))
+	due := began.Sub(since) > configApplyTime+hostMargin
+	if a.StatusCode == http.StatusNotFound && due && reliable && !b.FaultySince(began.Add(-recoveryTime)) {
+		r.reportViolation("%s does not know version %d after %v", b.Name, version, began.Sub(since))
 	}
 }
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -15,41 +15,41 @@
 	"birchlink.dev/birchlink/stand/memstore"
 )
 
-// stopLimit is the limit of a planned stop in the boxes' settings.
+// stopLimit is the graceful shutdown limit in the boxes' settings.
 const stopLimit = 5 * time.Second
 
-// service is the name of the one service.
-const service = "api"
+// serviceName is the only service of the configuration.
+const serviceName = "api"
 
-// zones are the data centres over which boxes and servers are spread.
-var zones = []string{"north", "south"}
+// dataCentres are the data centres over which boxes and servers are spread.
+var dataCentres = []string{"north", "south"}
 
-// Box is one process of birchlinkd, which is started again when it ends.
+// Box is one birchlinkd process. It is restarted whenever it exits.
 type Box struct {
-	Name    string
-	Callers string
-	Ready   string
+	Name          string
+	CallerAddress string
+	ReadyAddress  string
 
-	settings string
-	program  string
-	log      *os.File
-	store    *Proxy
+	settings   string
+	program    string
+	logFile    *os.File
+	storeProxy *Proxy
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	closed bool
-	harmed time.Time // until then what callers see may be due to a fault
+	mu          sync.Mutex
+	cmd         *exec.Cmd
+	closed      bool
+	faultyUntil time.Time // callers may see failures until this time
 }
 
-// Server is an endpoint with its proxy.
+// Server is an endpoint behind a fault-injecting proxy.
 type Server struct {
 	*standin.Server
-	zone  string
-	proxy *Proxy
-	http  *http.Server
+	dataCentre string
+	proxy      *Proxy
+	httpServer *http.Server
 }
 
-// Fleet is all that runs.
+// Fleet is a set of boxes and endpoints with the stand-in store and cloud API that they use.
 type Fleet struct {
 	Dir     string
 	Program string
@@ -59,13 +59,14 @@
 	Boxes   []*Box
 	Servers []*Server
 
-	address string // of the store
-	cloud   string
-	serial  int
-	version int
-	https   []*http.Server
+	storeAddress  string
+	cloudAddress  string
+	lastServerID  int
+	configVersion int
+	httpServers   []*http.Server
 }
 
+// serve serves h on a free loopback port and returns the server and its address.
 func serve(h http.Handler) (*http.Server, string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -76,23 +77,24 @@
 	return s, l.Addr().String(), nil
 }
 
-// Start begins the platform, the servers and the boxes.
+// Start starts the stand-ins, the servers and the boxes. Settings and logs are written to dir; program
+// is the path of birchlinkd.
 func Start(dir, program string, boxes, servers int) (*Fleet, error) {
-	f := &Fleet{Dir: dir, Program: program, Store: &memstore.Memory{}, Audit: &standin.Audit{}, Cloud: &standin.Cloud{}, version: 1}
+	f := &Fleet{Dir: dir, Program: program, Store: &memstore.Memory{}, Audit: &standin.Audit{}, Cloud: &standin.Cloud{}, configVersion: 1}
 	for _, p := range []struct {
 		h  http.Handler
 		to *string
-	}{{standin.StoreHandler(f.Store), &f.address}, {f.Cloud, &f.cloud}} {
+	}{{standin.StoreHandler(f.Store), &f.storeAddress}, {f.Cloud, &f.cloudAddress}} {
 		s, a, err := serve(p.h)
 		if err != nil {
 			return nil, err
 		}
-		f.https = append(f.https, s)
+		f.httpServers = append(f.httpServers, s)
 		*p.to = a
 	}
-	f.Store.Set(standin.ConfigKey, standin.Config(f.version, service))
+	f.Store.Set(standin.ConfigKey, standin.Config(f.configVersion, serviceName))
 	for i := range servers {
-		s, err := f.newServer(zones[i%len(zones)])
+		s, err := f.newServer(dataCentres[i%len(dataCentres)])
 		if err != nil {
 			return nil, err
 		}
@@ -109,15 +111,15 @@
 }
 
 func (f *Fleet) newServer(zone string) (*Server, error) {
-	f.serial++
-	s := &Server{zone: zone, Server: &standin.Server{
-		ID: fmt.Sprintf("i-%d", f.serial), Service: service, Slots: 64, Work: 5 * time.Millisecond, Events: 12, Audit: f.Audit,
+	f.lastServerID++
+	s := &Server{dataCentre: zone, Server: &standin.Server{
+		ID: fmt.Sprintf("i-%d", f.lastServerID), Service: serviceName, Slots: 64, Work: 5 * time.Millisecond, Events: 12, Audit: f.Audit,
 	}}
 	h, a, err := serve(s.Server)
 	if err != nil {
 		return nil, err
 	}
-	s.http = h
+	s.httpServer = h
 	if s.proxy, err = NewProxy(a); err != nil {
 		return nil, err
 	}
@@ -125,8 +127,8 @@
 	return s, nil
 }
 
-// free returns a port that nobody listens on.
-func free() (string, error) {
+// freeAddress returns a loopback address with an unused port.
+func freeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("find a port: %w", err)
@@ -138,14 +140,14 @@
 func (f *Fleet) newBox(i int) (*Box, error) {
 	b := &Box{Name: fmt.Sprintf("box-%d", i), program: f.Program}
 	var peers string
-	for _, a := range []*string{&b.Callers, &b.Ready, &peers} {
+	for _, a := range []*string{&b.CallerAddress, &b.ReadyAddress, &peers} {
 		var err error
-		if *a, err = free(); err != nil {
+		if *a, err = freeAddress(); err != nil {
 			return nil, err
 		}
 	}
 	var err error
-	if b.store, err = NewProxy(f.address); err != nil {
+	if b.storeProxy, err = NewProxy(f.storeAddress); err != nil {
 		return nil, err
 	}
 	text := fmt.Sprintf(`[box]
@@ -167,12 +169,12 @@
 [duties]
 report_window = 2s
 report_due = 6s
-`, b.Name, zones[i%len(zones)], b.Callers, b.Ready, peers, b.store.Address(), f.cloud, stopLimit)
+`, b.Name, dataCentres[i%len(dataCentres)], b.CallerAddress, b.ReadyAddress, peers, b.storeProxy.Address(), f.cloudAddress, stopLimit)
 	b.settings = filepath.Join(f.Dir, b.Name+".ini")
 	if err := os.WriteFile(b.settings, []byte(text), 0o600); err != nil {
 		return nil, fmt.Errorf("write settings: %w", err)
 	}
-	if b.log, err = os.Create(filepath.Join(f.Dir, b.Name+".log")); err != nil {
+	if b.logFile, err = os.Create(filepath.Join(f.Dir, b.Name+".log")); err != nil {
 		return nil, fmt.Errorf("open log: %w", err)
 	}
 	return b, b.start()
@@ -185,7 +187,7 @@
 		return nil
 	}
 	c := exec.Command(b.program, "--platform", b.settings)
-	c.Stdout, c.Stderr = b.log, b.log
+	c.Stdout, c.Stderr = b.logFile, b.logFile
 	if err := c.Start(); err != nil {
 		return fmt.Errorf("start %s: %w", b.Name, err)
 	}
@@ -193,16 +195,16 @@
 	go func() {
 		_ = c.Wait()
 		time.Sleep(restartPause)
-		// A box that does not come back is found by its callers.
+		// A box that fails to restart fails the readiness check and its callers' checks.
 		_ = b.start()
 	}()
 	return nil
 }
 
-// restartPause is how long an ended process stays down.
+// restartPause is the time between the exit of a box's process and its restart.
 const restartPause = 100 * time.Millisecond
 
-// Signal sends a signal to the process.
+// Signal sends s to the box's process, if it was started.
 func (b *Box) Signal(s syscall.Signal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -211,34 +213,39 @@
 	}
 }
 
-// Harm notes that callers of this box may see a fault until a time.
-func (b *Box) Harm(until time.Time) {
+// ExpectFaultsUntil allows callers of the box to see failures until a time. An earlier time than the
+// current one has no effect.
+func (b *Box) ExpectFaultsUntil(until time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if until.After(b.harmed) {
-		b.harmed = until
+	if until.After(b.faultyUntil) {
+		b.faultyUntil = until
 	}
 }
 
-// Harmed reports whether a fault was under way at or after a time.
-func (b *Box) Harmed(since time.Time) bool {
+// FaultySince reports whether callers may have seen failures of the box after a time.
+func (b *Box) FaultySince(since time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.harmed.After(since)
+	return b.faultyUntil.After(since)
 }
 
-// Drain lets a server leave as announced, and a new one come.
+// Drain marks a server as draining in its record and starts a replacement.
 func (f *Fleet) Drain(i int) error {
-	return f.leave(i, func(s *Server) { f.Store.Set(s.Record(s.proxy.Address(), s.zone, "draining")) })
+	return f.replaceServer(i, func(s *Server) { f.Store.Set(s.Record(s.proxy.Address(), s.dataCentre, "draining")) })
 }
 
-// Leave lets a server leave that says so in its answers alone, and a new one come.
-func (f *Fleet) Leave(i int) error { return f.leave(i, func(s *Server) { s.ReportLeaving() }) }
+// LeaveByAnswer makes a server report in its answers, but not in its record, that it is leaving, and
+// starts a replacement.
+func (f *Fleet) LeaveByAnswer(i int) error {
+	return f.replaceServer(i, func(s *Server) { s.ReportLeaving() })
+}
 
-// leave lets a server announce that it leaves, and a new one take its place.
-func (f *Fleet) leave(i int, announce func(*Server)) error {
+// replaceServer starts a replacement for a server, calls announce for the old one and stops it after
+// drainTime.
+func (f *Fleet) replaceServer(i int, announce func(*Server)) error {
 	s := f.Servers[i]
-	n, err := f.newServer(s.zone)
+	n, err := f.newServer(s.dataCentre)
 	if err != nil {
 		return err
 	}
@@ -246,23 +253,23 @@
 	announce(s)
 	time.AfterFunc(drainTime, func() {
 		f.Store.Unset("servers/" + s.ID)
-		_ = s.http.Close()
+		_ = s.httpServer.Close()
 		s.proxy.Close()
 	})
 	return nil
 }
 
-// drainTime is how long a server that leaves goes on serving.
+// drainTime is how long a leaving server continues to serve.
 const drainTime = 4 * time.Second
 
-// Configure puts the next version into the store.
-func (f *Fleet) Configure() int {
-	f.version++
-	f.Store.Set(standin.ConfigKey, standin.Config(f.version, service))
-	return f.version
+// PutNextConfig stores the next configuration version and returns its number.
+func (f *Fleet) PutNextConfig() int {
+	f.configVersion++
+	f.Store.Set(standin.ConfigKey, standin.Config(f.configVersion, serviceName))
+	return f.configVersion
 }
 
-// Close ends everything that was started.
+// Close stops the boxes, the servers and the stand-ins.
 func (f *Fleet) Close() {
 	for _, b := range f.Boxes {
 		b.mu.Lock()
@@ -270,14 +277,14 @@
 		b.mu.Unlock()
 		b.Signal(syscall.SIGCONT)
 		b.Signal(syscall.SIGKILL)
-		b.store.Close()
-		_ = b.log.Close()
+		b.storeProxy.Close()
+		_ = b.logFile.Close()
 	}
 	for _, s := range f.Servers {
-		_ = s.http.Close()
+		_ = s.httpServer.Close()
 		s.proxy.Close()
 	}
-	for _, h := range f.https {
+	for _, h := range f.httpServers {
 		_ = h.Close()
 	}
 }
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// Mode is what a proxy does with connections.
+// Mode is what a proxy does with the bytes of its connections.
 type Mode string
 
 // The modes of a proxy.
 const (
 	Pass    Mode = "pass"
-	Delay   Mode = "delay"
-	Reset   Mode = "reset"
-	Silence Mode = "silence"
-	OneWay  Mode = "one way"
+	Delay   Mode = "delay"   // each read is forwarded after linkDelay
+	Reset   Mode = "reset"   // connections are reset, new ones closed
+	Silence Mode = "silence" // nothing is forwarded until the mode changes
+	OneWay  Mode = "one way" // only bytes to the target are forwarded
 )
 
-// delay is how much later bytes go on in mode Delay.
-const delay = 60 * time.Millisecond
+// linkDelay is the added delay in mode Delay.
+const linkDelay = 60 * time.Millisecond
 
-// Proxy passes connections on to an address, as its mode has it.
+// Proxy is a TCP proxy that injects the faults of its mode.
 type Proxy struct {
-	To string
+	Target string
 
 	listener net.Listener
 	mu       sync.Mutex
@@ -35,27 +35,27 @@
 	conns    map[net.Conn]bool
 }
 
-// NewProxy listens on a free loopback port.
+// NewProxy returns a proxy to an address. It listens on a free loopback port.
 func NewProxy(to string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("proxy: %w", err)
 	}
-	p := &Proxy{To: to, listener: l, mode: Pass, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
+	p := &Proxy{Target: to, listener: l, mode: Pass, changed: make(chan struct{}), conns: map[net.Conn]bool{}}
 	go p.accept()
 	return p, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address on which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.Set(Reset)
 }
 
-// Set changes the mode. Reset ends the connections there are.
+// Set changes the mode. Reset also resets the open connections.
 func (p *Proxy) Set(m Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,16 +73,17 @@
 	}
 }
 
+// state returns the mode and a channel that is closed when the mode changes.
 func (p *Proxy) state() (Mode, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode, p.changed
 }
 
-func (p *Proxy) keep(c net.Conn, in bool) {
+func (p *Proxy) trackConn(c net.Conn, open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if in {
+	if open {
 		p.conns[c] = true
 		return
 	}
@@ -101,18 +102,18 @@
 
 func (p *Proxy) serve(a net.Conn) {
 	defer a.Close()
-	p.keep(a, true)
-	defer p.keep(a, false)
+	p.trackConn(a, true)
+	defer p.trackConn(a, false)
 	if m, _ := p.state(); m == Reset {
 		return
 	}
-	b, err := net.Dial("tcp", p.To)
+	b, err := net.Dial("tcp", p.Target)
 	if err != nil {
 		return
 	}
 	defer b.Close()
-	p.keep(b, true)
-	defer p.keep(b, false)
+	p.trackConn(b, true)
+	defer p.trackConn(b, false)
 	c, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
@@ -124,12 +125,13 @@
 	p.copy(c, a, b, false)
 }
 
-// copy moves bytes while the mode lets them pass; held bytes go on afterwards.
-func (p *Proxy) copy(c context.Context, to io.Writer, from io.Reader, forth bool) {
+// copy forwards bytes in one direction as the mode allows. Bytes that are held back are forwarded
+// once the mode allows it.
+func (p *Proxy) copy(c context.Context, to io.Writer, from io.Reader, toTarget bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && p.pass(c, forth) {
+		if n > 0 && p.waitToForward(c, toTarget) {
 			if _, err := to.Write(buf[:n]); err != nil {
 				return
 			}
@@ -140,16 +142,17 @@
 	}
 }
 
-// pass waits until bytes may go on in one direction.
-func (p *Proxy) pass(c context.Context, forth bool) bool {
+// waitToForward waits until the mode allows forwarding in a direction. It returns false if c ends
+// first.
+func (p *Proxy) waitToForward(c context.Context, toTarget bool) bool {
 	for {
 		m, changed := p.state()
 		switch {
-		case m == Pass, m == OneWay && forth:
+		case m == Pass, m == OneWay && toTarget:
 			return true
 		case m == Delay:
 			select {
-			case <-time.After(delay):
+			case <-time.After(linkDelay):
 				return true
 			case <-c.Done():
 				return false
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -11,8 +11,8 @@
 	"birchlink.dev/birchlink/soak"
 )
 
-// echo answers each line with itself.
-func echo(t *testing.T) string {
+// newEchoServer starts a server that echoes lines and returns its address.
+func newEchoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -34,9 +34,10 @@
 	return l.Addr().String()
 }
 
-// Bytes that are held go on when the proxy passes again; Reset ends what there is.
-func TestModes(t *testing.T) {
-	p, err := soak.NewProxy(echo(t))
+// Bytes that a mode holds back are forwarded once the mode is Pass again; Reset closes open
+// connections.
+func TestProxyModes(t *testing.T) {
+	p, err := soak.NewProxy(newEchoServer(t))
 	require.NoError(t, err)
 	defer p.Close()
 	for _, m := range []soak.Mode{soak.Pass, soak.Delay, soak.Silence, soak.OneWay} {
--- a/soak/run.go
+++ b/soak/run.go
@@ -12,86 +12,88 @@
 	"birchlink.dev/birchlink/platform/standin"
 )
 
-// Options sets a run up.
+// Options configures a run.
 type Options struct {
-	Seed    uint64
-	For     time.Duration // of faults; settling comes on top
-	Boxes   int
-	Servers int
-	Callers int
-	Dir     string // for settings and logs
-	Program string // birchlinkd
-	Out     io.Writer
+	Seed     uint64
+	Duration time.Duration // time in which faults are injected, without settleTime
+	Boxes    int
+	Servers  int
+	Callers  int
+	Dir      string // directory for settings and logs
+	Program  string // path of birchlinkd
+	Out      io.Writer
 }
 
-// The times of a judgement.
+// Time limits of the checks.
 const (
-	// settle is how long after the last fault every box must be ready and serve.
-	settle = 12 * time.Second
+	// settleTime is the time after the last fault within which every box must be ready.
+	settleTime = 12 * time.Second
 
-	// applied is how long after a new version the old one's own route may be served
-	// by a box that nothing has happened to; margin is for the machine.
-	applied = 2 * time.Second
-	margin  = time.Second
+	// configApplyTime is how long a box without faults may take to apply a new configuration
+	// version; hostMargin allows for scheduling delays on the host.
+	configApplyTime = 2 * time.Second
+	hostMargin      = time.Second
 
-	// recovered is how long after a fault a box may still show it.
-	recovered = 5 * time.Second
+	// recoveryTime is how long callers may still see the effects of a fault after its end.
+	recoveryTime = 5 * time.Second
 )
 
-// run is one soak under way.
+// run is the state of one soak run.
 type run struct {
 	Options
 	fleet *Fleet
 	began time.Time
 
-	mu      sync.Mutex
-	faults  []string
-	refused map[string]string // requests that were said not to have run
-	calls   map[string]int    // by outcome
-	config  time.Time         // when the version in force was put
-	store   time.Time         // until then the store is or was not sound
+	mu               sync.Mutex
+	violations       []string
+	refused          map[string]string // status codes of refused requests by id; these must not run
+	outcomes         map[string]int    // number of calls by outcome
+	configuredAt     time.Time         // when the current version was stored
+	storeFaultyUntil time.Time         // the store may fail, or be recovering, until this time
 }
 
-// Run plays a seed and returns what was broken.
+// Run starts a fleet, injects the faults of the seed's schedule and returns the violations found. The
+// error is about the setup of the run.
 func Run(c context.Context, o Options) ([]string, error) {
 	f, err := Start(o.Dir, o.Program, o.Boxes, o.Servers)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	r := &run{Options: o, fleet: f, began: time.Now(), refused: map[string]string{}, calls: map[string]int{}, config: time.Now()}
-	if err := r.allReady(c, settle); err != nil {
+	r := &run{Options: o, fleet: f, began: time.Now(), refused: map[string]string{}, outcomes: map[string]int{}, configuredAt: time.Now()}
+	if err := r.awaitReady(c, settleTime); err != nil {
 		return nil, err
 	}
 	r.began = time.Now()
 	x, stop := context.WithCancel(c)
 	var g sync.WaitGroup
 	for i := range o.Callers {
-		g.Go(func() { r.caller(x, i) })
+		g.Go(func() { r.runCaller(x, i) })
 	}
-	r.play(c)
-	if err := r.allReady(c, settle); err != nil {
-		r.fault("after the last fault: %v", err)
+	r.injectFaults(c)
+	if err := r.awaitReady(c, settleTime); err != nil {
+		r.reportViolation("after the last fault: %v", err)
 	}
 	stop()
 	g.Wait()
-	r.judge()
+	r.checkAudits()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	fmt.Fprintf(o.Out, "seed %d: outcomes %v, %d broken\n", o.Seed, r.calls, len(r.faults))
-	return r.faults, nil
+	fmt.Fprintf(o.Out, "seed %d: outcomes %v, %d broken\n", o.Seed, r.outcomes, len(r.violations))
+	return r.violations, nil
 }
 
-func (r *run) fault(format string, args ...any) {
+// reportViolation records a violation with the time since the start of the run.
+func (r *run) reportViolation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faults = append(r.faults, fmt.Sprintf("%6.2fs ", time.Since(r.began).Seconds())+fmt.Sprintf(format, args...))
+	r.violations = append(r.violations, fmt.Sprintf("%6.2fs ", time.Since(r.began).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// play injects the schedule's faults.
-func (r *run) play(c context.Context) {
+// injectFaults injects the faults of the schedule and waits for their end.
+func (r *run) injectFaults(c context.Context) {
 	var g sync.WaitGroup
-	for _, f := range Schedule(r.Seed, r.For, r.Boxes, r.Servers) {
+	for _, f := range Schedule(r.Seed, r.Duration, r.Boxes, r.Servers) {
 		select {
 		case <-time.After(time.Until(r.began.Add(f.At))):
 		case <-c.Done():
@@ -103,12 +105,13 @@
 	g.Wait()
 }
 
+// inject injects one fault and returns when it has ended.
 func (r *run) inject(f Fault) {
-	end := time.Now().Add(f.For)
+	end := time.Now().Add(f.Duration)
 	switch f.Kind {
 	case Kill:
 		b := r.fleet.Boxes[f.Target]
-		b.Harm(time.Now().Add(recovered))
+		b.ExpectFaultsUntil(time.Now().Add(recoveryTime))
 		b.Signal(syscall.SIGKILL)
 	case Term:
 		r.fleet.Boxes[f.Target].Signal(syscall.SIGTERM)
@@ -116,99 +119,101 @@
 		r.fleet.Boxes[f.Target].Signal(syscall.SIGHUP)
 	case Pause:
 		b := r.fleet.Boxes[f.Target]
-		b.Harm(end.Add(recovered))
+		b.ExpectFaultsUntil(end.Add(recoveryTime))
 		b.Signal(syscall.SIGSTOP)
-		time.Sleep(f.For)
+		time.Sleep(f.Duration)
 		b.Signal(syscall.SIGCONT)
 	case ServerLink:
-		hold(r.fleet.Servers[f.Target].proxy, f)
+		applyLinkFault(r.fleet.Servers[f.Target].proxy, f)
 	case Drain:
 		if err := r.fleet.Drain(f.Target); err != nil {
-			r.fault("a server could not be replaced: %v", err)
+			r.reportViolation("a server could not be replaced: %v", err)
 		}
-	case Leave:
-		if err := r.fleet.Leave(f.Target); err != nil {
-			r.fault("a server could not be replaced: %v", err)
+	case LeaveByAnswer:
+		if err := r.fleet.LeaveByAnswer(f.Target); err != nil {
+			r.reportViolation("a server could not be replaced: %v", err)
 		}
-	case TurnAway:
+	case RefuseCalls:
 		s := r.fleet.Servers[f.Target]
-		s.RefuseRequests(f.For)
-		time.Sleep(f.For)
+		s.RefuseRequests(f.Duration)
+		time.Sleep(f.Duration)
 		s.RefuseRequests(0)
-	case SayLimit:
+	case ReportLimit:
 		s := r.fleet.Servers[f.Target]
-		s.ReportLimit(limitSaid)
-		time.Sleep(f.For)
+		s.ReportLimit(reportedLimit)
+		time.Sleep(f.Duration)
 		s.ReportLimit("")
 	case Config:
-		r.configure()
+		r.putNextConfig()
 	default:
-		r.storeTrouble(end)
+		r.markStoreFaulty(end)
 		r.injectStore(f)
 	}
 }
 
-// limitSaid is the rate that an endpoint names, in calls a second.
-const limitSaid = "1.5"
+// reportedLimit is the rate limit that an endpoint reports, in calls per second.
+const reportedLimit = "1.5"
 
-// injectStore makes the store, or a box's way to it, misbehave.
+// injectStore injects a fault of the store or of a box's link to it.
 func (r *run) injectStore(f Fault) {
 	s := r.fleet.Store
 	switch f.Kind {
 	case StoreLink:
-		hold(r.fleet.Boxes[f.Target].store, f)
+		applyLinkFault(r.fleet.Boxes[f.Target].storeProxy, f)
 	case StoreDown:
 		s.SetDown(true)
-		time.Sleep(f.For)
+		time.Sleep(f.Duration)
 		s.SetDown(false)
-	case StoreLost:
+	case StoreAnswersLost:
 		s.LoseAnswers(lostAnswers)
 	case Compact:
 		s.SetDeaf(true)
-		r.configure()
+		r.putNextConfig()
 		s.Forget()
 		s.SetDeaf(false)
 	}
 }
 
-// lostAnswers is how many changes the store does without an answer.
+// lostAnswers is the number of changes that the store applies without answering.
 const lostAnswers = 3
 
-// hold keeps a proxy in a fault's mode for its time.
-func hold(p *Proxy, f Fault) {
+// applyLinkFault sets a proxy to the fault's mode for the fault's duration.
+func applyLinkFault(p *Proxy, f Fault) {
 	p.Set(f.Mode)
-	time.Sleep(f.For)
+	time.Sleep(f.Duration)
 	p.Set(Pass)
 }
 
-func (r *run) configure() {
+// putNextConfig stores the next configuration version and notes the time.
+func (r *run) putNextConfig() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.fleet.Configure()
-	r.config = time.Now()
+	r.fleet.PutNextConfig()
+	r.configuredAt = time.Now()
 }
 
-func (r *run) storeTrouble(end time.Time) {
+// markStoreFaulty marks the store as faulty until recoveryTime after end.
+func (r *run) markStoreFaulty(end time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if end = end.Add(recovered); end.After(r.store) {
-		r.store = end
+	if end = end.Add(recoveryTime); end.After(r.storeFaultyUntil) {
+		r.storeFaultyUntil = end
 	}
 }
 
-// current returns the version in the store, since when, and whether the store was
-// sound for long enough to judge by it.
-func (r *run) current() (version int, since time.Time, sound bool) {
+// currentVersion returns the configuration version in the store, when it was stored, and whether the
+// store is free of faults and has recovered from earlier ones.
+func (r *run) currentVersion() (version int, since time.Time, reliable bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.fleet.version, r.config, time.Now().After(r.store)
+	return r.fleet.configVersion, r.configuredAt, time.Now().After(r.storeFaultyUntil)
 }
 
-// allReady waits until every box says that it is ready.
-func (r *run) allReady(c context.Context, limit time.Duration) error {
+// awaitReady waits until every box reports that it is ready, at most for limit.
+func (r *run) awaitReady(c context.Context, limit time.Duration) error {
 	end := time.Now().Add(limit)
 	for _, b := range r.fleet.Boxes {
-		for !ready(b) {
+		for !isReady(b) {
 			if time.Now().After(end) || c.Err() != nil {
 				return fmt.Errorf("%s is not ready within %v", b.Name, limit)
 			}
@@ -218,11 +223,11 @@
 	return nil
 }
 
-// probe asks boxes with a time limit, so that one that is paused holds nobody up.
-var probe = &http.Client{Timeout: time.Second}
+// readyClient has a timeout because a paused box accepts connections without answering.
+var readyClient = &http.Client{Timeout: time.Second}
 
-func ready(b *Box) bool {
-	a, err := probe.Get("http://" + b.Ready + standin.ReadyPath)
+func isReady(b *Box) bool {
+	a, err := readyClient.Get("http://" + b.ReadyAddress + standin.ReadyPath)
 	if err != nil {
 		return false
 	}
@@ -230,12 +235,13 @@
 	return a.StatusCode == http.StatusOK
 }
 
-// judge compares what callers were told with what the servers saw.
-func (r *run) judge() {
-	for id, why := range r.refused {
+// checkAudits checks that no refused request ran, and adds the violations that the cloud stand-in
+// recorded.
+func (r *run) checkAudits() {
+	for id, status := range r.refused {
 		if n := r.fleet.Audit.Runs(id); n > 0 {
-			r.faults = append(r.faults, fmt.Sprintf("%s was answered %s and ran %d times", id, why, n))
+			r.violations = append(r.violations, fmt.Sprintf("%s was answered %s and ran %d times", id, status, n))
 		}
 	}
-	r.faults = append(r.faults, r.fleet.Cloud.Violations()...)
+	r.violations = append(r.violations, r.fleet.Cloud.Violations()...)
 }
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -1,6 +1,6 @@
-// Package soak runs real boxes as separate processes against a stand-in of the
-// platform, injects faults from outside them by a schedule drawn from a seed, and
-// checks the promises from what callers and servers see.
+// Package soak tests birchlinkd under faults. It runs boxes as separate processes against stand-ins of
+// the platform, injects faults by a schedule that is drawn from a seed, and checks the guarantees from
+// what callers and servers observe.
 package soak
 
 import (
@@ -11,81 +11,89 @@
 	"time"
 )
 
-// Kind is a kind of fault.
+// Kind is the kind of a fault.
 type Kind string
 
-// The kinds of faults. Of a box's link to the store and of an endpoint's link to
-// the boxes, the proxy delays, resets, silences, or passes one way only.
+// The kinds of faults. A link fault sets the proxy of the link to the fault's Mode.
 const (
-	Kill       Kind = "kill"       // SIGKILL, started again
-	Term       Kind = "term"       // SIGTERM, started again: planned
-	Hup        Kind = "hup"        // SIGHUP: planned
-	Pause      Kind = "pause"      // SIGSTOP, then SIGCONT
-	StoreLink  Kind = "store link" // of one box
-	ServerLink Kind = "server link"
-	StoreDown  Kind = "store down"
-	StoreLost  Kind = "store answers lost"
-	Compact    Kind = "store history lost"
-	Drain      Kind = "drain" // an endpoint leaves as announced, another comes
-	Config     Kind = "configuration"
-	Leave      Kind = "leave"     // an endpoint says in its answers that it leaves, its record does not; another comes
-	TurnAway   Kind = "turn away" // an endpoint refuses each call, and asks for rest
-	SayLimit   Kind = "limit"     // an endpoint names the rate of calls that it takes from all boxes together
+	Kill             Kind = "kill"        // SIGKILL, then restart
+	Term             Kind = "term"        // SIGTERM, then restart: a graceful shutdown, which callers must not notice
+	Hup              Kind = "hup"         // SIGHUP: a reload of the settings, which callers must not notice
+	Pause            Kind = "pause"       // SIGSTOP, then SIGCONT
+	StoreLink        Kind = "store link"  // one box's link to the store
+	ServerLink       Kind = "server link" // the boxes' link to one endpoint
+	StoreDown        Kind = "store down"
+	StoreAnswersLost Kind = "store answers lost"
+	Compact          Kind = "store history lost"
+	Drain            Kind = "drain" // an endpoint announces in its record that it is leaving; another replaces it
+	Config           Kind = "configuration"
+	LeaveByAnswer    Kind = "leave"     // an endpoint reports only in its answers that it is leaving; another replaces it
+	RefuseCalls      Kind = "turn away" // an endpoint refuses every call and asks callers to back off
+	ReportLimit      Kind = "limit"     // an endpoint reports the rate limit that it has for all boxes together
 )
 
-// Fault is one entry of a schedule.
+// Fault is one entry of a schedule. Target is the index of a box or server, depending on Kind; Mode is
+// used by link faults only.
 type Fault struct {
-	At     time.Duration
-	For    time.Duration
-	Kind   Kind
-	Target int
-	Mode   Mode
+	At       time.Duration
+	Duration time.Duration
+	Kind     Kind
+	Target   int
+	Mode     Mode
 }
 
-// String describes a fault on one line.
+// String returns a description of the fault on one line.
 func (f Fault) String() string {
-	return fmt.Sprintf("%6.2fs %s %d %s for %v", f.At.Seconds(), f.Kind, f.Target, f.Mode, f.For)
+	return fmt.Sprintf("%6.2fs %s %d %s for %v", f.At.Seconds(), f.Kind, f.Target, f.Mode, f.Duration)
 }
 
-// The pace of a schedule: a fault each meanGap, so that they overlap, in a span
-// that leaves settle at the end for everything to recover.
+// Times of a schedule. The mean gap between faults is shorter than most faults, so that faults overlap.
+// No fault starts during faultFreeStart.
 const (
-	meanGap = 700 * time.Millisecond
-	minFor  = 200 * time.Millisecond
-	maxFor  = 3 * time.Second
-	lead    = 2 * time.Second
+	meanFaultGap     = 700 * time.Millisecond
+	minFaultDuration = 200 * time.Millisecond
+	maxFaultDuration = 3 * time.Second
+	faultFreeStart   = 2 * time.Second
 )
 
-// wordGap is the mean time between two endpoints that say something of themselves.
-const wordGap = 2 * time.Second
+// meanReportGap is the mean time between the reports of endpoints about themselves.
+const meanReportGap = 2 * time.Second
 
-// Schedule draws the faults of a run, and what endpoints say of themselves meanwhile. The same
-// seed gives the same.
+// Schedule draws the faults of a run and the reports of endpoints about themselves, ordered by time.
+// The same arguments give the same schedule.
 func Schedule(seed uint64, span time.Duration, boxes, servers int) []Fault {
-	out := append(faults(seed, span, boxes, servers), words(seed, span, servers)...)
+	out := append(drawFaults(seed, span, boxes, servers), drawEndpointReports(seed, span, servers)...)
 	slices.SortStableFunc(out, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	return out
 }
 
-// words draws what endpoints say of themselves.
-func words(seed uint64, span time.Duration, servers int) []Fault {
+// drawEndpointReports draws the reports of endpoints: leaving, refusal and rate limit.
+func drawEndpointReports(seed uint64, span time.Duration, servers int) []Fault {
 	r := rand.New(rand.NewPCG(seed, 2))
-	kinds := []Kind{Leave, TurnAway, SayLimit}
+	kinds := []Kind{LeaveByAnswer, RefuseCalls, ReportLimit}
 	var out []Fault
-	for at := lead; at < span; at += time.Duration(r.Int64N(int64(2 * wordGap))) {
-		out = append(out, Fault{At: at, For: minFor + time.Duration(r.Int64N(int64(maxFor-minFor))), Kind: kinds[r.IntN(len(kinds))], Target: r.IntN(servers)})
+	for at := faultFreeStart; at < span; at += time.Duration(r.Int64N(int64(2 * meanReportGap))) {
+		out = append(out, Fault{
+			At: at, Duration: minFaultDuration + time.Duration(r.Int64N(int64(maxFaultDuration-minFaultDuration))),
+			Kind: kinds[r.IntN(len(kinds))], Target: r.IntN(servers),
+		})
 	}
 	return out
 }
 
-// faults draws the faults.
-func faults(seed uint64, span time.Duration, boxes, servers int) []Fault {
+// drawFaults draws the faults of boxes, links, store, servers and configuration.
+func drawFaults(seed uint64, span time.Duration, boxes, servers int) []Fault {
 	r := rand.New(rand.NewPCG(seed, 1))
-	kinds := []Kind{Kill, Term, Term, Hup, Pause, StoreLink, StoreLink, ServerLink, ServerLink, StoreDown, StoreLost, Compact, Drain, Config, Config}
+	kinds := []Kind{
+		Kill, Term, Term, Hup, Pause, StoreLink, StoreLink, ServerLink, ServerLink, StoreDown, StoreAnswersLost, Compact, Drain, Config, Config,
+	}
 	modes := []Mode{Delay, Reset, Silence, OneWay}
 	var out []Fault
-	for at := lead; at < span; at += time.Duration(r.Int64N(int64(2 * meanGap))) {
-		f := Fault{At: at, For: minFor + time.Duration(r.Int64N(int64(maxFor-minFor))), Kind: kinds[r.IntN(len(kinds))], Mode: modes[r.IntN(len(modes))]}
+	for at := faultFreeStart; at < span; at += time.Duration(r.Int64N(int64(2 * meanFaultGap))) {
+		f := Fault{
+			At: at, Duration: minFaultDuration + time.Duration(r.Int64N(int64(maxFaultDuration-minFaultDuration))),
+			Kind: kinds[r.IntN(len(kinds))], Mode: modes[r.IntN(len(modes))],
+		}
 		f.Target = r.IntN(boxes)
 		if f.Kind == ServerLink || f.Kind == Drain {
 			f.Target = r.IntN(servers)
--- a/soak/schedule_test.go
+++ b/soak/schedule_test.go
@@ -9,7 +9,8 @@
 	"birchlink.dev/birchlink/soak"
 )
 
-// The same seed gives the same faults, another seed others, all within the span.
+// The same seed gives the same schedule and another seed a different one. Faults overlap, and all
+// start within the span.
 func TestSchedule(t *testing.T) {
 	a := soak.Schedule(7, time.Minute, 5, 6)
 	require.Equal(t, a, soak.Schedule(7, time.Minute, 5, 6))
@@ -18,7 +19,7 @@
 	overlap := false
 	for i, f := range a {
 		require.Less(t, f.At, time.Minute)
-		overlap = overlap || i > 0 && a[i-1].At+a[i-1].For > f.At
+		overlap = overlap || i > 0 && a[i-1].At+a[i-1].Duration > f.At
 	}
 	require.True(t, overlap)
 }
