--- a/scenario/call_test.go
+++ b/scenario/call_test.go
@@ -20,59 +20,60 @@
 	"birchlink.dev/birchlink/stand/answer"
 )
 
-// callers is the HTTP client of all calls; it never repeats a request.
-var callers = load.NewHTTP()
+// httpClient is the client of all calls. It never retries a request.
+var httpClient = load.NewHTTP()
 
-// call is one request of a script, as its caller sees it.
+// call is one request of a script and its outcome, as the caller sees it.
 type call struct {
-	name   string
-	m      map[string]string
-	want   string
-	done   chan struct{}
-	id     string
-	status int
-	after  string
+	name       string
+	fields     map[string]string
+	want       string
+	done       chan struct{}
+	id         string
+	status     int
+	retryAfter string
 
-	mu    sync.Mutex
-	text  string
-	next  int
-	ended bool
-	fail  openai.ErrorBody
-	cut   error
+	mu           sync.Mutex
+	text         string
+	received     int
+	complete     bool
+	failure      openai.ErrorBody
+	transportErr error
 }
 
 // send NAME box=B chat=MODEL tokens=N prompt=P | box=B service=S method=M path=P
 //
 // and key=K ticket=T repeatable=no|yes deadline=D kind=K account=KEY retries=yes
 func cmdSend(ts *testscript.TestScript, _ bool, args []string) {
-	w, m := worldOf(ts), fields(ts, args[1:])
-	k := &call{name: args[0], m: m, done: make(chan struct{})}
-	r := k.request(ts, w)
+	w, m := environmentOf(ts), parseFields(ts, args[1:])
+	k := &call{name: args[0], fields: m, done: make(chan struct{})}
+	r := k.newRequest(ts, w)
 	w.calls[k.name] = k
 	go k.run(r)
 }
 
-func (k *call) request(ts *testscript.TestScript, w *world) *http.Request {
-	p, err := w.Get(k.m["box"])
+// newRequest builds the request and sets the expected answer.
+func (k *call) newRequest(ts *testscript.TestScript, w *environment) *http.Request {
+	p, err := w.Get(k.fields["box"])
 	ts.Check(err)
 	method, url, body := http.MethodPost, "http://"+p.Address+"/v1/chat/completions", ""
-	if s := k.m["service"]; s != "" {
-		method, body = get(k.m, "method", http.MethodGet), k.m["body"]
-		url = "http://" + p.Address + "/services/" + s + k.m["path"]
-		k.want = answer.Service(s, method, k.m["path"], body)
+	if s := k.fields["service"]; s != "" {
+		method, body = valueOr(k.fields, "method", http.MethodGet), k.fields["body"]
+		url = "http://" + p.Address + "/services/" + s + k.fields["path"]
+		k.want = answer.Service(s, method, k.fields["path"], body)
 	} else {
-		body = k.chat(ts, w)
+		body = k.chatBody(ts, w)
 	}
 	r, err := http.NewRequestWithContext(w.c, method, url, strings.NewReader(body))
 	ts.Check(err)
-	k.headers(w, r)
+	k.setHeaders(w, r)
 	return r
 }
 
-func (k *call) chat(ts *testscript.TestScript, w *world) string {
-	n := number(ts, get(k.m, "tokens", "16"))
-	q := openai.ChatRequest{Model: k.m["chat"], MaxTokens: n, Stream: true, Messages: []openai.Message{
-		{Role: "user", Content: openai.Content(get(k.m, "prompt", k.name))},
+func (k *call) chatBody(ts *testscript.TestScript, w *environment) string {
+	n := parseInt(ts, valueOr(k.fields, "tokens", "16"))
+	q := openai.ChatRequest{Model: k.fields["chat"], MaxTokens: n, Stream: true, Messages: []openai.Message{
+		{Role: "user", Content: openai.Content(valueOr(k.fields, "prompt", k.name))},
 	}}
 	f, _ := w.document.Resolve(q.Model)
 	k.want = answer.Text(f, q.Prompt(), n)
@@ -81,76 +82,81 @@
 	return string(b)
 }
 
-func (k *call) headers(w *world, r *http.Request) {
-	r.Header.Set("Authorization", "Bearer "+get(k.m, "account", w.document.Accounts[0].Key))
+func (k *call) setHeaders(w *environment, r *http.Request) {
+	r.Header.Set("Authorization", "Bearer "+valueOr(k.fields, "account", w.document.Accounts[0].Key))
 	for f, h := range map[string]string{
 		"key": front.KeyHeader, "ticket": front.TicketHeader, "repeatable": front.RepeatableHeader,
 		"deadline": front.DeadlineHeader, "kind": front.KindHeader,
 	} {
-		if v := k.m[f]; v != "" {
+		if v := k.fields[f]; v != "" {
 			r.Header.Set(h, v)
 		}
 	}
 }
 
-// run sends the request. With retries=yes it comes back when it is told to.
+// run sends the request. With retries=yes it follows Retry-After for as long as the request is refused
+// as not run.
 func (k *call) run(r *http.Request) {
 	defer close(k.done)
 	for {
-		k.once(r)
-		n, err := strconv.Atoi(k.after)
-		if k.m["retries"] != "yes" || err != nil || k.fail.Run != "not_run" {
+		k.sendOnce(r)
+		n, err := strconv.Atoi(k.retryAfter)
+		if k.fields["retries"] != "yes" || err != nil || k.failure.Run != "not_run" {
 			return
 		}
 		<-time.After(time.Duration(n) * time.Second)
 		r = r.Clone(r.Context())
 		r.Body, _ = r.GetBody()
-		k.set(func() { k.id, k.after, k.fail = "", "", openai.ErrorBody{} })
+		k.update(func() { k.id, k.retryAfter, k.failure = "", "", openai.ErrorBody{} })
 	}
 }
 
-func (k *call) once(r *http.Request) {
-	a, err := callers.Do(r)
+// sendOnce sends the request and reads its answer.
+func (k *call) sendOnce(r *http.Request) {
+	a, err := httpClient.Do(r)
 	if err != nil {
-		k.set(func() { k.cut = err })
+		k.update(func() { k.transportErr = err })
 		return
 	}
 	defer a.Body.Close()
-	k.set(func() {
-		k.status, k.after = a.StatusCode, a.Header.Get("Retry-After")
+	k.update(func() {
+		k.status, k.retryAfter = a.StatusCode, a.Header.Get("Retry-After")
 		if k.id == "" {
 			k.id = a.Header.Get(front.RequestIDHeader)
 		}
 	})
 	if strings.HasPrefix(a.Header.Get("Content-Type"), "text/event-stream") {
-		k.events(a.Body)
+		k.readEvents(a.Body)
 		return
 	}
 	b, err := io.ReadAll(a.Body)
-	k.set(func() { k.whole(a, b, err) })
+	k.update(func() { k.setAnswer(a, b, err) })
 }
 
-func (k *call) set(f func()) {
+// update calls f with the lock held.
+func (k *call) update(f func()) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	f()
 }
 
-func (k *call) whole(a *http.Response, b []byte, err error) {
+// setAnswer records an answer that is not an event stream.
+func (k *call) setAnswer(a *http.Response, b []byte, err error) {
 	var e openai.Error
 	switch {
 	case err != nil:
-		k.cut = err
+		k.transportErr = err
 	case a.StatusCode == http.StatusOK:
-		k.text, k.ended = string(b), true
+		k.text, k.complete = string(b), true
 	case json.NewDecoder(bytes.NewReader(b)).Decode(&e) != nil:
-		k.cut = fmt.Errorf("status %d: %s", a.StatusCode, b)
+		k.transportErr = fmt.Errorf("status %d: %s", a.StatusCode, b)
 	default:
-		k.fail = e.Error
+		k.failure = e.Error
 	}
 }
 
-func (k *call) events(r io.Reader) {
+// readEvents records the tokens and the end of an event stream.
+func (k *call) readEvents(r io.Reader) {
 	s := bufio.NewScanner(r)
 	for s.Scan() {
 		d, ok := strings.CutPrefix(s.Text(), "data: ")
@@ -159,116 +165,120 @@
 		}
 		var e openai.Error
 		var v openai.Completion
-		k.set(func() {
+		k.update(func() {
 			switch {
 			case d == "[DONE]":
-				k.ended = true
+				k.complete = true
 			case json.Unmarshal([]byte(d), &e) == nil && e.Error.Type != "":
-				k.fail = e.Error
+				k.failure = e.Error
 			case json.Unmarshal([]byte(d), &v) == nil && len(v.Choices) > 0 && v.Choices[0].Delta.Content != "":
 				k.text += v.Choices[0].Delta.Content
-				k.next++
+				k.received++
 			}
 		})
 	}
-	k.set(func() {
-		if !k.ended && k.fail.Type == "" {
-			k.cut = io.ErrUnexpectedEOF
+	k.update(func() {
+		if !k.complete && k.failure.Type == "" {
+			k.transportErr = io.ErrUnexpectedEOF
 		}
 	})
 }
 
-func (k *call) tokens() int {
+func (k *call) tokenCount() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.next
+	return k.received
 }
 
 func callOf(ts *testscript.TestScript, name string) *call {
-	k, ok := worldOf(ts).calls[name]
+	k, ok := environmentOf(ts).calls[name]
 	if !ok {
-		ts.Fatalf("no call %q", name)
+		ts.Fatalf("unknown call %q", name)
 	}
 	return k
 }
 
-// tokens NAME N: waits until the caller has N tokens.
+// tokens NAME N: waits until the caller has received N tokens
 func cmdTokens(ts *testscript.TestScript, _ bool, args []string) {
-	k, n := callOf(ts, args[0]), number(ts, args[1])
-	until(ts, "tokens of "+k.name, func() bool {
+	k, n := callOf(ts, args[0]), parseInt(ts, args[1])
+	waitUntil(ts, "tokens of "+k.name, func() bool {
 		select {
 		case <-k.done:
 			return true
 		default:
-			return k.tokens() >= n
+			return k.tokenCount() >= n
 		}
 	})
-	if k.tokens() < n {
-		ts.Fatalf("%s ended with %d tokens: %s", k.name, k.tokens(), k.say())
+	if k.tokenCount() < n {
+		ts.Fatalf("%s ended with %d tokens: %s", k.name, k.tokenCount(), k.outcome())
 	}
 }
 
-func (k *call) say() string {
+// outcome returns the outcome of the call in the words of the end command.
+func (k *call) outcome() string {
 	switch {
-	case k.ended:
+	case k.complete:
 		return "answered"
-	case k.fail.Type != "":
-		return k.fail.Type + " " + k.fail.Run
-	case k.cut != nil:
-		return "cut: " + k.cut.Error()
+	case k.failure.Type != "":
+		return k.failure.Type + " " + k.failure.Run
+	case k.transportErr != nil:
+		return "cut: " + k.transportErr.Error()
 	default:
 		return "nothing"
 	}
 }
 
 // end NAME answered | end NAME KIND [RUN] | end NAME cut
+//
+// It waits for the end of the call. A complete answer must be the expected one, and a refusal as not
+// run with status 429 or 503 must have a Retry-After header.
 func cmdEnd(ts *testscript.TestScript, neg bool, args []string) {
 	k := callOf(ts, args[0])
 	select {
 	case <-k.done:
 	case <-time.After(time.Minute):
-		ts.Fatalf("%s does not end", k.name)
+		ts.Fatalf("%s has not ended within a minute", k.name)
 	}
-	said := k.say()
-	ok := said == strings.Join(args[1:], " ") || len(args) == 2 && strings.HasPrefix(said, args[1])
+	outcome := k.outcome()
+	ok := outcome == strings.Join(args[1:], " ") || len(args) == 2 && strings.HasPrefix(outcome, args[1])
 	if ok == neg {
-		ts.Fatalf("%s ended with %s (%s)", k.name, said, k.fail.Message)
+		ts.Fatalf("%s ended with %s (%s)", k.name, outcome, k.failure.Message)
 	}
-	if k.ended && k.text != k.want {
-		ts.Fatalf("%s: the answer is not its own or not whole: %q in place of %q", k.name, k.text, k.want)
+	if k.complete && k.text != k.want {
+		ts.Fatalf("%s: wrong or incomplete answer: got %q, want %q", k.name, k.text, k.want)
 	}
-	backLater := k.status == http.StatusTooManyRequests || k.status == http.StatusServiceUnavailable
-	if k.fail.Run == "not_run" && backLater && k.after == "" {
+	retryable := k.status == http.StatusTooManyRequests || k.status == http.StatusServiceUnavailable
+	if k.failure.Run == "not_run" && retryable && k.retryAfter == "" {
 		ts.Fatalf("%s was refused without a Retry-After", k.name)
 	}
 }
 
-// resume NAME box=B: reads the rest of a call at another box.
+// resume NAME box=B: reads the remaining tokens of a call from another box
 func cmdResume(ts *testscript.TestScript, _ bool, args []string) {
-	w, o, m := worldOf(ts), callOf(ts, args[0]), fields(ts, args[1:])
+	w, o, m := environmentOf(ts), callOf(ts, args[0]), parseFields(ts, args[1:])
 	<-o.done
 	p, err := w.Get(m["box"])
 	ts.Check(err)
-	k := &call{name: o.name, m: o.m, want: o.want, done: make(chan struct{}), id: o.id, text: o.text, next: o.next}
-	u := fmt.Sprintf("http://%s/v1/requests/%s?from=%d", p.Address, o.id, o.next)
+	k := &call{name: o.name, fields: o.fields, want: o.want, done: make(chan struct{}), id: o.id, text: o.text, received: o.received}
+	u := fmt.Sprintf("http://%s/v1/requests/%s?from=%d", p.Address, o.id, o.received)
 	r, err := http.NewRequestWithContext(w.c, http.MethodGet, u, nil)
 	ts.Check(err)
-	k.headers(w, r)
+	k.setHeaders(w, r)
 	r.Header.Del(front.KeyHeader)
 	r.Header.Del(front.TicketHeader)
 	w.calls[k.name] = k
 	go k.run(r)
 }
 
-// ticket NAME box=B: gets a ticket into the variable NAME.
+// ticket NAME box=B: sets the variable NAME to a new ticket
 func cmdTicket(ts *testscript.TestScript, _ bool, args []string) {
-	w, m := worldOf(ts), fields(ts, args[1:])
+	w, m := environmentOf(ts), parseFields(ts, args[1:])
 	p, err := w.Get(m["box"])
 	ts.Check(err)
 	r, err := http.NewRequestWithContext(w.c, http.MethodPost, "http://"+p.Address+"/v1/tickets", nil)
 	ts.Check(err)
 	r.Header.Set("Authorization", "Bearer "+w.document.Accounts[0].Key)
-	a, err := callers.Do(r)
+	a, err := httpClient.Do(r)
 	ts.Check(err)
 	defer a.Body.Close()
 	var v struct{ Tickets []string }
--- a/scenario/world_test.go
+++ b/scenario/environment_test.go
@@ -19,25 +19,27 @@
 	"birchlink.dev/birchlink/stand/lab"
 )
 
-// bin is where TestMain put the programs.
-var bin string
+// binDir is the directory of the programs that runTests builds.
+var binDir string
 
-// both is the configuration of both deployments; scripts run elsewhere.
-var both string
+// exampleConfig is the absolute path of the example with both deployments, because scripts run in their
+// own directories.
+var exampleConfig string
 
 func TestMain(m *testing.M) {
-	os.Exit(run(m))
+	os.Exit(runTests(m))
 }
 
-func run(m *testing.M) int {
+// runTests builds the programs and runs the tests.
+func runTests(m *testing.M) int {
 	d, err := os.MkdirTemp("", "scenario")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
 	defer func() { _ = os.RemoveAll(d) }()
-	bin = d
-	if both, err = filepath.Abs("../examples/both.ini"); err != nil {
+	binDir = d
+	if exampleConfig, err = filepath.Abs("../examples/both.ini"); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
@@ -49,26 +51,27 @@
 	return m.Run()
 }
 
-// world is the fleet of one script, with the calls under way.
-type world struct {
+// environment is the state of one script: its fleet, its calls and its load.
+type environment struct {
 	*lab.Lab
-	c        context.Context
-	document *config.Document
-	calls    map[string]*call
-	marks    map[string]int
-	load     *loading
+	c         context.Context
+	document  *config.Document
+	calls     map[string]*call
+	runCounts map[string]int
+	load      *loadRun
 }
 
-type loading struct {
+// loadRun is generated load that runs in the background.
+type loadRun struct {
 	stop   context.CancelFunc
 	done   chan struct{}
 	report load.Report
 }
 
-// setup gives each script an empty world.
+// setup gives each script an empty environment and stops its fleet at the end.
 func setup(e *testscript.Env) error {
 	c, cancel := context.WithCancel(context.Background())
-	w := &world{c: c, calls: map[string]*call{}, marks: map[string]int{}}
+	w := &environment{c: c, calls: map[string]*call{}, runCounts: map[string]int{}}
 	e.Values["world"] = w
 	e.Defer(func() {
 		cancel()
@@ -79,10 +82,10 @@
 	return nil
 }
 
-func worldOf(ts *testscript.TestScript) *world { return ts.Value("world").(*world) }
+func environmentOf(ts *testscript.TestScript) *environment { return ts.Value("world").(*environment) }
 
-// fields reads name=value arguments.
-func fields(ts *testscript.TestScript, args []string) map[string]string {
+// parseFields parses name=value arguments.
+func parseFields(ts *testscript.TestScript, args []string) map[string]string {
 	m := map[string]string{}
 	for _, a := range args {
 		k, v, ok := strings.Cut(a, "=")
@@ -94,26 +97,27 @@
 	return m
 }
 
-func get(m map[string]string, k, d string) string {
+// valueOr returns m[k], or d if it is not set.
+func valueOr(m map[string]string, k, d string) string {
 	if v, ok := m[k]; ok {
 		return v
 	}
 	return d
 }
 
-func number(ts *testscript.TestScript, s string) int {
+func parseInt(ts *testscript.TestScript, s string) int {
 	n, err := strconv.Atoi(s)
 	ts.Check(err)
 	return n
 }
 
-func span(ts *testscript.TestScript, s string) time.Duration {
+func parseDuration(ts *testscript.TestScript, s string) time.Duration {
 	d, err := time.ParseDuration(s)
 	ts.Check(err)
 	return d
 }
 
-// engineKinds are the words for engines in a script.
+// engineKinds maps the names that scripts use to kinds of engines.
 var engineKinds = map[string]lab.EngineKind{
 	"keep":  {Class: "new", Slots: 8},
 	"take":  {Class: "new", Slots: 8, Reclaimable: true},
@@ -124,42 +128,42 @@
 
 // fleet dcs=a,b entries=2 engines=keep,take services=alerts config=FILE every=15ms
 func cmdFleet(ts *testscript.TestScript, _ bool, args []string) {
-	w, m := worldOf(ts), fields(ts, args)
+	w, m := environmentOf(ts), parseFields(ts, args)
 	text := ""
 	if m["config"] == "both" {
-		b, err := os.ReadFile(both)
+		b, err := os.ReadFile(exampleConfig)
 		ts.Check(err)
 		text = string(b)
 	} else {
-		text = ts.ReadFile(get(m, "config", "config.ini"))
+		text = ts.ReadFile(valueOr(m, "config", "config.ini"))
 	}
 	d, ms := config.Parse(1, []byte(text))
 	if len(ms) > 0 {
 		ts.Fatalf("configuration: %v", ms)
 	}
 	o := lab.Options{
-		DataCentres: strings.Split(get(m, "dcs", "a"), ","), Entries: number(ts, get(m, "entries", "2")),
-		Services: strings.Split(get(m, "services", "alerts"), ","), Config: text, Policy: "affinity",
-		TokenEvery: span(ts, get(m, "every", "15ms")), BoxListLag: span(ts, get(m, "lag", "300ms")),
-		StopNotice: span(ts, get(m, "stop_notice", "300ms")), StopLimit: span(ts, get(m, "stop_limit", "20s")),
+		DataCentres: strings.Split(valueOr(m, "dcs", "a"), ","), Entries: parseInt(ts, valueOr(m, "entries", "2")),
+		Services: strings.Split(valueOr(m, "services", "alerts"), ","), Config: text, Policy: "affinity",
+		TokenEvery: parseDuration(ts, valueOr(m, "every", "15ms")), BoxListLag: parseDuration(ts, valueOr(m, "lag", "300ms")),
+		StopNotice: parseDuration(ts, valueOr(m, "stop_notice", "300ms")), StopLimit: parseDuration(ts, valueOr(m, "stop_limit", "20s")),
 	}
-	for _, n := range strings.Split(get(m, "engines", "keep,take"), ",") {
+	for _, n := range strings.Split(valueOr(m, "engines", "keep,take"), ",") {
 		k, ok := engineKinds[n]
 		if !ok {
-			ts.Fatalf("no kind of engine %q", n)
+			ts.Fatalf("unknown kind of engine %q", n)
 		}
 		k.Loaded = d.Workloads()
 		o.Engines = append(o.Engines, k)
 	}
 	w.document = d
-	w.Lab = lab.New(bin, ts.MkAbs("."), o)
+	w.Lab = lab.New(binDir, ts.MkAbs("."), o)
 	ts.Check(w.Up(w.c))
 	ts.Check(w.AwaitLoaded(w.c))
 }
 
 // notice BOX|dc=NAME DURATION
 func cmdNotice(ts *testscript.TestScript, _ bool, args []string) {
-	n := cloud.Notice{In: span(ts, args[len(args)-1])}
+	n := cloud.Notice{In: parseDuration(ts, args[len(args)-1])}
 	for _, a := range args[:len(args)-1] {
 		if dc, ok := strings.CutPrefix(a, "dc="); ok {
 			n.DataCentre = dc
@@ -167,13 +171,13 @@
 		}
 		n.Boxes = append(n.Boxes, a)
 	}
-	w := worldOf(ts)
+	w := environmentOf(ts)
 	ts.Check(w.Notice(w.c, n))
 }
 
 // load start MIX RATE | load stop
 func cmdLoad(ts *testscript.TestScript, _ bool, args []string) {
-	w := worldOf(ts)
+	w := environmentOf(ts)
 	if args[0] == "stop" {
 		w.stopLoad(ts)
 		return
@@ -181,7 +185,7 @@
 	rate, err := strconv.ParseFloat(args[2], 64)
 	ts.Check(err)
 	c, cancel := context.WithCancel(w.c)
-	l := &loading{stop: cancel, done: make(chan struct{})}
+	l := &loadRun{stop: cancel, done: make(chan struct{})}
 	w.load = l
 	p := load.Plan{Boxes: w.addresses("entry"), Mix: args[1], Rate: rate, Duration: time.Hour, Seed: 1, Document: w.document}
 	go func() {
@@ -190,7 +194,7 @@
 	}()
 }
 
-func (w *world) addresses(role string) []string {
+func (w *environment) addresses(role string) []string {
 	ps := w.All(role)
 	as := make([]string, len(ps))
 	for i, p := range ps {
@@ -199,35 +203,37 @@
 	return as
 }
 
-func (w *world) audit() load.Audit {
+func (w *environment) readAudit() load.Audit {
 	return load.ReadAudit(w.c, w.Audits("engine"), w.Audits("service"))
 }
 
-func (w *world) stopLoad(ts *testscript.TestScript) {
+func (w *environment) stopLoad(ts *testscript.TestScript) {
 	w.load.stop()
 	<-w.load.done
 	w.load.report.Print(ts.Stdout())
-	ts.Check(load.Verdict(ts.Stdout(), &w.load.report, w.audit()))
+	ts.Check(load.Verdict(ts.Stdout(), &w.load.report, w.readAudit()))
 }
 
-// until asks f until it is true, or fails the script.
-func until(ts *testscript.TestScript, what string, f func() bool) {
+// waitUntil polls f until it returns true, and fails the script after 30 seconds.
+func waitUntil(ts *testscript.TestScript, what string, f func() bool) {
 	const limit, every = 30 * time.Second, 20 * time.Millisecond
 	for end := time.Now().Add(limit); !f(); {
 		if time.Now().After(end) {
-			ts.Fatalf("not within %v: %s", limit, what)
+			ts.Fatalf("timeout after %v: %s", limit, what)
 		}
 		<-time.After(every)
 	}
 }
 
-// await EVENT: waits until something that a check can see has come about.
+// await CONDITION: waits until a condition is true.
 //
-//	await state BOX of=ENDPOINT is=leaving      await version BOX 2
-//	await members BOX N                         await exited BOX
-//	await stale BOX                             await sent N (of the load)
+//	await version BOX N                 await members BOX N
+//	await stale BOX                     await streams BOX N
+//	await leaving BOX ENDPOINT          await gone BOX ENDPOINT
+//	await duty BOX FENCE                await loaded BOX ENDPOINT WORKLOAD
+//	await exited BOX                    await sent N (requests of the load)
 func cmdAwait(ts *testscript.TestScript, _ bool, args []string) {
-	w := worldOf(ts)
+	w := environmentOf(ts)
 	switch args[0] {
 	case "exited":
 		p, err := w.Get(args[1])
@@ -237,13 +243,13 @@
 			ts.Fatalf("%s ended with %d", p.Name, p.Code())
 		}
 	case "sent":
-		n := number(ts, args[1])
-		until(ts, "the load's requests", func() bool { return w.load.report.Len() >= n })
+		n := parseInt(ts, args[1])
+		waitUntil(ts, "the load's requests", func() bool { return w.load.report.Len() >= n })
 	default:
 		w.awaitStatus(ts, args)
 	}
 }
 
-func logOf(w *world, name string) string {
+func logPath(w *environment, name string) string {
 	return filepath.Join(w.Dir, name+".log")
 }
--- a/scenario/proofs_test.go
+++ b/scenario/proofs_test.go
@@ -10,17 +10,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Every cell of the table names a script that is there, and every script is
-// named on the page.
-func TestTableOfProofs(t *testing.T) {
+// Every cell of the table in docs/PROOFS.md names an existing script or says that nothing proves it,
+// and the page names every script.
+func TestProofsPageMatchesScripts(t *testing.T) {
 	b, err := os.ReadFile("../docs/PROOFS.md")
 	require.NoError(t, err)
-	there := map[string]bool{}
+	exists := map[string]bool{}
 	fs, err := filepath.Glob("testdata/quick/*.txtar")
 	require.NoError(t, err)
 	for _, f := range fs {
 		n := strings.TrimSuffix(filepath.Base(f), ".txtar")
-		there[n] = true
+		exists[n] = true
 		require.Contains(t, string(b), n)
 	}
 	rows := regexp.MustCompile(`(?m)^\| [1-7] [^|]+\|([^|]+)\|([^|]+)\|([^|]+)\|([^|]+)\|([^|]+)\|$`).FindAllStringSubmatch(string(b), -1)
@@ -28,7 +28,7 @@
 	for _, r := range rows {
 		for _, cell := range r[1:] {
 			n := strings.TrimSpace(cell)
-			require.True(t, there[n] || strings.HasPrefix(n, "not proved: "), "%q in %q", n, r[0])
+			require.True(t, exists[n] || strings.HasPrefix(n, "not proved: "), "%q in %q", n, r[0])
 		}
 	}
 }
--- a/scenario/race_test.go
+++ b/scenario/race_test.go
@@ -2,5 +2,5 @@
 
 package scenario
 
-// raceFlags build the programs as the tests are built.
+// raceFlags are the build flags of the programs. The race detector is on if it is on in the tests.
 var raceFlags = []string{"-race"}
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -1,5 +1,5 @@
-// Package scenario proves the promises of the brief under failure: scripts in a
-// small test language, run against real processes.
+// Package scenario tests the guarantees of the system under failures. Its tests are testscript scripts
+// that start real processes, inject faults and check what callers observe.
 package scenario
 
 import (
@@ -25,7 +25,7 @@
 	"birchlink.dev/birchlink/stand/service"
 )
 
-// commands are the words of the scripts; each has its form in its comment.
+// commands are the commands of the scripts. The comment of each function shows the arguments.
 var commands = map[string]func(*testscript.TestScript, bool, []string){
 	"fleet": cmdFleet, "notice": cmdNotice, "load": cmdLoad, "await": cmdAwait,
 	"send": cmdSend, "tokens": cmdTokens, "end": cmdEnd, "resume": cmdResume, "ticket": cmdTicket,
@@ -41,7 +41,7 @@
 // signal BOX KILL|STOP|CONT|TERM
 func cmdSignal(ts *testscript.TestScript, _ bool, args []string) {
 	s := map[string]syscall.Signal{"KILL": syscall.SIGKILL, "STOP": syscall.SIGSTOP, "CONT": syscall.SIGCONT, "TERM": syscall.SIGTERM}[args[1]]
-	w := worldOf(ts)
+	w := environmentOf(ts)
 	if s == syscall.SIGKILL {
 		if err := w.KeepAudit(w.c, args[0]); err != nil {
 			ts.Logf("audit of %s not kept: %v", args[0], err)
@@ -55,33 +55,33 @@
 	}
 }
 
-// restart BOX: starts again what was killed or has stopped.
+// restart BOX: restarts a process that was killed or has exited
 func cmdRestart(ts *testscript.TestScript, _ bool, args []string) {
-	ts.Check(worldOf(ts).Restart(args[0]))
+	ts.Check(environmentOf(ts).Restart(args[0]))
 }
 
-// fault STAND NAME [left=N at=N delay=D match=S]; left=0 ends it
+// fault STAND NAME [left=N at=N delay=D match=S]: sets a fault of a stand-in; left=0 ends the fault
 func cmdFault(ts *testscript.TestScript, _ bool, args []string) {
-	w, m := worldOf(ts), fields(ts, args[2:])
-	f := faults.Mode{Name: args[1], Left: number(ts, get(m, "left", "-1")), At: number(ts, get(m, "at", "0")), Match: m["match"]}
-	f.Delay = span(ts, get(m, "delay", "0s"))
+	w, m := environmentOf(ts), parseFields(ts, args[2:])
+	f := faults.Mode{Name: args[1], Left: parseInt(ts, valueOr(m, "left", "-1")), At: parseInt(ts, valueOr(m, "at", "0")), Match: m["match"]}
+	f.Delay = parseDuration(ts, valueOr(m, "delay", "0s"))
 	ts.Check(w.Control(w.c, args[0], f))
 }
 
-// cut A B: breaks the peers' link between two entry boxes
+// cut A B: partitions two entry boxes from each other
 func cmdCut(ts *testscript.TestScript, _ bool, args []string) {
-	ts.Check(worldOf(ts).Cut(args[0], args[1], true))
+	ts.Check(environmentOf(ts).Cut(args[0], args[1], true))
 }
 
-// join A B: mends it again
+// join A B: ends the partition of two entry boxes
 func cmdJoin(ts *testscript.TestScript, _ bool, args []string) {
-	ts.Check(worldOf(ts).Cut(args[0], args[1], false))
+	ts.Check(environmentOf(ts).Cut(args[0], args[1], false))
 }
 
-// runs N NAME...: how often the calls ran together, by the stand-ins' audits
+// runs N NAME...: the calls ran N times in total, by the audits of the stand-ins
 func cmdRuns(ts *testscript.TestScript, _ bool, args []string) {
-	w := worldOf(ts)
-	a, n := w.wholeAudit(ts), 0
+	w := environmentOf(ts)
+	a, n := w.completeAudit(ts), 0
 	for _, name := range args[1:] {
 		id := callOf(ts, name).id
 		n += len(a.Service[id])
@@ -91,14 +91,14 @@
 			}
 		}
 	}
-	if n != number(ts, args[0]) {
+	if n != parseInt(ts, args[0]) {
 		ts.Fatalf("%v ran %d times, not %s", args[1:], n, args[0])
 	}
 }
 
-// where NAME VARIABLE: the engine that runs a call
+// where NAME VARIABLE: sets a variable to the name of the engine that runs a call
 func cmdWhere(ts *testscript.TestScript, _ bool, args []string) {
-	w, id := worldOf(ts), callOf(ts, args[0]).id
+	w, id := environmentOf(ts), callOf(ts, args[0]).id
 	for _, p := range w.All("engine") {
 		a := load.ReadAudit(w.c, []string{p.Address}, nil)
 		if len(a.Engine[id]) > 0 {
@@ -109,28 +109,28 @@
 	ts.Fatalf("no engine runs %s", args[0])
 }
 
-// recomputed N: at most N tokens were computed again
+// recomputed N: at most N tokens were recomputed
 func cmdRecomputed(ts *testscript.TestScript, _ bool, args []string) {
-	a := worldOf(ts).wholeAudit(ts)
-	if a.Recomputed > number(ts, args[0]) {
-		ts.Fatalf("%d tokens were computed again: %s", a.Recomputed, replays(a))
+	a := environmentOf(ts).completeAudit(ts)
+	if a.Recomputed > parseInt(ts, args[0]) {
+		ts.Fatalf("%d tokens were recomputed: %s", a.Recomputed, engineRunsJSON(a))
 	}
 }
 
-// wholeAudit reads every audit. One of a box that is just being taken is read
-// again, from the file that it leaves.
-func (w *world) wholeAudit(ts *testscript.TestScript) load.Audit {
+// completeAudit reads the audits of all stand-ins. It retries until none is unreadable: a box that is
+// being reclaimed writes its audit to a file on exit.
+func (w *environment) completeAudit(ts *testscript.TestScript) load.Audit {
 	var a load.Audit
-	until(ts, "every audit", func() bool {
-		a = w.audit()
+	waitUntil(ts, "every audit", func() bool {
+		a = w.readAudit()
 		return len(a.Unread) == 0
 	})
 	return a
 }
 
-// count returns how many runs a stand-in has had.
-func count(ts *testscript.TestScript, name string) int {
-	w := worldOf(ts)
+// countRuns returns the number of runs in a stand-in's audit.
+func countRuns(ts *testscript.TestScript, name string) int {
+	w := environmentOf(ts)
 	p, err := w.Get(name)
 	ts.Check(err)
 	a, err := http.Get("http://" + p.Address + "/audit")
@@ -146,29 +146,28 @@
 	return len(rs)
 }
 
-// mark STAND: remembers how many runs it has had
+// mark STAND: records the stand-in's number of runs for the command unchanged
 func cmdMark(ts *testscript.TestScript, _ bool, args []string) {
-	worldOf(ts).marks[args[0]] = count(ts, args[0])
+	environmentOf(ts).runCounts[args[0]] = countRuns(ts, args[0])
 }
 
-// unchanged STAND: it has had no run since the mark
+// unchanged STAND: the stand-in has had no run since mark
 func cmdUnchanged(ts *testscript.TestScript, neg bool, args []string) {
-	n, was := count(ts, args[0]), worldOf(ts).marks[args[0]]
+	n, was := countRuns(ts, args[0]), environmentOf(ts).runCounts[args[0]]
 	if (n == was) == neg {
 		ts.Fatalf("%s had %d runs and has %d", args[0], was, n)
 	}
 }
 
-// pause D: lets time pass that a failure takes, such as how long a process is
-// frozen
+// pause D: waits for the duration of a failure, such as the time that a process stays stopped
 func cmdPause(ts *testscript.TestScript, _ bool, args []string) {
-	<-time.After(span(ts, args[0]))
+	<-time.After(parseDuration(ts, args[0]))
 }
 
-// put BOX FILE base=N [editor=E]; with ! it must be refused
+// put BOX FILE base=N [editor=E]: puts a configuration; with ! the box must refuse it
 func cmdPut(ts *testscript.TestScript, neg bool, args []string) {
-	w, m := worldOf(ts), fields(ts, args[2:])
-	e := operator.Edit{Base: uint64(number(ts, m["base"])), Text: ts.ReadFile(args[1]), Editor: get(m, "editor", "script")}
+	w, m := environmentOf(ts), parseFields(ts, args[2:])
+	e := operator.Edit{Base: uint64(parseInt(ts, m["base"])), Text: ts.ReadFile(args[1]), Editor: valueOr(m, "editor", "script")}
 	var r follower.Revision
 	err := w.Admin(w.c, args[0], http.MethodPut, "/operator/config", e, &r)
 	if neg {
@@ -182,9 +181,9 @@
 	ts.Check(err)
 }
 
-// calls KIND CALLER max=N: how often a caller called the key-value service
+// calls KIND CALLER max=N: a caller made at most N calls of a kind to the key-value service
 func cmdCalls(ts *testscript.TestScript, _ bool, args []string) {
-	w, m := worldOf(ts), fields(ts, args[2:])
+	w, m := environmentOf(ts), parseFields(ts, args[2:])
 	p, err := w.Get("kv")
 	ts.Check(err)
 	a, err := http.Get("http://" + p.Address + "/audit")
@@ -192,7 +191,7 @@
 	defer a.Body.Close()
 	var v map[string]map[string]int
 	ts.Check(json.NewDecoder(a.Body).Decode(&v))
-	if n := v[args[0]][args[1]]; n > number(ts, m["max"]) {
+	if n := v[args[0]][args[1]]; n > parseInt(ts, m["max"]) {
 		ts.Fatalf("%s called %s %d times", args[1], args[0], n)
 	}
 }
@@ -200,32 +199,32 @@
 // logged BOX PATTERN: waits until a box's log matches
 func cmdLogged(ts *testscript.TestScript, _ bool, args []string) {
 	x := regexp.MustCompile(args[1])
-	until(ts, "log line "+args[1], func() bool {
-		b, err := os.ReadFile(logOf(worldOf(ts), args[0]))
+	waitUntil(ts, "log line "+args[1], func() bool {
+		b, err := os.ReadFile(logPath(environmentOf(ts), args[0]))
 		return err == nil && x.Match(b)
 	})
 }
 
-// order ENGINE fence=N WORKLOAD...; with ! it must be refused
+// order ENGINE fence=N WORKLOAD...: orders an engine to load workloads; with ! it must refuse
 func cmdOrder(ts *testscript.TestScript, neg bool, args []string) {
-	w := worldOf(ts)
+	w := environmentOf(ts)
 	p, err := w.Get(args[0])
 	ts.Check(err)
-	f := fields(ts, args[1:2])
-	err = engine.NewClient("script").Order(w.c, p.Address, engine.Orders{Fence: uint64(number(ts, f["fence"])), Workloads: args[2:]})
+	f := parseFields(ts, args[1:2])
+	err = engine.NewClient("script").Order(w.c, p.Address, engine.Orders{Fence: uint64(parseInt(ts, f["fence"])), Workloads: args[2:]})
 	if (err != nil) != neg {
 		ts.Fatalf("order: %v", err)
 	}
 }
 
-// awaitStatus waits for something in a box's status.
-func (w *world) awaitStatus(ts *testscript.TestScript, args []string) {
+// awaitStatus waits for a condition on a box's status.
+func (w *environment) awaitStatus(ts *testscript.TestScript, args []string) {
 	var ok func(operator.Status) bool
 	switch args[0] {
 	case "version":
-		ok = func(s operator.Status) bool { return s.Version == uint64(number(ts, args[2])) }
+		ok = func(s operator.Status) bool { return s.Version == uint64(parseInt(ts, args[2])) }
 	case "members":
-		ok = func(s operator.Status) bool { return len(s.Members) == number(ts, args[2]) }
+		ok = func(s operator.Status) bool { return len(s.Members) == parseInt(ts, args[2]) }
 	case "stale":
 		ok = func(s operator.Status) bool { return s.HorizonAge > 4*time.Second }
 	case "leaving":
@@ -237,23 +236,23 @@
 			return !slices.ContainsFunc(s.Endpoints, func(e fleet.Endpoint) bool { return e.Name == args[2] })
 		}
 	case "streams":
-		ok = func(s operator.Status) bool { return s.Streams == number(ts, args[2]) }
+		ok = func(s operator.Status) bool { return s.Streams == parseInt(ts, args[2]) }
 	case "duty":
-		ok = func(s operator.Status) bool { return s.DutyFence >= uint64(number(ts, args[2])) }
+		ok = func(s operator.Status) bool { return s.DutyFence >= uint64(parseInt(ts, args[2])) }
 	case "loaded":
 		ok = func(s operator.Status) bool {
 			return slices.ContainsFunc(s.Endpoints, func(e fleet.Endpoint) bool { return e.Name == args[2] && e.Has(args[3]) })
 		}
 	default:
-		ts.Fatalf("nothing to await: %v", args)
+		ts.Fatalf("unknown condition for await: %v", args)
 	}
 	if err := w.Await(w.c, args[1], ok); err != nil {
 		ts.Fatalf("%s: %v", strings.Join(args, " "), err)
 	}
 }
 
-// replays lists the runs that went on from a later token.
-func replays(a load.Audit) string {
+// engineRunsJSON returns the engines' runs in the audit as JSON.
+func engineRunsJSON(a load.Audit) string {
 	b, err := json.Marshal(a.Engine)
 	if err != nil {
 		return err.Error()
