--- a/cmd/birchcompare/main.go
+++ b/cmd/birchcompare/main.go
@@ -1,5 +1,5 @@
-// Command birchcompare decides data files by the chosen policies and by their
-// baselines, and prints the tables.
+// Command birchcompare replays data files through the chosen policies and their baselines and prints
+// the results as tables.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	Files []string `arg:"positional,required" help:"data files"`
 }
 
-// Description says what the program is for.
+// Description returns the first lines of the help text.
 func (arguments) Description() string {
 	return "birchcompare decides data files by the chosen policies and by their baselines."
 }
--- a/cmd/birchctl/main.go
+++ b/cmd/birchctl/main.go
@@ -1,4 +1,5 @@
-// Command birchctl is for operators: configuration, status and reasons.
+// Command birchctl is the operators' client. It checks, puts and shows the configuration, prints a
+// box's status and explains decisions.
 package main
 
 import (
@@ -45,7 +46,7 @@
 	Explain *explainArguments `arg:"subcommand:explain" help:"print why a request or a placement went as it did"`
 }
 
-// Description says what the program is for.
+// Description returns the first lines of the help text.
 func (arguments) Description() string {
 	return "birchctl checks, puts and shows configuration, and tells what the boxes know and decided."
 }
@@ -59,11 +60,11 @@
 	}
 }
 
-// bearer adds the operators' key to each call.
-type bearer string
+// bearerTransport is an http.RoundTripper that sends itself as the bearer token of each request.
+type bearerTransport string
 
-// RoundTrip makes a call with the key.
-func (b bearer) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip sends a copy of r with the Authorization header set.
+func (b bearerTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.Header.Set("Authorization", "Bearer "+string(b))
 	return http.DefaultTransport.RoundTrip(r)
@@ -71,7 +72,7 @@
 
 func run(a arguments) error {
 	const limit = 15 * time.Second
-	h := &jsonhttp.Client{Base: "http://" + a.Address, Caller: "birchctl", HTTP: &http.Client{Timeout: limit, Transport: bearer(a.Key)}}
+	h := &jsonhttp.Client{Base: "http://" + a.Address, Caller: "birchctl", HTTP: &http.Client{Timeout: limit, Transport: bearerTransport(a.Key)}}
 	c, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	switch {
@@ -90,17 +91,17 @@
 	}
 }
 
-// told turns a refusal into the words for the operator.
-func told(err error) error {
+// refusalError returns err, or the kind, message and mistakes of the refusal in it.
+func refusalError(err error) error {
 	var s *jsonhttp.StatusError
 	var r operator.Refusal
 	if !errors.As(err, &s) || json.Unmarshal([]byte(s.Body), &r) != nil {
 		return err
 	}
-	return errors.New(r.Kind + ": " + r.Message + mistakes(r.Mistakes))
+	return errors.New(r.Kind + ": " + r.Message + formatMistakes(r.Mistakes))
 }
 
-func mistakes(ms []iniread.Mistake) string {
+func formatMistakes(ms []iniread.Mistake) string {
 	var b strings.Builder
 	for _, m := range ms {
 		b.WriteString("\n  " + m.String())
@@ -114,7 +115,7 @@
 		return fmt.Errorf("read configuration: %w", err)
 	}
 	if err := h.Do(c, http.MethodPost, "/operator/check", operator.Edit{Text: string(b)}, nil); err != nil {
-		return told(err)
+		return refusalError(err)
 	}
 	fmt.Println("the configuration is in order")
 	return nil
@@ -127,7 +128,7 @@
 	}
 	var r follower.Revision
 	if err := h.Do(c, http.MethodPut, "/operator/config", operator.Edit{Base: p.Base, Text: string(b), Editor: p.Editor}, &r); err != nil {
-		return told(err)
+		return refusalError(err)
 	}
 	fmt.Printf("version %d is accepted\n", r.Version)
 	return nil
@@ -136,7 +137,7 @@
 func show(c context.Context, h *jsonhttp.Client) error {
 	var r follower.Revision
 	if err := h.Do(c, http.MethodGet, "/operator/config", nil, &r); err != nil {
-		return told(err)
+		return refusalError(err)
 	}
 	fmt.Printf("; version %d by %s at %s\n%s", r.Version, r.Editor, r.At.Format(time.RFC3339), r.Text)
 	return nil
@@ -145,7 +146,7 @@
 func status(c context.Context, h *jsonhttp.Client) error {
 	var s operator.Status
 	if err := h.Do(c, http.MethodGet, "/operator/status", nil, &s); err != nil {
-		return told(err)
+		return refusalError(err)
 	}
 	fmt.Printf("box %s in %s, version %d, ready: %s, %d streams, notices known as of %v ago\n",
 		s.Box, s.DataCentre, s.Version, s.Ready, s.Streams, s.HorizonAge.Round(time.Millisecond))
@@ -169,7 +170,7 @@
 func explain(c context.Context, h *jsonhttp.Client, subject string) error {
 	var ds []decisions.Decision
 	if err := h.Do(c, http.MethodGet, "/operator/explain/"+subject, nil, &ds); err != nil {
-		return told(err)
+		return refusalError(err)
 	}
 	if len(ds) == 0 {
 		return fmt.Errorf("no box that can be reached remembers %s", subject)
--- a/cmd/birchlinkd/main.go
+++ b/cmd/birchlinkd/main.go
@@ -1,4 +1,5 @@
-// Command birchlinkd is the daemon of an entry box.
+// Command birchlinkd is the daemon of an entry box. It accepts requests from callers and routes them to
+// endpoints.
 package main
 
 import (
@@ -24,11 +25,11 @@
 	Check    bool   `arg:"--check" help:"report every mistake in the settings and exit"`
 }
 
-// Description says what the program is for.
+// Description returns the first lines of the help text.
 func (arguments) Description() string { return "birchlinkd serves callers on one entry box." }
 
-// logLines bounds the log lines that wait for a slow reader; more are dropped.
-const logLines = 4096
+// maxQueuedLogLines bounds the log lines that are queued for a slow reader.
+const maxQueuedLogLines = 4096
 
 func main() {
 	var a arguments
@@ -63,6 +64,8 @@
 	return serve(d.App, stop)
 }
 
+// runEntry runs with the settings of the users' platform. SIGHUP reloads the settings; SIGTERM and
+// SIGINT stop the daemon.
 func runEntry(a arguments) error {
 	s, err := settings.LoadEntry(a.Settings)
 	if err != nil {
@@ -72,7 +75,7 @@
 		fmt.Println("settings are in order")
 		return nil
 	}
-	w := output()
+	w := newLogWriter()
 	defer w.Close()
 	d, err := daemon.NewEntry(s, w)
 	if err != nil {
@@ -97,15 +100,16 @@
 	return serve(d.App, stop)
 }
 
-// output returns a writer that never blocks: lines that a slow reader leaves
-// waiting are dropped beyond logLines, and their number is told.
-func output() io.WriteCloser {
-	return diode.NewWriter(os.Stdout, logLines, 0, func(missed int) {
+// newLogWriter returns a writer to standard output that never blocks. When more than maxQueuedLogLines
+// lines are queued it drops lines and logs how many.
+func newLogWriter() io.WriteCloser {
+	return diode.NewWriter(os.Stdout, maxQueuedLogLines, 0, func(missed int) {
 		fmt.Fprintf(os.Stdout, "{\"level\":\"warn\",\"event\":\"log lines dropped\",\"count\":%d}\n", missed)
 	})
 }
 
-// serve runs until stop is closed, and stops in order.
+// serve starts app, waits until stop is closed and stops app. Exceeding the stop timeout is not an
+// error.
 func serve(app *fx.App, stop <-chan struct{}) error {
 	c, cancel := context.WithTimeout(context.Background(), app.StartTimeout())
 	defer cancel()
--- a/cmd/birchload/main.go
+++ b/cmd/birchload/main.go
@@ -1,5 +1,5 @@
-// Command birchload sends a deployment's mix to entry boxes and checks every
-// answer.
+// Command birchload is a load generator. It sends a deployment's mix of requests to entry boxes and
+// checks every answer.
 package main
 
 import (
@@ -27,7 +27,7 @@
 	Settle   time.Duration `default:"500ms" help:"wait before the audits are read"`
 }
 
-// Description says what the program is for.
+// Description returns the first lines of the help text.
 func (arguments) Description() string {
 	return "birchload sends a deployment's mix and checks that every answer is whole, own and given once."
 }
--- a/cmd/birchstand/main.go
+++ b/cmd/birchstand/main.go
@@ -1,4 +1,4 @@
-// Command birchstand runs one stand-in of the platform, for trials and tests.
+// Command birchstand runs one stand-in of the platform for tests and local experiments.
 package main
 
 import (
@@ -72,7 +72,7 @@
 	Service *serviceArguments `arg:"subcommand:service" help:"a plain service"`
 }
 
-// Description says what the program is for.
+// Description returns the first lines of the help text.
 func (arguments) Description() string { return "birchstand runs one stand-in of the platform." }
 
 func main() {
@@ -102,6 +102,7 @@
 	return nil
 }
 
+// handler returns the stand-in that the subcommand names.
 func handler(c context.Context, a arguments) (http.Handler, error) {
 	switch {
 	case a.KV != nil:
--- a/cmd/birchup/main.go
+++ b/cmd/birchup/main.go
@@ -1,5 +1,5 @@
-// Command birchup starts a small fleet of real processes on loopback: for a
-// trial by hand, or with --run as a check of the whole path.
+// Command birchup starts a small fleet of real processes on loopback. It leaves the fleet running until
+// it is interrupted or, with --run, sends load, reclaims boxes, checks the answers and stops.
 package main
 
 import (
@@ -39,7 +39,7 @@
 	Wave     bool          `arg:"--wave" help:"reclaim a whole data centre's reclaimable boxes, not one box"`
 }
 
-// Description says what the program is for.
+// Description returns the first lines of the help text.
 func (arguments) Description() string {
 	return "birchup starts three data centres of real processes on loopback."
 }
@@ -53,6 +53,8 @@
 	}
 }
 
+// options returns the options of a fleet of three data centres. Each has one on-demand engine, two
+// reclaimable ones, of which the old one does not check fences, and a stopped reclaimable one.
 func options(policy, text string) lab.Options {
 	const slots, slower = 8, 2
 	return lab.Options{
@@ -85,7 +87,7 @@
 	}
 	l := lab.New(a.Bin, dir, options(a.Policy, string(text)))
 	if a.Measure {
-		l.Options = measured(l.Options, a)
+		l.Options = measuredOptions(l.Options, a)
 	}
 	defer l.Down()
 	if err := l.Up(c); err != nil {
@@ -95,15 +97,15 @@
 		return measure(c, l, a.Duration)
 	}
 	if a.Run {
-		return try(c, l, d, a)
+		return runMixes(c, l, d, a)
 	}
-	show(l, d)
+	printFleet(l, d)
 	<-c.Done()
 	return nil
 }
 
-// show prints one line a process, and what a caller needs.
-func show(l *lab.Lab, d *config.Document) {
+// printFleet prints one line per process and the keys that callers and operators need.
+func printFleet(l *lab.Lab, d *config.Document) {
 	for _, p := range l.All("") {
 		fmt.Printf("%-9s %-14s %-28s pid %-7d %s", p.Role, p.DataCentre, p.Name, p.PID(), p.Address)
 		if p.Role == "entry" {
@@ -115,8 +117,8 @@
 		d.Accounts[0].Key, lab.OperatorKey, filepath.Dir(l.All("")[0].Log))
 }
 
-// try sends both mixes, with a reclaim in the middle of each.
-func try(c context.Context, l *lab.Lab, d *config.Document, a arguments) error {
+// runMixes sends the mixes one after the other, each with a reclaim in the middle.
+func runMixes(c context.Context, l *lab.Lab, d *config.Document, a arguments) error {
 	if err := l.AwaitLoaded(c); err != nil {
 		return err
 	}
@@ -125,12 +127,14 @@
 		if a.Mix != "" && a.Mix != m {
 			continue
 		}
-		es = append(es, tryMix(c, l, d, a, m, i))
+		es = append(es, runMix(c, l, d, a, m, i))
 	}
 	return errors.Join(es...)
 }
 
-func tryMix(c context.Context, l *lab.Lab, d *config.Document, a arguments, mix string, n int) error {
+// runMix sends one mix to the fleet, gives a reclaim notice after half of the duration, and checks the
+// answers against the audits.
+func runMix(c context.Context, l *lab.Lab, d *config.Document, a arguments, mix string, n int) error {
 	dc := l.Options.DataCentres[n]
 	notice := cloud.Notice{Boxes: []string{dc + "-engine-2"}, In: 6 * time.Second}
 	if a.Wave {
@@ -144,16 +148,17 @@
 	})
 	defer t.Stop()
 	fmt.Printf("mix %s: %g requests a second for %v\n", mix, a.Rate, a.Duration)
-	before := audit(c, l)
+	before := readCloudAudit(c, l)
 	var r load.Report
 	load.Run(c, load.Plan{Boxes: addresses(l, "entry"), Mix: mix, Rate: a.Rate, Duration: a.Duration, Seed: a.Seed, Document: d}, &r)
 	r.Print(os.Stdout)
-	after := audit(c, l)
+	after := readCloudAudit(c, l)
 	fmt.Printf("cost %.5f, per thousand answers %.4f\n", after.Cost-before.Cost, (after.Cost-before.Cost)*1000/float64(max(len(r.Outcomes), 1)))
 	return load.Verdict(os.Stdout, &r, load.ReadAudit(c, l.Audits("engine"), l.Audits("service")))
 }
 
-func audit(c context.Context, l *lab.Lab) standcloud.Audit {
+// readCloudAudit returns the audit of the cloud stand-in, or a zero audit if it cannot be read.
+func readCloudAudit(c context.Context, l *lab.Lab) standcloud.Audit {
 	var v standcloud.Audit
 	p, err := l.Get("cloud")
 	if err == nil {
--- a/cmd/birchup/measure.go
+++ b/cmd/birchup/measure.go
@@ -14,14 +14,16 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// settleTime lets joins, first loads and first pushes pass before measuring.
+// settleTime is the time before the measurement in which boxes join, engines load their first workloads
+// and the first state is exchanged.
 const settleTime = 15 * time.Second
 
-// ticksPerSecond is the unit of processor time in /proc.
+// ticksPerSecond is the number of clock ticks per second in /proc/PID/stat (USER_HZ).
 const ticksPerSecond = 100
 
-// measured is one data centre of a size, without callers.
-func measured(o lab.Options, a arguments) lab.Options {
+// measuredOptions returns o reduced to one data centre with the numbers of boxes and engines that a
+// asks for.
+func measuredOptions(o lab.Options, a arguments) lab.Options {
 	o.DataCentres, o.Entries = o.DataCentres[:1], a.Entries
 	kinds := o.Engines
 	o.Engines = nil
@@ -32,7 +34,7 @@
 	return o
 }
 
-// usage is what a process has used so far.
+// usage is the cumulative resource usage of a process; rss is its current resident memory.
 type usage struct {
 	cpu   time.Duration
 	rss   int64
@@ -40,28 +42,28 @@
 	calls map[string]int64
 }
 
-// measure prints what an idle entry box spends on control: the mean and the
-// most over all of them.
+// measure prints the resources that an idle entry box uses over d: means over all entry boxes and, for
+// processor time, also the maximum.
 func measure(c context.Context, l *lab.Lab, d time.Duration) error {
 	wait.For(c, settleTime)
 	ps := l.All("entry")
 	before := make([]usage, len(ps))
 	for i, p := range ps {
-		u, err := read(c, p)
+		u, err := readUsage(c, p)
 		if err != nil {
 			return err
 		}
 		before[i] = u
 	}
 	wait.For(c, d)
-	var cpu, most, rss, bytes, kv float64
+	var cpu, maxCPU, rss, bytes, kv float64
 	for i, p := range ps {
-		u, err := read(c, p)
+		u, err := readUsage(c, p)
 		if err != nil {
 			return err
 		}
 		s := (u.cpu - before[i].cpu).Seconds() / d.Seconds()
-		cpu, most = cpu+s, max(most, s)
+		cpu, maxCPU = cpu+s, max(maxCPU, s)
 		rss += float64(u.rss)
 		bytes += float64(u.bytes-before[i].bytes) / d.Seconds()
 		for n, v := range u.calls {
@@ -70,18 +72,19 @@
 	}
 	n := float64(len(ps))
 	fmt.Printf("entry boxes %d, engines %d: processor %.2f%% of a core (most %.2f%%), resident %.1f MB, peers %.0f B/s, key-value calls %.2f/s a box\n",
-		len(ps), len(l.All("engine")), 100*cpu/n, 100*most, rss/n/(1<<20), bytes/n, kv/n)
+		len(ps), len(l.All("engine")), 100*cpu/n, 100*maxCPU, rss/n/(1<<20), bytes/n, kv/n)
 	return nil
 }
 
-// read asks the system and the process itself.
-func read(c context.Context, p *lab.Process) (usage, error) {
+// readUsage reads processor time and memory from /proc, and traffic and calls from the process's
+// metrics.
+func readUsage(c context.Context, p *lab.Process) (usage, error) {
 	u := usage{calls: map[string]int64{}}
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID()))
 	if err != nil {
 		return u, fmt.Errorf("read usage: %w", err)
 	}
-	const user, system, resident = 11, 12, 21 // behind the command's name
+	const user, system, resident = 11, 12, 21 // indexes of the fields after the command name
 	f := strings.Fields(string(b[strings.LastIndexByte(string(b), ')')+2:]))
 	for _, i := range []int{user, system} {
 		n, err := strconv.ParseInt(f[i], 10, 64)
