--- a/Makefile
+++ b/Makefile
@@ -1,17 +1,17 @@
-# The linter and the formatters it runs are pinned here and nowhere else.
+# The only pin of the linter, which also runs the formatters.
 GOLANGCI := github.com/golangci/golangci-lint/v2/cmd/golangci-lint@v2.15.0
-GOPLS := golang.org/x/tools/gopls@v0.23.0 # v0.24 needs a newer Go
+GOPLS := golang.org/x/tools/gopls@v0.23.0 # v0.24 requires a newer Go
 
 .PHONY: build run up test lint format rename unit bench compare soak
 
 build:
 	go build -o bin/ ./cmd/...
 
-# Two data mixes through real processes, a reclaim in the middle of each.
+# Sends two request mixes through real processes, with a reclaim in the middle of each.
 run: build
 	./bin/birchup --run
 
-# The same processes, left running until Ctrl-C.
+# Starts the same processes and leaves them running until Ctrl-C.
 up: build
 	./bin/birchup
 
@@ -29,7 +29,7 @@
 rename:
 	go run $(GOPLS) rename -w $(AT) $(TO)
 
-# The tests of KNOWN-RED.txt, each the first word of its line, are passed over.
+# Tests to skip: the first word of each line of KNOWN-RED.txt.
 RED := $(shell cut -d' ' -f1 KNOWN-RED.txt | paste -sd'|')
 
 unit: build
@@ -38,11 +38,11 @@
 bench:
 	go test -run '^$$' -bench . -benchtime 0.3s ./...
 
-# Decisions by the chosen policies and by their baselines; the same every time.
+# Compares the chosen policies with their baselines; the output is deterministic.
 compare:
 	@go run ./cmd/birchcompare compare/data/*.txt
 
-# Boxes as real processes under faults drawn from a seed: make soak SEED=7 FOR=30s
+# Runs boxes as real processes under faults drawn from a seed: make soak SEED=7 FOR=30s
 SEED ?= 1
 FOR ?= 6s
 SEEDS ?= 1
