--- a/call/attempt.go
+++ b/call/attempt.go
@@ -14,7 +14,7 @@
 	// Account is the caller's account, or empty if calls need no key.
 	Account string
 
-	// Timeout is the time left until the answer is of no use any more.
+	// Timeout is the time left until the call's deadline.
 	Timeout time.Duration
 
 	// LastEventID is the ID of the last event of the stream that the caller has received.
--- a/call/call.go
+++ b/call/call.go
@@ -49,8 +49,8 @@
 	ExpectedTokens int
 }
 
-// Deadline returns the time after which the answer is of no use: after the caller's timeout or the
-// operator's limit, whichever is shorter.
+// Deadline returns the time after which the answer is of no use: the time of arrival plus the
+// caller's timeout or the operator's limit, whichever is shorter.
 func (c *Call) Deadline(limit time.Duration) time.Time {
 	w := c.Timeout
 	if w <= 0 || limit > 0 && limit < w {
--- a/claims/service.go
+++ b/claims/service.go
@@ -18,7 +18,7 @@
 // Name is the name of the service.
 const Name = "claims"
 
-// ownerTimeout is how long a box waits for a slot's owner before it commits the claim by itself. Two
+// ownerTimeout is how long a box waits for a slot's owner before it commits the claim itself. Two
 // committers of a slot cost a retry, and never a second claim.
 const ownerTimeout = 500 * time.Millisecond
 
--- a/content/hash.go
+++ b/content/hash.go
@@ -1,4 +1,4 @@
-// Package content identifies requests by what they ask for.
+// Package content computes hashes that identify requests by their content.
 package content
 
 import (
@@ -10,8 +10,8 @@
 	"birchlink.dev/birchlink/call"
 )
 
-// Hash is a hash of what a request asks for. It covers the account, the method, the host, the target
-// and the body, and not the request's ID.
+// Hash is a hash of a request's content: the account, the method, the host, the target and the body.
+// The request's ID is not part of the content.
 type Hash uint64
 
 // HashOf returns the hash of a call by an account. The account is empty if calls need no key.
--- a/content/hash_test.go
+++ b/content/hash_test.go
@@ -9,8 +9,8 @@
 	"birchlink.dev/birchlink/content"
 )
 
-// The hash depends on what is asked for and by which account, and not on the request's ID, the
-// caller's timeout, the last event or the key.
+// The hash depends on the content and the account, and not on the request's ID, the caller's timeout,
+// the last event or the key.
 func TestHashOf(t *testing.T) {
 	base := call.Call{ID: "1", Method: "POST", Host: "h", Target: "/a?b", Body: []byte("body"), Timeout: 1}
 	same := base
--- a/daemon/entry.go
+++ b/daemon/entry.go
@@ -175,7 +175,7 @@
 		DataCentre: s.DataCentre, Roster: &p.known.Roster, Balancer: p.book, Budget: p.budget, Meter: p.meter, Quarantine: p.gossip.Quarantine, Rollouts: p.gossip.Rollouts,
 		Pool: &exchange.Pool{DialTimeout: dialEndpoint}, Codec: platform.Wire{}, OnStart: p.began, Metrics: m, Log: log,
 		OnSend: p.sent, OnCrash: func(e endpoint.Endpoint) { p.gossip.BroadcastCrash(e.Incarnation()) },
-		OnDraining:    func(e endpoint.Endpoint) { p.gossip.BroadcastLeaving(e.Incarnation()) },
+		OnDraining:    func(e endpoint.Endpoint) { p.gossip.BroadcastDraining(e.Incarnation()) },
 		OnLimitChange: p.gossip.BroadcastRate, RequestPermit: limits.Permit,
 	}
 	p.known.Roster.OnReplaced(f.CancelReplaced)
--- a/gossip/enlist.go
+++ b/gossip/enlist.go
@@ -38,7 +38,7 @@
 )
 
 // startupGrace is the time after the start in which a box that has found no relay doesn't watch the
-// store itself. Without it, all boxes would read everything when they start at once.
+// store itself. Without this grace period, all boxes would read everything when they start at once.
 const startupGrace = 1500 * time.Millisecond
 
 // relaySlot is one slot for a relay: its key in the store, and the box that holds it.
--- a/gossip/fetch.go
+++ b/gossip/fetch.go
@@ -27,7 +27,7 @@
 
 // catchUp fetches the configuration and the records from a box that has newer ones. It doesn't block
 // the rounds: within the time limit of a round, no member received its records when all asked at
-// once, and their relay sent them again and again.
+// once, and their relay sent them repeatedly.
 func (g *Gossip) catchUp(from string, version, revision uint64) {
 	if v, _ := g.known.RawConfig(); version > v {
 		g.startFetch(&g.configFetch, from, g.fetchConfiguration)
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -58,7 +58,7 @@
 // hundred bytes per service and change over seconds.
 const statsRounds = 4
 
-// askAnyAfter is how long the store must be silent before a member asks arbitrary boxes.
+// askAnyAfter is how long the store must be unresponsive before a member asks random boxes.
 const askAnyAfter = 2 * time.Second
 
 // watchTimeout is how long a call waits for changes of the relay slots. It can be long because a
@@ -193,7 +193,10 @@
 	g.ctx, g.cancel = c, cancel
 	g.Quarantine.SendsTrials = g.sendsTrials
 	g.Quarantine.OnChange = func(s []quarantine.Suspect) { g.notify(notification{Suspects: s}) }
-	g.slotWatch = &mirror.Mirror{Store: g.Store, Prefix: g.Prefix, Wait: watchTimeout, Apply: g.applySlots, Log: g.log, StoreUnreachable: g.session.StoreUnreachable}
+	g.slotWatch = &mirror.Mirror{
+		Store: g.Store, Prefix: g.Prefix, Wait: watchTimeout, Apply: g.applySlots, Log: g.log,
+		StoreUnreachable: g.session.StoreUnreachable,
+	}
 	g.session.OnReconnect(g.slotWatch.Restart)
 	g.known.OnRecords(func(r known.Records) { g.pushRecords(c, r) })
 	g.known.OnRawConfig(func(raw []byte) {
@@ -302,7 +305,7 @@
 	g.setSlotWatch(c, true)
 	g.exchangeWithRelays(c)
 	g.known.SetWatching(g.isWatcher())
-	if g.session.Lease() != 0 && g.mayHaveLostSlot() {
+	if g.session.Lease() != 0 && g.needsSlotLookup() {
 		g.claimSlot(c)
 	}
 }
@@ -315,9 +318,9 @@
 	g.relayAddress = s.address
 }
 
-// mayHaveLostSlot reports whether a slot of this data centre is free and the slots were not looked
-// up recently.
-func (g *Gossip) mayHaveLostSlot() bool {
+// needsSlotLookup reports whether a slot of this data centre seems to be free and the slots have not
+// been looked up for watchTimeout.
+func (g *Gossip) needsSlotLookup() bool {
 	n := g.countLocalRelays()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -354,7 +357,7 @@
 
 func (g *Gossip) applyReply(w MemberReply) {
 	g.Quarantine.Merge(w.Verdicts, boottime.Now())
-	g.mergeLeavers(w.Leavers)
+	g.mergeDraining(w.Leavers)
 	g.mergeRates(w.Rates.Words)
 	g.mergeRollouts(w.Orders, w.Others.Words)
 	w.Verdicts, w.Leavers.Incarnations, w.Rates.Words = nil, nil, nil
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -50,7 +50,7 @@
 	restoredStats map[string]estimate.Stats // passed to RestoreEndpointStats at the start
 }
 
-// unusedAddress returns an address on which nobody listens. No connections are made from its IP
+// unusedAddress returns an address on which no process listens. No connections are made from its IP
 // address: with the usual one, a connection took the port before the test listened on it in 32 of
 // 1,152 runs, 12 at a time.
 func unusedAddress(t *testing.T) string {
@@ -77,15 +77,15 @@
 var processCount atomic.Int64
 
 // startBoxAt starts a box with the given peer address.
-func startBoxAt(t *testing.T, s store.Store, name, dc, a string, seeds ...string) *box {
+func startBoxAt(t *testing.T, s store.Store, name, dc, address string, seeds ...string) *box {
 	t.Helper()
-	return startBoxWith(t, s, name, dc, a, func(b *box) { b.Seeds = seeds })
+	return startBoxWith(t, s, name, dc, address, func(b *box) { b.Seeds = seeds })
 }
 
 // startBoxWith starts a box after set has changed its fields.
-func startBoxWith(t *testing.T, s store.Store, name, dc, a string, set func(*box)) *box {
+func startBoxWith(t *testing.T, s store.Store, name, dc, address string, set func(*box)) *box {
 	t.Helper()
-	b := &box{t: t, session: session.New(s, zerolog.Nop()), node: peer.NewNode(a, a, "secret", metrics.NewRegistry())}
+	b := &box{t: t, session: session.New(s, zerolog.Nop()), node: peer.NewNode(address, address, "secret", metrics.NewRegistry())}
 	b.known = known.New(known.Source{
 		ConfigKey: "config", EndpointsPrefix: "e/",
 		DecodeConfig: func(v []byte) (*catalog.Document, error) {
@@ -100,14 +100,14 @@
 	b.Gossip = gossip.New(zerolog.Nop())
 	b.Clock = daytime.New(time.Now)
 	b.Quota = &quota.Quota{
-		Self: quota.Arbiter{Box: name, DataCentre: dc, Address: a}, Started: time.Now(),
+		Self: quota.Arbiter{Box: name, DataCentre: dc, Address: address}, Started: time.Now(),
 		Incarnation: fmt.Sprint("life", processCount.Add(1)), Chance: rand.Float64,
 	}
-	b.Box, b.DataCentre, b.Address, b.Prefix, b.Store = name, dc, a, "relays/", s
+	b.Box, b.DataCentre, b.Address, b.Prefix, b.Store = name, dc, address, "relays/", s
 	b.LocalStatus = func() gossip.Status {
 		v, _ := b.known.RawConfig()
 		return gossip.Status{
-			Box: name, DataCentre: dc, Address: a, Version: v,
+			Box: name, DataCentre: dc, Address: address, Version: v,
 			Speeds: map[string]estimate.Stats{"s": {Moments: [5]float64{1}}}, Load: map[string]balance.Load{"x": {Running: 1, Tokens: 10}},
 			Failing: map[string]balance.CallCounts{"x": {Total: 2, Failed: 1}}, Evidence: b.Rollouts.Evidence(),
 		}
--- a/gossip/gzip.go
+++ b/gossip/gzip.go
@@ -8,8 +8,8 @@
 	"sync"
 )
 
-// maxUnpackedBytes limits the size of unpacked data. Values in the store may have a megabyte, and the
-// records of 3,000 endpoints have about as much.
+// maxUnpackedBytes limits the size of unpacked data. Values in the store may have up to a megabyte, and
+// the records of 3,000 endpoints take about as much.
 const maxUnpackedBytes = 8 << 20
 
 // configCache caches the last configuration in packed form. With a thousand routes its text has half
--- a/gossip/leavers_test.go
+++ b/gossip/leavers_test.go
@@ -22,9 +22,9 @@
 	return nil
 }
 
-// All boxes learn that an endpoint leaves, although its record doesn't say so: from a notification, or
-// in a round if they missed it or started later.
-func TestLeavingEndpointsReachAllBoxes(t *testing.T) {
+// All boxes learn that an endpoint is draining although its record doesn't say so: from a
+// notification, or in a round if they missed the notification or started later.
+func TestDrainingEndpointsReachAllBoxes(t *testing.T) {
 	m := &memstore.Store{}
 	m.Set("config", `{"Version":3}`)
 	m.Set("e/x", "ready")
@@ -36,7 +36,7 @@
 	})
 	b := anyMember(bs)
 	require.True(t, b.known.Roster.MarkDraining("x"))
-	b.BroadcastLeaving("x")
+	b.BroadcastDraining("x")
 	waitUntil(t, func() bool { return countBoxes(bs, func(b *box) bool { return b.isDraining("x") }) == 7 })
 	require.True(t, b.known.Roster.MarkDraining("y"))
 	waitUntil(t, func() bool { return countBoxes(bs, func(b *box) bool { return b.isDraining("y") }) == 7 })
--- a/gossip/member.go
+++ b/gossip/member.go
@@ -13,9 +13,9 @@
 const maxAskedBoxes = 2
 
 // runMemberRound reports to the relay that represents this box. If the relay doesn't answer, is no
-// relay any longer, or gets no answer from the store, the box switches to one that does. If there is
-// none and the store answers this box, it watches the store itself and tries to claim a slot. While
-// the store answers nobody, a box stays with its relay.
+// longer a relay, or gets no answer from the store, the box switches to another relay that does. If
+// there is none and the store answers this box, the box watches the store itself and tries to claim a
+// slot. While the store answers no box, a box stays with its relay.
 func (g *Gossip) runMemberRound(c context.Context) {
 	g.setSlotWatch(c, false)
 	local, remote := g.relayTargets()
@@ -116,7 +116,7 @@
 
 // memberStatus returns what this box reports to its relay.
 func (g *Gossip) memberStatus() Status {
-	s := g.ownStatus()
+	s := g.localStatus()
 	if !g.includesStats() {
 		s.Speeds = nil
 	}
--- a/gossip/news.go
+++ b/gossip/news.go
@@ -22,18 +22,18 @@
 	notificationDelay = 10 * time.Millisecond
 
 	// maxReportedCrashes is the number of crashed endpoints remembered as reported. If more crash within
-	// a moment, some are reported twice.
+	// a short time, some are reported twice.
 	maxReportedCrashes = 1024
 )
 
-// notification is what boxes send between rounds, mainly about crashed and leaving endpoints. A
+// notification is what boxes send between rounds, mainly about crashed and draining endpoints. A
 // request that crashes endpoints is retried before the next round, and without notifications each box
 // finds out by a failed call of its own: after 39 crashes there were 412 such calls within 17 s, and
 // 71 requests then found no endpoint. A relay forwards what its members send, with Relay set.
 type notification struct {
 	Relay    bool
 	Ended    []string // incarnations of crashed endpoints
-	Leaving  []string // incarnations of endpoints that announced in an answer that they leave
+	Leaving  []string // incarnations of endpoints that announced in an answer that they are draining
 	Suspects []quarantine.Suspect
 	Rates    []stated.Statement          // rate limits that endpoints set, lowered or removed
 	Orders   rollout.Orders              // of rollouts; zero if unchanged
@@ -51,13 +51,14 @@
 	}
 }
 
-// BroadcastLeaving notifies the other boxes that an endpoint announced in an answer that it leaves.
-func (g *Gossip) BroadcastLeaving(incarnation string) {
+// BroadcastDraining notifies the other boxes that an endpoint announced in an answer that it is
+// draining.
+func (g *Gossip) BroadcastDraining(incarnation string) {
 	g.notify(notification{Leaving: []string{incarnation}})
 }
 
-// mergeLeavers takes in leaving endpoints reported by another box, and returns those that are new.
-func (g *Gossip) mergeLeavers(l endpoint.DrainingSet) []string {
+// mergeDraining merges draining endpoints reported by another box, and returns those that are new.
+func (g *Gossip) mergeDraining(l endpoint.DrainingSet) []string {
 	fresh := g.known.Roster.Merge(l)
 	for _, e := range fresh {
 		g.log.Info().Str("event", "endpoint").Str("endpoint", e).Str("seen", "another box was told").Msg("leaves")
@@ -70,7 +71,7 @@
 	g.notify(notification{Rates: []stated.Statement{w}})
 }
 
-// mergeRates takes in the endpoints' request rates reported by another box, and returns those that
+// mergeRates merges the endpoints' request rates reported by another box, and returns those that
 // are new.
 func (g *Gossip) mergeRates(statements []stated.Statement) []stated.Statement {
 	fresh := g.Rates.Merge(statements, boottime.Now())
@@ -138,10 +139,10 @@
 	}
 }
 
-// handleNotification takes in a notification of a member or of another relay.
+// handleNotification handles a notification of a member or of another relay.
 func (g *Gossip) handleNotification(_ context.Context, in notification) (bool, error) {
 	suspected := g.Quarantine.Merge(in.Suspects, boottime.Now())
-	fresh := notification{Leaving: g.mergeLeavers(endpoint.DrainingSet{Incarnations: in.Leaving}), Rates: g.mergeRates(in.Rates)}
+	fresh := notification{Leaving: g.mergeDraining(endpoint.DrainingSet{Incarnations: in.Leaving}), Rates: g.mergeRates(in.Rates)}
 	for _, e := range in.Ended {
 		if g.markCrashReported(e) {
 			fresh.Ended = append(fresh.Ended, e)
@@ -186,8 +187,8 @@
 	g.broadcast(g.ctx, to, "gossip.news", n)
 }
 
-// sendsTrials reports whether this box is the only one that sends a refused content as a trial: the
-// first by rendezvous hashing among the relays that it knows.
+// sendsTrials reports whether this box sends the trial requests with a refused content. Only one box
+// does: the first by rendezvous hashing among the known relays.
 func (g *Gossip) sendsTrials(h content.Hash) bool {
 	first, maxWeight := g.Box, uint64(0)
 	for _, a := range g.arbiters() {
--- a/gossip/relay.go
+++ b/gossip/relay.go
@@ -11,8 +11,8 @@
 	"birchlink.dev/birchlink/rollout"
 )
 
-// ownStatus returns the report of this box alone.
-func (g *Gossip) ownStatus() Status {
+// localStatus returns the report of this box alone.
+func (g *Gossip) localStatus() Status {
 	s := g.LocalStatus()
 	s.Boxes = 1
 	return s
@@ -24,7 +24,7 @@
 // relayStatus returns the report of this relay for itself and its members.
 func (g *Gossip) relayStatus() Status {
 	s := emptyStatus(g.Box, g.DataCentre, g.Address)
-	self := g.ownStatus()
+	self := g.localStatus()
 	s.add(self)
 	s.Words = rollout.MergeProgress(nil, self.Words, 0)
 	s.Leaving = g.isLeaving()
@@ -78,7 +78,7 @@
 func (g *Gossip) handleMember(_ context.Context, in Status) (MemberReply, error) {
 	now := boottime.Now()
 	g.Quarantine.Merge(in.Suspects, now)
-	g.mergeLeavers(in.Leavers)
+	g.mergeDraining(in.Leavers)
 	g.mergeRates(in.Rates.Words)
 	g.Rollouts.UpdateProgress(in.Words, now)
 	in.Suspects, in.Leavers.Incarnations, in.Rates.Words = nil, nil, nil
@@ -127,7 +127,7 @@
 	return w, nil
 }
 
-// handleRelay takes in the status of another relay, and answers with this relay's.
+// handleRelay merges the status of another relay, and answers with this relay's.
 func (g *Gossip) handleRelay(_ context.Context, in Status) (Status, error) {
 	g.mergeRelayStatus(in)
 	s := g.relayStatus()
@@ -141,7 +141,7 @@
 	now := boottime.Now()
 	g.Quota.AcceptLease(in.Limits, now)
 	g.Quarantine.Merge(in.Suspects, now)
-	g.mergeLeavers(in.Leavers)
+	g.mergeDraining(in.Leavers)
 	g.mergeRates(in.Rates.Words)
 	g.mergeRollouts(in.Orders, in.Words)
 	in.Suspects, in.Leavers.Incarnations, in.Rates.Words = nil, nil, nil
@@ -152,7 +152,7 @@
 	g.lastContact = now
 }
 
-// handleUpdate takes in a change of the configuration or of records that a relay pushes.
+// handleUpdate applies a change of the configuration or of records that a relay pushes.
 func (g *Gossip) handleUpdate(_ context.Context, in update) (bool, error) {
 	if len(in.Configuration) > 0 {
 		g.installConfiguration(in.Configuration, in.From)
--- a/gossip/rollouts.go
+++ b/gossip/rollouts.go
@@ -20,7 +20,7 @@
 	g.notify(notification{Words: progress})
 }
 
-// mergeRollouts takes in what another box reports in a round.
+// mergeRollouts merges the rollout orders and progress that another box reports in a round.
 func (g *Gossip) mergeRollouts(o rollout.Orders, progress map[string]rollout.Progress) {
 	g.Rollouts.SetOrders(o)
 	g.Rollouts.UpdateProgress(progress, boottime.Now())
--- a/gossip/status.go
+++ b/gossip/status.go
@@ -45,7 +45,7 @@
 	Suspects   []quarantine.Suspect          // recent suspicions of contents that may crash endpoints
 	Judged     uint64                        // checksum of the verdicts on contents that a member knows
 	Failing    map[string]balance.CallCounts // calls to endpoints with failures, from boxes of this data centre
-	Leavers    endpoint.DrainingSet          // endpoints that leave although their records don't say so yet
+	Leavers    endpoint.DrainingSet          // draining endpoints whose records don't say so yet
 	Rates      stated.Report                 // request rates that endpoints accept from all boxes together
 	Orders     rollout.Orders                // of rollouts; set by relays
 	Words      map[string]rollout.Progress   // progress of rollouts, by service
@@ -76,7 +76,7 @@
 	Verdicts []quarantine.Suspect // on contents that crash endpoints; nil if the member has them
 	Judged   uint64               // checksum of Verdicts
 	Works    uint64               // checksum of the member's EndpointSet as known to the relay
-	Leavers  endpoint.DrainingSet // endpoints that leave although their records don't say so yet
+	Leavers  endpoint.DrainingSet // draining endpoints whose records don't say so yet
 	Rates    stated.Report        // request rates that endpoints accept from all boxes together
 	Orders   rollout.Orders       // of rollouts
 }
--- a/gossip/sums.go
+++ b/gossip/sums.go
@@ -53,7 +53,7 @@
 		at: now, all: emptyStatus(g.Box, g.DataCentre, g.Address), byMember: map[string]Status{},
 		peers: g.allPeers(), counts: g.reachableBoxes(), arbiters: g.arbiters(),
 	}
-	self := g.ownStatus()
+	self := g.localStatus()
 	s.all.add(self)
 	s.all.Words = rollout.MergeProgress(nil, self.Words, 0)
 	g.mu.Lock()
--- a/gossip/sums_test.go
+++ b/gossip/sums_test.go
@@ -62,7 +62,7 @@
 	for n, h := range g.members {
 		want := emptyStatus(g.Box, g.DataCentre, g.Address)
 		want.addFailing(nil)
-		want.add(g.ownStatus())
+		want.add(g.localStatus())
 		for m, o := range g.members {
 			if m != n {
 				want.add(o.Status)
--- a/gossip/watchers.go
+++ b/gossip/watchers.go
@@ -9,7 +9,7 @@
 
 // isWatcher reports whether this relay is one of those that watch the store.
 func (g *Gossip) isWatcher() bool {
-	ownAnswer := g.session.StoreUnresponsiveFor() <= maxStoreSilence
+	answersThisBox := g.session.StoreUnresponsiveFor() <= maxStoreSilence
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var answered []relaySlot
@@ -18,7 +18,7 @@
 			answered = append(answered, relaySlot{dataCentre: h.DataCentre, box: h.Box})
 		}
 	}
-	if !ownAnswer {
+	if !answersThisBox {
 		return len(answered) == 0
 	}
 	answered = append(answered, relaySlot{dataCentre: g.DataCentre, box: g.Box})
--- a/gossip/watchers_test.go
+++ b/gossip/watchers_test.go
@@ -46,8 +46,8 @@
 	return g.Store.Watch(c, prefix, since, wait)
 }
 
-// Two relays of different data centres watch the store. When one stops, or the store doesn't answer it
-// any longer, another takes over, and all changes reach all boxes.
+// Two relays of different data centres watch the store. When one stops, or gets no more answers from
+// the store, another takes over, and all changes reach all boxes.
 func TestWatcherReplaced(t *testing.T) {
 	m := &memstore.Store{}
 	m.Set("config", `{"Version":1}`)
@@ -106,7 +106,7 @@
 	return c.Store.Range(x, prefix)
 }
 
-// While the store answers nobody, members keep what they know, and none requests everything from the
+// While the store answers no box, members keep what they know, and none requests everything from the
 // store because it finds no usable relay. When the store is back, changes reach all boxes.
 func TestStoreOutageForAllBoxes(t *testing.T) {
 	m := &callCounter{Store: &memstore.Store{}}
--- a/known/known.go
+++ b/known/known.go
@@ -34,7 +34,7 @@
 const reappearWindow = 2 * time.Second
 
 // watchTimeout is how long one watch call waits for changes. It is well below the
-// 2 s within which a new configuration must be in force and a leaving endpoint known.
+// 2 s within which a new configuration must be in force and a draining endpoint known.
 const watchTimeout = 1400 * time.Millisecond
 
 // Source names the store keys of the configuration, the rollout orders and the
--- a/known/known_test.go
+++ b/known/known_test.go
@@ -247,7 +247,7 @@
 
 // Guards against a record without a start time that replaces one with a start time. Accepted, it
 // looks like another process under the same ID, and the state of the running process is lost, for
-// example that it is leaving. Such records, also repeated ones, are invalid until the key has been
+// example that it is draining. Such records, also repeated ones, are invalid until the key has been
 // deleted.
 func TestRecordWithoutStartTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/known/records_test.go
+++ b/known/records_test.go
@@ -52,16 +52,16 @@
 	b.apply(Records{Items: slices.Collect(maps.Values(c.current)), Whole: true, To: c.revision})
 }
 
-// fetchFrom gives b the changes that it lacks and that of has.
-func (c *simulation) fetchFrom(b, of *recordSet) {
-	if r := of.changesSince(b.revision); r.To > b.revision {
+// fetchFrom gives b the changes that b lacks and source has.
+func (c *simulation) fetchFrom(b, source *recordSet) {
+	if r := source.changesSince(b.revision); r.To > b.revision {
 		b.apply(r)
 	}
 }
 
 // Guards against answers with all records, 10,000 in the largest fleet, to each box that missed one
-// change. The answer holds the changes since the box's revision only. A box that is updated by any
-// mix of watches, whole lists and such answers ends up with exactly the records in the store.
+// change. The answer holds the changes since the box's revision only. After any mix
+// of watches, whole lists and such answers, a box has exactly the records in the store.
 func TestChangesSince(t *testing.T) {
 	for seed := range uint64(300) {
 		c := &simulation{rng: rand.New(rand.NewPCG(seed, 0)), current: map[string]store.Item{}}
@@ -69,7 +69,7 @@
 			c.boxes = append(c.boxes, &recordSet{})
 		}
 		for range 200 {
-			b, of := c.boxes[c.rng.IntN(4)], c.boxes[c.rng.IntN(4)]
+			b, source := c.boxes[c.rng.IntN(4)], c.boxes[c.rng.IntN(4)]
 			switch c.rng.IntN(10) {
 			case 0:
 				c.deliverAll(b)
@@ -78,7 +78,7 @@
 					c.deliverWatch(b)
 				}
 			case 2, 3, 4:
-				c.fetchFrom(b, of)
+				c.fetchFrom(b, source)
 			default:
 				c.mutate()
 			}
--- a/member/service.go
+++ b/member/service.go
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// Stop ends the probes and notifies the data centre that the box leaves.
+// Stop ends the probes and notifies the other boxes of the data centre that this box has left.
 func (s *Service) Stop(c context.Context) error {
 	s.cancel()
 	s.group.Wait()
--- a/member/service_test.go
+++ b/member/service_test.go
@@ -125,8 +125,8 @@
 	})
 }
 
-// When the boxes are split into two halves, each half goes on by itself. After the
-// partition ends, the halves merge through their seeds.
+// While the boxes are split into two halves, each box has only the members of its half as
+// up. After the partition ends, the halves merge through their seeds.
 func TestPartitionHeals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, ss := newGroup(8)
--- a/once/table.go
+++ b/once/table.go
@@ -1,5 +1,5 @@
-// Package once records what one process has run for idempotency keys and tickets, so that each is
-// run at most once.
+// Package once records the runs of a process by idempotency key or ticket, so that each request runs
+// at most once.
 package once
 
 import (
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// Close closes the table and returns its records. They can't begin to run in this process any more,
+// Close closes the table and returns its records. They can no longer begin to run in this process,
 // since another process may take them over.
 func (t *Table[R]) Close() map[string]*Record[R] {
 	t.mu.Lock()
--- a/peer/auth.go
+++ b/peer/auth.go
@@ -31,7 +31,7 @@
 }
 
 // mac returns the MAC of one side. Including the side prevents a proof from being sent back to
-// its author.
+// its sender.
 func mac(secret, side string, nonces ...[]byte) []byte {
 	h := hmac.New(sha256.New, []byte(secret))
 	h.Write([]byte(side))
--- a/peer/client.go
+++ b/peer/client.go
@@ -16,10 +16,10 @@
 // dialTimeout bounds the TCP connection setup.
 const dialTimeout = time.Second
 
-// maxSilence is how long a connection with pending calls may deliver no frame before it
-// is closed when one of them is given up. A connection can die without a reset, which TCP
-// detects only after minutes. The limit is longer than a busy box takes to answer; a dead
-// connection makes two rounds of half a second fail.
+// maxSilence is how long a connection with pending calls may deliver no frame. After that,
+// it is closed when one of the calls is cancelled or times out. A connection can die without
+// a reset, which TCP detects only after minutes. The limit is longer than a busy box takes
+// to answer; a dead connection makes two rounds of half a second fail.
 const maxSilence = 900 * time.Millisecond
 
 // Client calls peers by address. It keeps one connection to each peer and multiplexes
--- a/reclaim/plan.go
+++ b/reclaim/plan.go
@@ -55,8 +55,9 @@
 	Reason          string
 }
 
-// Plan returns a move for every stream. The streams that leave follow those that finish, in the
-// order in which their moves should start: by computed tokens per byte of cache, highest first.
+// Plan returns a move for every stream. Streams that finish in place come first. The others follow
+// in the order in which their moves should start: by computed tokens per byte of cache, highest
+// first.
 func Plan(ss []Stream, ds []Destination, l Limits) []Move {
 	free := slices.Clone(ds)
 	window := l.Notice - l.Margin
--- a/session/session.go
+++ b/session/session.go
@@ -23,7 +23,7 @@
 
 // The times of the lease. Three renewals may fail before it expires. A box whose reports other
 // boxes rely on renews every FastRenewInterval, so that it notices an unresponsive store well
-// within the 2 s in which a leaving endpoint must be known. A failed call is retried after
+// within the 2 s in which a draining endpoint must be known. A failed call is retried after
 // RetryDelay.
 const (
 	TTL               = 4 * time.Second
@@ -255,9 +255,9 @@
 	if err == nil {
 		s.renewedAt = boottime.Now()
 	}
-	var call []func()
+	var callbacks []func()
 	if err == nil && !was {
-		call = s.onReconnect
+		callbacks = s.onReconnect
 		// The first answer of all ends no outage: no key is known to have lapsed.
 		if s.everAnswered {
 			s.reconnectedAt = s.renewedAt
@@ -271,7 +271,7 @@
 	case err != nil && was:
 		s.log.Warn().Str("event", "dependency lost").Str("of", "store").Err(err).Msg("the store does not answer")
 	}
-	for _, f := range call {
+	for _, f := range callbacks {
 		f()
 	}
 }
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -17,8 +17,8 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// A box whose reports others rely on notices an unresponsive store soon, and never takes
-// one that answers for unresponsive.
+// A box whose reports others rely on notices an unresponsive store soon, and never reports
+// one that answers as unresponsive.
 func TestFastRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Store{}
@@ -39,13 +39,13 @@
 }
 
 // An expired lease is replaced, and OnReconnect's functions are called once for the first answer
-// and once for the store's return.
+// and once when the store is reachable again.
 func TestExpiredLeaseIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Store{}
 		s := session.New(m, zerolog.Nop())
-		returns := 0
-		s.OnReconnect(func() { returns++ })
+		reconnects := 0
+		s.OnReconnect(func() { reconnects++ })
 		require.NoError(t, s.Start(t.Context(), nil))
 		wait.For(t.Context(), time.Second)
 		first := s.Lease()
@@ -56,7 +56,7 @@
 		wait.For(t.Context(), 3*session.RenewInterval)
 		require.NotZero(t, s.Lease())
 		require.NotEqual(t, first, s.Lease())
-		require.Equal(t, 2, returns)
+		require.Equal(t, 2, reconnects)
 		require.NoError(t, s.Stop(context.Background()))
 	})
 }
@@ -72,9 +72,9 @@
 	return c.Store.Renew(x, l)
 }
 
-// A box makes no renewals while another box reports that the store answers, and its own figure
-// stays as current. EnsureLease returns a valid lease meanwhile. When the reports stop, the box
-// renews as usual and keeps that lease.
+// A box makes no renewals while another box reports that the store answers, and its
+// StoreUnresponsiveFor stays as low as with renewals. EnsureLease returns a valid lease meanwhile.
+// When the reports stop, the box renews as usual and keeps that lease.
 func TestReportsReplaceRenewals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &countingStore{Store: &memstore.Store{}}
@@ -98,7 +98,7 @@
 	})
 }
 
-// Reports of answers from before an outage don't count as the store's return.
+// Reports of answers from before an outage don't end the outage.
 func TestStaleReportsDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Store{}
@@ -142,8 +142,8 @@
 	})
 }
 
-// A box that wakes from a suspension doesn't take answers from before it for recent, and has a new
-// lease soon.
+// A box that wakes from a suspension doesn't count answers from before the suspension as recent, and
+// soon has a new lease.
 func TestWakeFromSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Store{}
--- a/stream/choose.go
+++ b/stream/choose.go
@@ -82,23 +82,23 @@
 	return x
 }
 
-// candidates holds the targets of one decision and the slots behind them. It is reused between
-// decisions, so that a decision allocates nothing that grows with the fleet.
+// candidates holds the targets of one decision and their endpoints. The buffers are reused, so that
+// a decision allocates nothing that grows with the fleet.
 type candidates struct {
-	targets []router.Target
-	slots   []*view.EndpointState
+	targets   []router.Target
+	endpoints []*view.EndpointState
 }
 
 // gather fills c with the endpoints of cs that are neither in avoid nor backing off.
 func (c *candidates) gather(cs []candidate, cachedOn string, avoid map[string]bool, backOffs *rest.BackOffs) {
-	c.targets, c.slots = c.targets[:0], c.slots[:0]
+	c.targets, c.endpoints = c.targets[:0], c.endpoints[:0]
 	now := boottime.Now()
 	noneBackingOff := backOffs.IsEmpty(now)
 	for _, s := range cs {
 		if avoid[s.Name] || !noneBackingOff && backOffs.Remaining(s.ProcessID(), now) > 0 {
 			continue
 		}
-		c.slots = append(c.slots, s.EndpointState)
+		c.endpoints = append(c.endpoints, s.EndpointState)
 		c.targets = append(c.targets, router.Target{
 			Box: s.Name, Hash: s.Hash, Busy: s.EstimateRequests(), Slots: s.Slots, TokensPerSecond: s.TokensPerSecond,
 			Preference: s.preference, PrefixCached: s.Name == cachedOn,
@@ -135,8 +135,8 @@
 	if ch.Index < 0 {
 		return r.withRetryAfter(cs, r.overflow())
 	}
-	s := b.slots[ch.Index]
-	r.setTarget(target{box: s.Name, incarnation: s.Incarnation, address: s.Address, slot: s})
+	s := b.endpoints[ch.Index]
+	r.setTarget(target{box: s.Name, incarnation: s.Incarnation, address: s.Address, endpoint: s})
 	return nil
 }
 
@@ -174,7 +174,9 @@
 		}
 	}
 	if r.s.remoteOnly && (len(ms) == 0 || r.attempt >= maxRemoteAttempts) {
-		return errkind.New(errkind.Overloaded, "no room for kind %s, here or in %d other boxes that were asked", r.s.Kind, r.attempt).WithRetryAfter(remoteRetryAfter)
+		return errkind.New(
+			errkind.Overloaded, "no room for kind %s, here or in %d other boxes that were asked", r.s.Kind, r.attempt,
+		).WithRetryAfter(remoteRetryAfter)
 	}
 	if len(ms) == 0 || r.s.relayed {
 		return errkind.New(errkind.NoEndpoint, "no endpoint is live, allowed and loaded with %s", r.s.Workload)
--- a/stream/choose_test.go
+++ b/stream/choose_test.go
@@ -30,7 +30,7 @@
 	return d
 }
 
-func makeSlots(n int) []*view.EndpointState {
+func makeEndpoints(n int) []*view.EndpointState {
 	ss := make([]*view.EndpointState, n)
 	for i := range ss {
 		e := fleet.Endpoint{
@@ -47,7 +47,7 @@
 func TestGather(t *testing.T) {
 	d, ms := config.Parse(1, []byte("[model \"m\"]\nversions = 1\n[selector \"s\"]\nworkloads = m*\nrequire = class=new\n"))
 	require.Empty(t, ms)
-	ss := makeSlots(7)
+	ss := makeEndpoints(7)
 	for i := range ss {
 		ss[i].Loaded = []string{"m@1"}
 	}
@@ -74,7 +74,7 @@
 	d := parseDocument(b)
 	for _, n := range []int{9, 37, 111, 333} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
-			x := &endpointIndex{snapshot: &view.Snapshot{Endpoints: makeSlots(n)}, document: d, dc: "a"}
+			x := &endpointIndex{snapshot: &view.Snapshot{Endpoints: makeEndpoints(n)}, document: d, dc: "a"}
 			var c candidates
 			p := router.Affinity{LoadBound: 1.25, RecomputeWeight: 0.2}
 			b.ReportAllocs()
--- a/stream/leave.go
+++ b/stream/leave.go
@@ -51,7 +51,7 @@
 // transfer moves the stream's KV cache to another endpoint and continues there. The last result is
 // false if the cache was not exported or the exporting attempt is not known to have stopped.
 func (r *run) transfer(c context.Context, to string) (outcome, recovery.Interruption, bool) {
-	if r.target.slot == nil {
+	if r.target.endpoint == nil {
 		return interrupted, 0, false
 	}
 	x, cancel := context.WithTimeout(c, settleTimeout)
@@ -80,7 +80,7 @@
 			continue
 		}
 		r.kvHandle = f.Handle
-		r.setTarget(target{box: d.Name, incarnation: d.Incarnation, address: d.Address, slot: d})
+		r.setTarget(target{box: d.Name, incarnation: d.Incarnation, address: d.Address, endpoint: d})
 		e, b := r.generate(c)
 		if e != interrupted || b != recovery.Refused && b != recovery.Unreachable {
 			r.k.transferred.Inc(1)
@@ -121,7 +121,7 @@
 // setTarget sets the endpoint, or the peer, of the next attempt.
 func (r *run) setTarget(t target) {
 	r.target = t
-	if t.slot != nil {
+	if t.endpoint != nil {
 		r.executor = engineExecutor{client: r.k.engines, address: t.address}
 		return
 	}
--- a/stream/relay.go
+++ b/stream/relay.go
@@ -187,7 +187,7 @@
 // handOver hands the stream over to a peer. If the peer may have adopted the stream without
 // confirming it, this box only continues to read and starts no other attempt.
 func (r *run) handOver(c context.Context, to member.Member) (outcome, recovery.Interruption) {
-	if r.target.slot == nil {
+	if r.target.endpoint == nil {
 		return r.reattach(c)
 	}
 	ts, _, _, _ := r.s.snapshot(0)
@@ -215,8 +215,8 @@
 	if k.base.Err() != nil || k.draining.Load() {
 		return struct{}{}, errkind.New(errkind.Stopping, "this box stops too")
 	}
-	slot := k.view.Endpoint(h.Box)
-	if slot == nil {
+	endpoint := k.view.Endpoint(h.Box)
+	if endpoint == nil {
 		return struct{}{}, errkind.New(errkind.NoEndpoint, "box %s is not known here", h.Box)
 	}
 	s := newStream(h.Request)
@@ -225,7 +225,7 @@
 		r := newRun(k, s)
 		r.attempt, r.mayHaveRun = h.Attempt, h.Ran
 		r.splice.StartAttempt(h.Attempt)
-		r.setTarget(target{box: h.Box, incarnation: h.Incarnation, address: h.Address, slot: slot})
+		r.setTarget(target{box: h.Box, incarnation: h.Incarnation, address: h.Address, endpoint: endpoint})
 		s.update(func() { s.stats.Attempts, s.stats.Box = h.Attempt, h.Box })
 		e, b := r.reattach(c)
 		r.drive(c, e, b)
@@ -254,7 +254,7 @@
 	return p.open(c, relayRequest{Request: p.stream.Request, Attempt: a.Attempt, From: a.From, Resume: true})
 }
 
-// Cancel always fails: peers don't confirm a cancel. They stop a stream that nobody reads.
+// Cancel always fails: peers don't confirm a cancel. They stop a repeatable stream that has no reader.
 func (p peerExecutor) Cancel(context.Context, engine.Attempt) (engine.Cancelled, error) {
 	return engine.Cancelled{}, errkind.New(errkind.Unavailable, "a peer does not confirm a cancel")
 }
--- a/stream/run.go
+++ b/stream/run.go
@@ -65,12 +65,12 @@
 	contentHash  content.Hash
 }
 
-// target is the endpoint of an attempt, or a box in another data centre if slot is nil.
+// target is the endpoint of an attempt, or a box in another data centre if endpoint is nil.
 type target struct {
 	box         string
 	incarnation string
 	address     string
-	slot        *view.EndpointState
+	endpoint    *view.EndpointState
 }
 
 func newRun(k *Service, s *Stream) *run {
@@ -125,8 +125,8 @@
 
 // decide returns the next step after an interruption, and logs the reason.
 func (r *run) decide(c context.Context, b recovery.Interruption) recovery.Decision {
-	if b == recovery.Disconnected && r.target.slot != nil && c.Err() == nil {
-		r.k.suspects.RecordFailure(c, r.contentHash, r.target.slot.ProcessID(), r.target.address)
+	if b == recovery.Disconnected && r.target.endpoint != nil && c.Err() == nil {
+		r.k.suspects.RecordFailure(c, r.contentHash, r.target.endpoint.ProcessID(), r.target.address)
 	}
 	if b != recovery.Refused && b != recovery.Unreachable && b != recovery.NeverSeen {
 		r.mayHaveRun = true
@@ -178,7 +178,7 @@
 // readAttempt opens a stream of lines and reads it until the attempt is complete, is interrupted or
 // must move.
 func (r *run) readAttempt(c context.Context, open func(context.Context) (lineStream, error), resumed bool) (outcome, recovery.Interruption) {
-	done := r.k.trackSent(r.target)
+	done := r.k.trackInFlight(r.target)
 	defer done()
 	x, cancel := context.WithCancel(c)
 	defer cancel()
@@ -222,8 +222,8 @@
 // engine has the most free slots, and would otherwise be chosen for every stream.
 func (r *run) recordBackOff(err error) {
 	var e *engine.BackOffError
-	if r.target.slot != nil && errors.As(err, &e) {
-		r.k.view.BackOffs.Extend(r.target.slot.ProcessID(), e.Duration, boottime.Now())
+	if r.target.endpoint != nil && errors.As(err, &e) {
+		r.k.view.BackOffs.Extend(r.target.endpoint.ProcessID(), e.Duration, boottime.Now())
 	}
 }
 
@@ -273,7 +273,7 @@
 // recordLine counts the tokens that the attempt computed again, and stores on which box the
 // prompt's prefix is cached.
 func (r *run) recordLine(l engine.Line) {
-	if r.target.slot != nil {
+	if r.target.endpoint != nil {
 		r.k.prefixes.Add(engine.PrefixHash(r.s.Workload, r.s.Prompt), r.target.box)
 	}
 	if r.attempt > 1 && l.Prefill > 0 {
@@ -292,7 +292,7 @@
 // isGone reports whether the endpoint's box was reclaimed, or the peer that carries the stream has
 // terminated.
 func (r *run) isGone() bool {
-	if r.target.slot != nil {
+	if r.target.endpoint != nil {
 		return r.k.isGone(r.target.box)
 	}
 	m, up := r.k.members.ResolveIncarnation(r.target.incarnation)
@@ -355,10 +355,10 @@
 // stopAttempt asks the endpoint to stop the attempt until the endpoint confirms it, and then reads
 // the tokens that were generated before.
 func (r *run) stopAttempt(c context.Context) (outcome, recovery.Interruption) {
-	if r.target.slot == nil {
+	if r.target.endpoint == nil {
 		return r.awaitPeer(c)
 	}
-	ended := 0
+	notListening := 0
 	for c.Err() == nil {
 		st, err := r.executor.Cancel(c, r.s.attempt(r.attempt, r.target.incarnation, 0))
 		switch {
@@ -368,10 +368,10 @@
 			return r.readRemaining(c)
 		case errors.Is(err, engine.ErrRestarted):
 			return interrupted, recovery.Restarted
-		case errors.Is(err, engine.ErrNotListening) && ended >= recovery.MaxReattaches:
+		case errors.Is(err, engine.ErrNotListening) && notListening >= recovery.MaxReattaches:
 			return interrupted, recovery.Gone
 		case errors.Is(err, engine.ErrNotListening):
-			ended++
+			notListening++
 		case r.isGone():
 			return interrupted, recovery.Gone
 		}
--- a/stream/service.go
+++ b/stream/service.go
@@ -35,7 +35,7 @@
 
 const (
 	sweepInterval          = time.Second
-	abandonTimeout         = 15 * time.Second // time without a reader after which a repeatable stream is canceled
+	abandonTimeout         = 15 * time.Second // time without a reader after which a repeatable stream is cancelled
 	finishedRetention      = 2 * time.Minute  // how long the answer of an ended stream can be read
 	maxPrefixes            = 8192             // prompt prefixes whose endpoint is remembered
 	replanInterval         = time.Second      // between two plans for a leaving box
@@ -190,16 +190,17 @@
 	return s, nil
 }
 
-// trackSent counts an attempt at an endpoint as sent by this box. The returned function ends that.
-func (k *Service) trackSent(t target) func() {
-	if t.slot == nil {
+// trackInFlight adds an attempt to the target's requests in flight until the returned function is
+// called.
+func (k *Service) trackInFlight(t target) func() {
+	if t.endpoint == nil {
 		return func() {}
 	}
-	t.slot.InFlight.Add(1)
-	return func() { t.slot.InFlight.Add(-1) }
+	t.endpoint.InFlight.Add(1)
+	return func() { t.endpoint.InFlight.Add(-1) }
 }
 
-// isGone reports whether a box was reclaimed: it is unknown, gone, or past its deadline to leave.
+// isGone reports whether a box was reclaimed: it is unknown, gone, or leaving and past its deadline.
 func (k *Service) isGone(box string) bool {
 	s := k.view.Endpoint(box)
 	return s == nil || s.State == fleet.Gone || s.State == fleet.Leaving && time.Now().After(s.Deadline)
@@ -234,7 +235,7 @@
 	}
 }
 
-// sweep cancels repeatable streams that nobody reads, and drops finished answers that are older
+// sweep cancels repeatable streams that have no reader, and drops finished answers that are older
 // than finishedRetention or exceed MaxFinished, oldest first.
 func (k *Service) sweep(now time.Time) {
 	k.mu.Lock()
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -37,7 +37,7 @@
 	return admission.Request{Account: q.Account, Member: q.Member, Match: q.Match, Kind: q.Kind, Weight: q.Weight, Rate: q.Rate, Workload: q.Workload}
 }
 
-// contentHash returns the hash of what the request asks for. It doesn't depend on the request's ID.
+// contentHash returns the hash of the request's content, which doesn't include its ID.
 func (q Request) contentHash() content.Hash {
 	return content.HashOf(q.Account, &call.Call{Host: q.Workload, Target: strconv.Itoa(q.MaxTokens), Body: []byte(q.Prompt)})
 }
--- a/ticket/ticket.go
+++ b/ticket/ticket.go
@@ -12,7 +12,7 @@
 // version is the prefix of every ticket and identifies its format.
 const version = "t1"
 
-// Ticket consists of the issuer's incarnation and an ID that is unique.
+// Ticket consists of the issuer's incarnation and a unique ID.
 type Ticket struct {
 	Incarnation string
 	ID          string
