--- a/gossip/before.go
+++ b/gossip/before.go
@@ -132,7 +132,7 @@
 	s.stored, s.refusedSum, s.countDiffersSince = p, sum, time.Time{}
 }
 
-// logSnapshot logs the contents of the snapshot, at most once per snapshotWriteInterval.
+// logSnapshot logs the state of the quotas in the snapshot.
 func (g *Gossip) logSnapshot(p quota.Before, message string) {
 	g.log.Info().Str("event", "before").Int("boxes", p.Boxes).Interface("short", p.Short).Uint64("revision", p.Division.Version).
 		Interface("counts", p.Division.Boxes).Interface("weights", p.Division.Weights).Msg(message)
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -65,7 +65,7 @@
 // relay that stops is detected by its missing reports.
 const watchTimeout = 15 * time.Second
 
-// Gossip is the service of one box. LocalStatus returns what this box reports. OnRound is called
+// Gossip is the gossip service of one box. LocalStatus returns what this box reports. OnRound is called
 // after each round with the sum of the reports of all other boxes.
 type Gossip struct {
 	Box        string
@@ -81,8 +81,8 @@
 	LocalStatus func() Status
 	OnRound     func(others Status)
 
-	// FirstStart says that the whole system starts for the first time, so that there is no snapshot
-	// to read.
+	// FirstStart is set if the whole system starts for the first time. There is no snapshot to read
+	// then.
 	FirstStart bool
 
 	// SnapshotKey is the key in the store to which a relay writes the result of Snapshot for a number
--- a/gossip/status.go
+++ b/gossip/status.go
@@ -60,8 +60,8 @@
 }
 
 // MemberReply is the answer to a member: the sum of all other boxes, the state of the store there,
-// and Silent, the time since the store last answered. Relay says that the answering box is a relay;
-// other boxes don't forward what they receive. Vacant says that its data centre lacks a relay.
+// and Silent, the time since the store last answered. Relay is set if the answering box is a relay;
+// other boxes don't forward what they receive. Vacant is set if its data centre lacks a relay.
 type MemberReply struct {
 	Relay    bool
 	Vacant   bool
--- a/gossip/watchers.go
+++ b/gossip/watchers.go
@@ -25,8 +25,8 @@
 	return slices.ContainsFunc(pickWatchers(answered), func(s relaySlot) bool { return s.box == g.Box })
 }
 
-// pickWatchers selects the relays that watch the store from those that it answers: the first by name
-// and, if possible, the first of another data centre.
+// pickWatchers selects the relays that watch the store from those that the store answers: the first
+// by name and, if possible, the first of another data centre.
 func pickWatchers(candidates []relaySlot) []relaySlot {
 	slices.SortFunc(candidates, func(a, b relaySlot) int { return strings.Compare(a.box, b.box) })
 	if len(candidates) < 2 {
--- a/known/records_test.go
+++ b/known/records_test.go
@@ -60,8 +60,8 @@
 }
 
 // Guards against answers with all records, 10,000 in the largest fleet, to each box that missed one
-// change. The answer holds the changes since the box's revision only. After any mix
-// of watches, whole lists and such answers, a box has exactly the records in the store.
+// change. The answer holds the changes since the box's revision only. After any mix of watches,
+// whole lists and such answers, a box has exactly the records in the store.
 func TestChangesSince(t *testing.T) {
 	for seed := range uint64(300) {
 		c := &simulation{rng: rand.New(rand.NewPCG(seed, 0)), current: map[string]store.Item{}}
--- a/once/table.go
+++ b/once/table.go
@@ -15,7 +15,7 @@
 type State int
 
 // The states of a record. An Open record may begin to run. A Running one becomes Open again only if
-// Finish says that the request did not run.
+// Finish reports that the request did not run.
 const (
 	Open State = iota
 	Running
--- a/peer/server.go
+++ b/peer/server.go
@@ -77,7 +77,7 @@
 	})
 }
 
-// Listen starts serving on an address and returns. Close ends it.
+// Listen starts serving on an address and returns. Close stops the server.
 func (s *Server) Listen(address string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
--- a/session/session.go
+++ b/session/session.go
@@ -37,7 +37,7 @@
 // no lease, and their renewals would be most of the calls to the store.
 const reportValidity = 1500 * time.Millisecond
 
-// Session is the service of one box.
+// Session keeps the lease of one box.
 type Session struct {
 	Store store.Store
 
--- a/stream/run.go
+++ b/stream/run.go
@@ -18,7 +18,7 @@
 	"birchlink.dev/birchlink/wait"
 )
 
-// A stream that receives no token within the timeout for its first or next token is taken to be
+// A stream that receives no token within the timeout for its first or next token is treated as
 // stalled.
 const (
 	maxFirstTokenTimeout = 10 * time.Second
@@ -325,8 +325,8 @@
 	}
 }
 
-// awaitEndpoint retries until an endpoint is available or the deadline passes, since the request was
-// accepted and must not be refused for want of an endpoint now.
+// awaitEndpoint retries until an endpoint is available or the deadline passes, since an accepted
+// request must not be refused because no endpoint is available at the moment.
 func (r *run) awaitEndpoint(c context.Context, err error) (outcome, recovery.Interruption) {
 	clear(r.avoid)
 	for c.Err() == nil {
