--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -179,7 +179,7 @@
 		Quarantine: p.gossip.Quarantine, Rollouts: p.gossip.Rollouts,
 		Pool: &exchange.Pool{DialTimeout: endpointDialTimeout}, Codec: platform.Wire{}, OnStart: p.countRequest, Metrics: m, Log: log,
 		OnSend: p.sendHint, OnCrash: func(e endpoint.Endpoint) { p.gossip.BroadcastCrash(e.Incarnation()) },
-		OnDraining:    func(e endpoint.Endpoint) { p.gossip.BroadcastLeaving(e.Incarnation()) },
+		OnDraining:    func(e endpoint.Endpoint) { p.gossip.BroadcastDraining(e.Incarnation()) },
 		OnLimitChange: p.gossip.BroadcastRate, RequestPermit: limits.Permit,
 	}
 	p.known.Roster.OnReplaced(f.CancelReplaced)
--- a/gossip/watchers.go
+++ b/gossip/watchers.go
@@ -9,7 +9,7 @@
 
 // isWatcher reports whether this relay is one of those that watch the store.
 func (g *Gossip) isWatcher() bool {
-	ownAnswer := g.session.StoreUnresponsiveFor() <= maxStoreSilence
+	answersThisBox := g.session.StoreUnresponsiveFor() <= maxStoreSilence
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var answered []relaySlot
@@ -18,15 +18,15 @@
 			answered = append(answered, relaySlot{dataCentre: h.DataCentre, box: h.Box})
 		}
 	}
-	if !ownAnswer {
+	if !answersThisBox {
 		return len(answered) == 0
 	}
 	answered = append(answered, relaySlot{dataCentre: g.DataCentre, box: g.Box})
 	return slices.ContainsFunc(pickWatchers(answered), func(s relaySlot) bool { return s.box == g.Box })
 }
 
-// pickWatchers selects the relays that watch the store from those that it answers: the first by name
-// and, if possible, the first of another data centre.
+// pickWatchers selects the relays that watch the store from those that the store answers: the first
+// by name and, if possible, the first of another data centre.
 func pickWatchers(candidates []relaySlot) []relaySlot {
 	slices.SortFunc(candidates, func(a, b relaySlot) int { return strings.Compare(a.box, b.box) })
 	if len(candidates) < 2 {
