--- a/election/election.go
+++ b/election/election.go
@@ -45,10 +45,10 @@
 
 	mu         sync.Mutex
 	fence      uint64
-	validUntil time.Time // end of the time in which the holder may act
+	validUntil time.Time // until when the holder may act
 	lease      store.Lease
 	lastUse    time.Time // when this box last used a fence
-	lastFence  uint64    // the fence it used
+	lastFence  uint64    // the fence used then
 }
 
 // UseFence returns the fence and true if this box may make a call now, and records the use. A box that
@@ -121,7 +121,7 @@
 		return
 	}
 	if err := e.Store.Revoke(c, l); err != nil {
-		e.Log.Info().Str("event", "duty").Err(err).Msg("cannot revoke the lease; it expires by itself")
+		e.Log.Info().Str("event", "duty").Err(err).Msg("cannot revoke the lease; it remains until it expires")
 	}
 }
 
@@ -196,7 +196,7 @@
 	if err != nil {
 		// The change may still take effect. Revoking the lease also deletes the key.
 		if err := e.Store.Revoke(c, l); err != nil {
-			e.Log.Info().Str("event", "duty").Err(err).Msg("cannot revoke the unused lease; it expires by itself")
+			e.Log.Info().Str("event", "duty").Err(err).Msg("cannot revoke the unused lease; it remains until it expires")
 		}
 		return retryInterval
 	}
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -94,7 +94,7 @@
 	})
 }
 
-// A commit whose answer is lost leads neither to two holders nor to a long time without one.
+// A commit whose response is lost leads neither to two holders nor to a long time without one.
 func TestLostCommitResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Store{}
--- a/endpoint/statement.go
+++ b/endpoint/statement.go
@@ -11,10 +11,10 @@
 
 // Statement is what a response reports about the state of the endpoint that sent it.
 type Statement struct {
-	// Leaving reports that the endpoint terminates soon.
+	// Draining reports that the endpoint terminates soon.
 	Leaving bool
 
-	// BackOff is how long the endpoint wants no work from the box that asked.
+	// BackOff is how long the endpoint wants no work from the box that sent the request.
 	BackOff time.Duration
 
 	// Limit is in force for as long as responses state it.
--- a/engine/client.go
+++ b/engine/client.go
@@ -67,7 +67,7 @@
 	scanner *bufio.Scanner
 }
 
-// Next returns the next line. At the end of the stream it returns io.EOF, also if the answer is
+// Next returns the next line. At the end of the stream it returns io.EOF, also if the response is
 // incomplete; only a line with End set completes it.
 func (s *Stream) Next() (Line, error) {
 	if !s.scanner.Scan() {
@@ -112,20 +112,20 @@
 		return nil, fmt.Errorf("make request: %w", err)
 	}
 	r.Header.Set(jsonhttp.CallerHeader, c.Caller)
-	a, err := c.streams.Do(r)
+	resp, err := c.streams.Do(r)
 	if err != nil {
 		return nil, transportError(err)
 	}
-	if a.StatusCode != http.StatusOK {
-		defer a.Body.Close()
-		if d := rest.ParseRetryAfter(a.Header); d > 0 && a.StatusCode == http.StatusServiceUnavailable {
+	if resp.StatusCode != http.StatusOK {
+		defer resp.Body.Close()
+		if d := rest.ParseRetryAfter(resp.Header); d > 0 && resp.StatusCode == http.StatusServiceUnavailable {
 			return nil, &BackOffError{d}
 		}
-		return nil, statusError(a.StatusCode)
+		return nil, statusError(resp.StatusCode)
 	}
-	s := bufio.NewScanner(a.Body)
+	s := bufio.NewScanner(resp.Body)
 	s.Buffer(nil, maxLineBytes)
-	return &Stream{body: a.Body, scanner: s}, nil
+	return &Stream{body: resp.Body, scanner: s}, nil
 }
 
 func transportError(err error) error {
@@ -197,7 +197,7 @@
 }
 
 // ErrFenced reports that an engine has orders with a higher fence.
-var ErrFenced = errors.New("a later giver's orders are in force")
+var ErrFenced = errors.New("orders with a higher fence are in force")
 
 // Orders returns the current orders of an engine.
 func (c *Client) Orders(x context.Context, address string) (Orders, error) {
--- a/engine/messages.go
+++ b/engine/messages.go
@@ -3,7 +3,7 @@
 // its KV cache. Fenced orders set which workloads an engine loads.
 package engine
 
-// Request asks for the tokens From to MaxTokens-1 of an answer. Incarnation identifies the intended
+// Request asks for the tokens From to MaxTokens-1 of a response. Incarnation identifies the intended
 // engine process; any other process refuses the request without running it. KV is the handle of an
 // imported KV cache, if any.
 type Request struct {
@@ -58,7 +58,7 @@
 }
 
 // Export describes the KV cache exported from the engine at the address Source. It covers the prompt
-// and the answer's tokens before index Tokens.
+// and the response's tokens before index Tokens.
 type Export struct {
 	Handle string `json:"handle"`
 	Tokens int    `json:"tokens"`
--- a/errkind/kind_test.go
+++ b/errkind/kind_test.go
@@ -31,12 +31,12 @@
 		if internalOnly[k] {
 			continue
 		}
-		a := k.Response()
+		resp := k.Response()
 		retry := "-"
-		if a.Retry {
+		if resp.Retry {
 			retry = "yes"
 		}
-		row := fmt.Sprintf("(?m)^\\|[^|]*`%s`[^|]*\\| %d \\| %s \\| %s \\|", a.Name, a.Status, a.Run, retry)
+		row := fmt.Sprintf("(?m)^\\|[^|]*`%s`[^|]*\\| %d \\| %s \\| %s \\|", resp.Name, resp.Status, resp.Run, retry)
 		require.Regexp(t, regexp.MustCompile(row), string(b))
 	}
 }
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -43,7 +43,7 @@
 )
 
 // Revision is a stored version of the configuration: the operator's text, its editor, and a random
-// nonce by which the writer identifies its own change after a lost answer.
+// nonce by which the writer identifies its own change after a lost response.
 type Revision struct {
 	Version uint64    `json:"version"`
 	Text    string    `json:"text"`
@@ -364,12 +364,12 @@
 // resolveConflict decides by the nonce whether the stored entry is the change r, which then has
 // succeeded, or another one, which is a conflict.
 func (f *Follower) resolveConflict(e kv.Entry, r Revision) (Revision, error) {
-	now, err := decode(e)
+	stored, err := decode(e)
 	if err != nil {
 		return r, err
 	}
-	if now.Nonce != r.Nonce {
-		return now, conflictError(now)
+	if stored.Nonce != r.Nonce {
+		return stored, conflictError(stored)
 	}
 	f.Install(r)
 	return r, nil
@@ -386,8 +386,8 @@
 		if err != nil {
 			continue
 		}
-		if now, err := decode(e); err == nil && now.Version < r.Version {
-			return r, errkind.New(errkind.Unavailable, "the change was lost on its way; version %d is in force", now.Version)
+		if stored, err := decode(e); err == nil && stored.Version < r.Version {
+			return r, errkind.New(errkind.Unavailable, "the change was lost on its way; version %d is in force", stored.Version)
 		}
 		return f.resolveConflict(e, r)
 	}
--- a/front/chat.go
+++ b/front/chat.go
@@ -219,9 +219,9 @@
 	if !o.stream {
 		o.s.w.Header().Set(RunHeader, string(errkind.Ran))
 		m := &openai.Delta{Role: "assistant", Content: o.text.String()}
-		a := o.newCompletion("chat.completion", openai.Choice{Message: m, FinishReason: &finishReason})
-		a.Usage = o.tokenUsage()
-		jsonhttp.Write(o.s.w, http.StatusOK, a)
+		completion := o.newCompletion("chat.completion", openai.Choice{Message: m, FinishReason: &finishReason})
+		completion.Usage = o.tokenUsage()
+		jsonhttp.Write(o.s.w, http.StatusOK, completion)
 		return nil
 	}
 	if err := o.writeEvent("", o.newCompletion("chat.completion.chunk", openai.Choice{Delta: &openai.Delta{}, FinishReason: &finishReason})); err != nil {
--- a/front/service.go
+++ b/front/service.go
@@ -78,8 +78,8 @@
 }
 
 // writeResponse writes the response of a plain service.
-func writeResponse(w http.ResponseWriter, a *plain.Response) error {
-	for k, vs := range a.Header {
+func writeResponse(w http.ResponseWriter, resp *plain.Response) error {
+	for k, vs := range resp.Header {
 		if k == "Connection" || k == "Transfer-Encoding" || strings.HasPrefix(k, "Birchlink-") {
 			continue
 		}
@@ -87,8 +87,8 @@
 	}
 	w.Header().Set(RunHeader, string(errkind.Ran))
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
-	w.WriteHeader(a.Status)
-	if _, err := w.Write(a.Body); err != nil {
+	w.WriteHeader(resp.Status)
+	if _, err := w.Write(resp.Body); err != nil {
 		return errkind.New(errkind.CallerGone, "the caller left: %w", err)
 	}
 	return nil
@@ -123,21 +123,21 @@
 // writeError sends the error response for err, and counts and logs it.
 func (f *Front) writeError(w http.ResponseWriter, id string, err error) {
 	e := errkind.Of(err)
-	a := e.Kind.Response()
-	metrics.GetOrRegisterCounter("front.errors."+a.Name, f.metrics).Inc(1)
-	f.Log.Info().Str("event", "answer").Str("subject", id).Str("kind", a.Name).Str("run", string(a.Run)).Str("reason", e.Message).Msg("refused or failed")
+	resp := e.Kind.Response()
+	metrics.GetOrRegisterCounter("front.errors."+resp.Name, f.metrics).Inc(1)
+	f.Log.Info().Str("event", "answer").Str("subject", id).Str("kind", resp.Name).Str("run", string(resp.Run)).Str("reason", e.Message).Msg("refused or failed")
 	if e.Kind == errkind.CallerGone {
 		return
 	}
-	if a.Retry {
+	if resp.Retry {
 		w.Header().Set("Retry-After", strconv.Itoa(retryAfterSeconds(e.RetryAfter)))
 	}
-	w.Header().Set(RunHeader, string(a.Run))
+	w.Header().Set(RunHeader, string(resp.Run))
 	resume := ""
 	if e.Kind == errkind.Moved {
 		resume = "/v1/requests/" + id + "?from=0"
 	}
-	jsonhttp.Write(w, a.Status, errorBody(id, e, resume))
+	jsonhttp.Write(w, resp.Status, errorBody(id, e, resume))
 }
 
 // retryAfterSeconds returns the value of the Retry-After header, in whole seconds and at least 1.
@@ -147,8 +147,8 @@
 }
 
 func errorBody(id string, e *errkind.Error, resume string) openai.Error {
-	a := e.Kind.Response()
+	resp := e.Kind.Response()
 	return openai.Error{Error: openai.ErrorBody{
-		Message: e.Message, Type: a.Name, Code: a.Name, Run: string(a.Run), RequestID: id, Resume: resume,
+		Message: e.Message, Type: resp.Name, Code: resp.Name, Run: string(resp.Run), RequestID: id, Resume: resume,
 	}}
 }
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -60,8 +60,8 @@
 }
 
 // Options configures an Ingress. A box that stops keeps accepting connections for ShutdownDelay, so
-// that the load balancer can notice that the box is not ready. ShutdownTimeout bounds the whole
-// shutdown, including the delay.
+// that the load balancer can notice that the box is not ready. ShutdownTimeout bounds the
+// entire shutdown, including the delay.
 type Options struct {
 	Address         string
 	ReadyAddress    string
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -37,7 +37,7 @@
 	"birchlink.dev/birchlink/stand/memstore"
 )
 
-// soleBoxView is what a box knows if it is the only one.
+// soleBoxView is the view of a box that is the only one.
 var soleBoxView = quota.View{Represented: 1, Boxes: map[string]int{"": 1}}
 
 // localLimiter is the rate limiter of a box that is the only one.
@@ -130,7 +130,8 @@
 		},
 	}, b.store, zerolog.Nop())
 	f := &forward.Forwarder{
-		Roster: &b.known.Roster, Balancer: &balance.Balancer{}, Pool: &exchange.Pool{DialTimeout: time.Second}, Meter: &demand.Meter{}, Quarantine: &quarantine.Quarantine{},
+		Roster: &b.known.Roster, Balancer: &balance.Balancer{}, Pool: &exchange.Pool{DialTimeout: time.Second},
+		Meter: &demand.Meter{}, Quarantine: &quarantine.Quarantine{},
 		Rollouts: &rollout.Gate{},
 		Budget:   budget.New(budget.Limits{Window: time.Minute}), Codec: codec{}, OnStart: func(string, time.Time) {},
 		OnSend: func(endpoint.Endpoint, int) {}, OnCrash: func(endpoint.Endpoint) {}, OnDraining: func(endpoint.Endpoint) {},
@@ -186,19 +187,19 @@
 	q.Host = "h"
 	q.Header.Set("Id", "1")
 	q.Header.Set("Key", key)
-	a, err := http.DefaultClient.Do(q)
+	resp, err := http.DefaultClient.Do(q)
 	require.NoError(b.t, err)
-	defer a.Body.Close()
-	text, err := io.ReadAll(a.Body)
+	defer resp.Body.Close()
+	text, err := io.ReadAll(resp.Body)
 	require.NoError(b.t, err)
-	return response{a.StatusCode, a.Header, string(text)}
+	return response{resp.StatusCode, resp.Header, string(text)}
 }
 
 func (b *box) isReady() bool {
-	a, err := http.Get("http://" + b.readyAddress + "/ready")
+	resp, err := http.Get("http://" + b.readyAddress + "/ready")
 	require.NoError(b.t, err)
-	defer a.Body.Close()
-	return a.StatusCode == http.StatusOK
+	defer resp.Body.Close()
+	return resp.StatusCode == http.StatusOK
 }
 
 func (b *box) await(f func() bool) {
@@ -220,9 +221,9 @@
 		{"/nowhere/x", "k", "", 404, "unknown_service"},
 		{"/a/x", "k", strings.Repeat("x", 101), 413, "too_large"},
 	} {
-		a := b.post(c.path, c.key, c.body)
-		require.Equal(t, c.status, a.status, a.text)
-		require.Contains(t, a.text, c.text)
+		resp := b.post(c.path, c.key, c.body)
+		require.Equal(t, c.status, resp.status, resp.text)
+		require.Contains(t, resp.text, c.text)
 	}
 }
 
@@ -231,10 +232,10 @@
 func TestNotReadyWithoutConfiguration(t *testing.T) {
 	b := startBox(t, false)
 	require.False(t, b.isReady())
-	a := b.post("/a/x", "unknown", "")
-	require.Equal(t, http.StatusServiceUnavailable, a.status)
-	require.Contains(t, a.text, "not_ready")
-	require.NotEmpty(t, a.header.Get("Retry-After"))
+	resp := b.post("/a/x", "unknown", "")
+	require.Equal(t, http.StatusServiceUnavailable, resp.status)
+	require.Contains(t, resp.text, "not_ready")
+	require.NotEmpty(t, resp.header.Get("Retry-After"))
 }
 
 // A box that cannot reach the store does not report a key or a route as unknown, and still serves
@@ -255,11 +256,11 @@
 	b := startBox(t, true)
 	b.await(b.isReady)
 	b.await(func() bool {
-		a := b.post("/a/x", "s", "")
-		if a.status != http.StatusTooManyRequests {
+		resp := b.post("/a/x", "s", "")
+		if resp.status != http.StatusTooManyRequests {
 			return false
 		}
-		s, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
+		s, err := strconv.ParseFloat(resp.header.Get("Retry-After"), 64)
 		require.NoError(t, err)
 		require.Positive(t, s)
 		return true
@@ -270,16 +271,16 @@
 func TestStopCompletesRequests(t *testing.T) {
 	b := startBox(t, true)
 	b.await(b.isReady)
-	answer := make(chan int, 1)
+	status := make(chan int, 1)
 	go func() {
-		answer <- b.post("/a/hold", "k", "").status
+		status <- b.post("/a/hold", "k", "").status
 	}()
 	<-b.holding
 	stopped := make(chan error, 1)
 	go func() { stopped <- b.Stop(context.Background()) }()
 	b.await(func() bool { return !b.isReady() })
 	close(b.release)
-	require.Equal(t, http.StatusOK, <-answer)
+	require.Equal(t, http.StatusOK, <-status)
 	require.NoError(t, <-stopped)
 }
 
@@ -295,9 +296,9 @@
 	q.Header.Set("Key", "k")
 	done := make(chan error, 1)
 	go func() {
-		a, err := http.DefaultClient.Do(q)
+		resp, err := http.DefaultClient.Do(q)
 		if err == nil {
-			_ = a.Body.Close()
+			_ = resp.Body.Close()
 		}
 		done <- err
 	}()
@@ -319,11 +320,11 @@
 	}
 	r := bufio.NewReader(n)
 	for _, id := range []string{"1", "2"} {
-		a, err := http.ReadResponse(r, nil)
+		resp, err := http.ReadResponse(r, nil)
 		require.NoError(t, err)
-		require.Equal(t, id, a.Header.Get("Id"))
-		_, err = io.Copy(io.Discard, a.Body)
+		require.Equal(t, id, resp.Header.Get("Id"))
+		_, err = io.Copy(io.Discard, resp.Body)
 		require.NoError(t, err)
-		require.NoError(t, a.Body.Close())
+		require.NoError(t, resp.Body.Close())
 	}
 }
--- a/ingress/serve.go
+++ b/ingress/serve.go
@@ -115,8 +115,8 @@
 	return q, nil
 }
 
-// notFoundError returns an error of kind k for something that the configuration lacks. If the
-// configuration is stale, the error is of kind NotReady instead, because the thing may exist.
+// notFoundError returns an error of kind k for an item that the configuration lacks. If the
+// configuration is stale, the error is of kind NotReady instead, because the item may exist.
 func notFoundError(k errkind.Kind, stale bool, format string, args ...any) error {
 	if stale {
 		return errkind.New(errkind.NotReady, "the configuration may be old: "+format, args...).WithRetryAfter(time.Second / 2)
@@ -186,7 +186,8 @@
 	if by.Box == "" {
 		return errkind.New(errkind.LimitReached, "no box that could be reached knows what account %s has left", a.Name).WithRetryAfter(v.After)
 	}
-	return errkind.New(errkind.LimitReached, "account %s is over its rate of %.0f with a burst of %.0f: %s, with %.3f of the rate, has %.0f left for a request of %.0f",
+	return errkind.New(errkind.LimitReached,
+		"account %s is over its rate of %.0f with a burst of %.0f: %s, with %.3f of the rate, has %.0f left for a request of %.0f",
 		a.Name, a.Rate, a.Burst, by.Box, v.Part, v.Level, question.Size).WithRetryAfter(v.After)
 }
 
@@ -202,7 +203,7 @@
 	}
 }
 
-// logAnswered logs and counts a request that was answered.
+// logAnswered logs and counts a request whose response was sent.
 func (i *Ingress) logAnswered(q forward.Request, status int, t forward.Trace) {
 	d := boottime.Since(q.Call.Arrived)
 	metrics.GetOrRegisterTimer("requests."+q.Route.Kind.String(), i.metrics).Update(d)
@@ -215,23 +216,23 @@
 func (i *Ingress) writeError(w http.ResponseWriter, q forward.Request, err error, t forward.Trace) {
 	c := q.Call
 	e := errkind.Of(err)
-	a := e.Kind.Response()
-	metrics.GetOrRegisterCounter("refused."+a.Name, i.metrics).Inc(1)
+	resp := e.Kind.Response()
+	metrics.GetOrRegisterCounter("refused."+resp.Name, i.metrics).Inc(1)
 	i.failureEvent(q, err).EmbedObject(t).Msg("refused or failed")
 	if e.Kind == errkind.CallerGone {
 		panic(http.ErrAbortHandler)
 	}
 	h := w.Header()
 	i.Codec.SetErrorHeader(h, c)
-	if a.Retry && a.Run == errkind.NotRun {
+	if resp.Retry && resp.Run == errkind.NotRun {
 		h.Set("Retry-After", strconv.FormatFloat(max(e.RetryAfter, minRetryAfter).Seconds(), 'f', 2, 64))
 	}
 	id := ""
 	if c != nil {
 		id = c.ID
 	}
-	jsonhttp.Write(w, a.Status, openai.Error{Error: openai.ErrorBody{
-		Message: e.Message, Type: a.Name, Code: a.Name, Run: string(a.Run), RequestID: id,
+	jsonhttp.Write(w, resp.Status, openai.Error{Error: openai.ErrorBody{
+		Message: e.Message, Type: resp.Name, Code: resp.Name, Run: string(resp.Run), RequestID: id,
 	}})
 }
 
--- a/ingress/sink.go
+++ b/ingress/sink.go
@@ -40,7 +40,7 @@
 	return c.Flush()
 }
 
-// Whole writes a complete response.
+// Response writes a complete response.
 func (s *sink) Whole(status int, h http.Header, body []byte) error {
 	s.copyHeader(h)
 	s.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -65,8 +65,8 @@
 // failureEvent returns a log event for a request that failed with err.
 func (i *Ingress) failureEvent(q forward.Request, err error) *zerolog.Event {
 	e := errkind.Of(err)
-	a := e.Kind.Response()
-	l := i.log.Info().Str("event", "answer").Str("kind", a.Name).Str("run", string(a.Run)).Str("reason", e.Message).Dur("retry_after", e.RetryAfter)
+	resp := e.Kind.Response()
+	l := i.log.Info().Str("event", "answer").Str("kind", resp.Name).Str("run", string(resp.Run)).Str("reason", e.Message).Dur("retry_after", e.RetryAfter)
 	if q.Call != nil {
 		l = l.Str("request", q.Call.ID).Dur("took", boottime.Since(q.Call.Arrived))
 	}
--- a/jsonhttp/client.go
+++ b/jsonhttp/client.go
@@ -57,21 +57,21 @@
 	}
 	r.Header.Set("Content-Type", "application/json")
 	r.Header.Set(CallerHeader, c.Caller)
-	a, err := c.HTTP.Do(r)
+	resp, err := c.HTTP.Do(r)
 	if err != nil {
 		return fmt.Errorf("call %s: %w", path, err)
 	}
-	defer a.Body.Close()
-	return decodeResponse(a, out)
+	defer resp.Body.Close()
+	return decodeResponse(resp, out)
 }
 
-func decodeResponse(a *http.Response, out any) error {
-	d, err := io.ReadAll(io.LimitReader(a.Body, MaxBody))
+func decodeResponse(resp *http.Response, out any) error {
+	d, err := io.ReadAll(io.LimitReader(resp.Body, MaxBody))
 	if err != nil {
 		return fmt.Errorf("read answer: %w", err)
 	}
-	if a.StatusCode/100 != 2 {
-		return &StatusError{Status: a.StatusCode, Body: string(d)}
+	if resp.StatusCode/100 != 2 {
+		return &StatusError{Status: resp.StatusCode, Body: string(d)}
 	}
 	if out == nil {
 		return nil
--- a/kv/client_test.go
+++ b/kv/client_test.go
@@ -74,7 +74,7 @@
 func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
 // A swap succeeds at the current revision and fails with the current entry at an older one. If the
-// answer is lost, the outcome is unknown, although the swap took effect.
+// response is lost, the outcome is unknown, although the swap took effect.
 func TestSwap(t *testing.T) {
 	s := kvstore.New(1000, 1000)
 	c := kv.New(startServer(t, s), "box", 1000, 1000, metrics.NewRegistry())
--- a/plain/proxy.go
+++ b/plain/proxy.go
@@ -1,5 +1,5 @@
 // Package plain forwards requests to plain services, which are services that return one complete
-// response instead of a token stream. It retries a request at another endpoint if that cannot run a
+// response instead of a token stream. It retries a request at another endpoint if this cannot run a
 // non-repeatable request twice, and passes on only complete responses.
 package plain
 
@@ -144,18 +144,18 @@
 		if err := p.suspects.Check(h); err != nil {
 			return nil, quarantineError(err, st)
 		}
-		a, b, err := p.attempt(c, q, s, st.Attempts)
+		resp, interruption, err := p.attempt(c, q, s, st.Attempts)
 		if err == nil {
-			p.recordAnswer(h, a)
-			return a, nil
+			p.recordAnswer(h, resp)
+			return resp, nil
 		}
-		if b == recovery.Disconnected && c.Err() == nil {
+		if interruption == recovery.Disconnected && c.Err() == nil {
 			p.suspects.RecordFailure(c, h, s.ProcessID(), s.Address)
 		}
 		if errkind.Is(err, errkind.AnswerTooLarge) {
 			return nil, err
 		}
-		if err := p.checkRetry(c, q, &st, b, s.Name, err); err != nil {
+		if err := p.checkRetry(c, q, &st, interruption, s.Name, err); err != nil {
 			return nil, err
 		}
 		avoid[s.Name] = true
@@ -167,10 +167,10 @@
 	return content.HashOf(q.Account, &call.Call{Method: q.Method, Host: q.Service, Target: q.Path, Body: q.Body})
 }
 
-// recordAnswer records a complete response for the quarantine. A response with a 5xx status is
+// recordResponse records a complete response for the quarantine. A response with a 5xx status is
 // ignored, because the service may have failed before it ran the request.
-func (p *Proxy) recordAnswer(h content.Hash, a *Response) {
-	if a.Status < http.StatusInternalServerError {
+func (p *Proxy) recordAnswer(h content.Hash, resp *Response) {
+	if resp.Status < http.StatusInternalServerError {
 		p.suspects.RecordAnswer(h)
 	}
 }
@@ -186,12 +186,13 @@
 
 // checkRetry returns nil if the request may be sent to another endpoint after an attempt failed with
 // cause, and otherwise the error for the caller.
-func (p *Proxy) checkRetry(c context.Context, q Request, st *recovery.State, b recovery.Interruption, box string, cause error) error {
-	st.Interruption, st.Expired = b, c.Err() != nil
-	st.MayHaveRun = st.MayHaveRun || b != recovery.Unreachable && b != recovery.Refused
-	st.HasBudget = b == recovery.Unreachable || st.Attempts < maxAttempts && p.admission.Retry(q.Account)
+func (p *Proxy) checkRetry(c context.Context, q Request, st *recovery.State, interruption recovery.Interruption, box string, cause error) error {
+	st.Interruption, st.Expired = interruption, c.Err() != nil
+	st.MayHaveRun = st.MayHaveRun || interruption != recovery.Unreachable && interruption != recovery.Refused
+	st.HasBudget = interruption == recovery.Unreachable || st.Attempts < maxAttempts && p.admission.Retry(q.Account)
 	d := recovery.Decide(*st)
-	p.decisions.Record(decisions.Decision{Subject: q.ID, Event: "recover", Choice: box, Attempt: st.Attempts, Reason: d.Reason + ": " + cause.Error(), Workload: q.Service})
+	p.decisions.Record(decisions.Decision{Subject: q.ID, Event: "recover", Choice: box, Attempt: st.Attempts,
+		Reason: d.Reason + ": " + cause.Error(), Workload: q.Service})
 	switch d.Step {
 	case recovery.Failover:
 		return nil
@@ -292,7 +293,7 @@
 }
 
 // attempt sends the request to an endpoint once and reads the complete response. On an error it also
-// returns how the attempt broke.
+// returns how the attempt was interrupted.
 func (p *Proxy) attempt(c context.Context, q Request, s *view.EndpointState, n int) (*Response, recovery.Interruption, error) {
 	s.InFlight.Add(1)
 	defer s.InFlight.Add(-1)
@@ -309,35 +310,35 @@
 	if q.Repeatable {
 		h = p.pooled
 	}
-	a, err := h.Do(r)
+	resp, err := h.Do(r)
 	if err != nil {
 		if connected.Load() {
 			return nil, recovery.Disconnected, fmt.Errorf("call %s: %w", s.Name, err)
 		}
 		return nil, recovery.Unreachable, fmt.Errorf("reach %s: %w", s.Name, err)
 	}
-	defer a.Body.Close()
-	if a.StatusCode == http.StatusServiceUnavailable {
+	defer resp.Body.Close()
+	if resp.StatusCode == http.StatusServiceUnavailable {
 		// An endpoint that refuses requests has the least load. Without a back-off period it would
 		// be chosen for every request.
-		p.view.BackOffs.Extend(s.ProcessID(), rest.ParseRetryAfter(a.Header), boottime.Now())
+		p.view.BackOffs.Extend(s.ProcessID(), rest.ParseRetryAfter(resp.Header), boottime.Now())
 	}
-	return readResponse(a, s.Name)
+	return readResponse(resp, s.Name)
 }
 
 // readResponse reads a response completely. A truncated response is an error.
-func readResponse(a *http.Response, box string) (*Response, recovery.Interruption, error) {
-	b, err := io.ReadAll(io.LimitReader(a.Body, maxResponseBytes+1))
+func readResponse(resp *http.Response, box string) (*Response, recovery.Interruption, error) {
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil {
 		return nil, recovery.Disconnected, fmt.Errorf("the answer of %s was cut: %w", box, err)
 	}
 	if len(b) > maxResponseBytes {
 		return nil, recovery.Disconnected, errkind.New(errkind.AnswerTooLarge, "the answer of %s is over %d bytes", box, maxResponseBytes)
 	}
-	if a.ContentLength >= 0 && int64(len(b)) != a.ContentLength && a.Request.Method != http.MethodHead {
+	if resp.ContentLength >= 0 && int64(len(b)) != resp.ContentLength && resp.Request.Method != http.MethodHead {
 		return nil, recovery.Disconnected, errors.New("the answer of " + box + " is short")
 	}
-	return &Response{Status: a.StatusCode, Header: a.Header, Body: b, Box: box}, 0, nil
+	return &Response{Status: resp.StatusCode, Header: resp.Header, Body: b, Box: box}, 0, nil
 }
 
 // droppedHeaders are not forwarded because they apply to one connection or are meant for Birchlink.
