--- a/duty/lease.go
+++ b/duty/lease.go
@@ -135,9 +135,9 @@
 	l.held = false
 }
 
-// Held returns the current fence and whether this box held the lease at its last step. It may have
-// lost the lease since then, so it may only give orders to endpoints that check the fence. For the
-// others, see MayActUnfenced.
+// Held returns the current fence and whether this box held the lease at its last step. The box may
+// have lost the lease since then, so it may give orders only to endpoints that check the fence. For
+// other endpoints, see MayActUnfenced.
 func (l *Lease) Held() (uint64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/duty/lease_test.go
+++ b/duty/lease_test.go
@@ -46,8 +46,8 @@
 func step(t *testing.T, l *duty.Lease) { _ = l.Step(t.Context()) }
 
 func heldFence(l *duty.Lease) uint64 {
-	f, mine := l.Held()
-	if !mine {
+	f, held := l.Held()
+	if !held {
 		return 0
 	}
 	return f
--- a/endpoint/endpoint.go
+++ b/endpoint/endpoint.go
@@ -20,7 +20,8 @@
 	Slots       int    // requests that it can run at the same time
 	Version     string // software version; empty if unknown
 
-	// Draining is set once the endpoint has announced its end. It gets no new work.
+	// Draining reports that the endpoint has announced its end. A draining endpoint gets no new
+	// work.
 	Draining bool
 
 	// Reclaimable reports whether the cloud may take the endpoint back at short notice.
--- a/endpoint/foreign.go
+++ b/endpoint/foreign.go
@@ -23,4 +23,4 @@
 func NewRecordError(r Reason, detail string) error { return &RecordError{r, detail} }
 
 // Error returns the reason and the first 100 characters of the detail.
-func (f *RecordError) Error() string { return fmt.Sprintf("%s: %.100s", f.Reason, f.Detail) }
+func (e *RecordError) Error() string { return fmt.Sprintf("%s: %.100s", e.Reason, e.Detail) }
--- a/endpoint/leavers.go
+++ b/endpoint/leavers.go
@@ -8,13 +8,13 @@
 )
 
 // maxDrainMarks bounds the endpoints remembered as draining by their own responses. A mark is
-// needed until the endpoint's record says the same. The bound is exceeded only if more endpoints
+// needed until the endpoint's record says so too. The bound is exceeded only if more endpoints
 // than those of two data centres of the largest fleet drain while the store is unreachable.
 const maxDrainMarks = 4096
 
 // DrainingSet is the set of endpoints that announced in a response that they drain while their
 // records do not say so, as exchanged between boxes. Sum identifies the set; Incarnations is sent
-// only to a box whose set has another sum.
+// only to a box whose set has a different sum.
 type DrainingSet struct {
 	Sum          uint64
 	Incarnations []string
@@ -27,9 +27,9 @@
 }
 
 // MarkDraining records that an endpoint announced in a response that it drains, and reports whether
-// that was unknown. The announcement precedes the endpoint's record, which does not change while the
-// store is unreachable: without marks, 18 of 155 requests went to endpoints that had announced
-// draining two seconds or more before.
+// this was not known before. The announcement precedes the endpoint's record, which does not change
+// while the store is unreachable: without marks, 18 of 155 requests went to endpoints that had
+// announced draining two seconds or more before.
 func (r *Roster) MarkDraining(incarnation string) bool {
 	r.mu.Lock()
 	e, listed := r.all[IDOf(incarnation)]
--- a/endpoint/leavers_test.go
+++ b/endpoint/leavers_test.go
@@ -15,8 +15,8 @@
 // removed and added again. Another process under its ID serves.
 func TestMarkDraining(t *testing.T) {
 	var r endpoint.Roster
-	var left []string
-	r.OnUnavailable(func(e endpoint.Endpoint) { left = append(left, e.Incarnation()) })
+	var unavailable []string
+	r.OnUnavailable(func(e endpoint.Endpoint) { unavailable = append(unavailable, e.Incarnation()) })
 	e := endpoint.Endpoint{ID: "e", StartMillis: 1, Service: "s"}
 	r.Put(e)
 	require.Len(t, r.Serving("s"), 1)
@@ -24,7 +24,7 @@
 	require.False(t, r.MarkDraining(e.Incarnation()))
 	require.Empty(t, r.Serving("s"))
 	require.Equal(t, 1, r.CountDraining())
-	require.Equal(t, []string{e.Incarnation()}, left)
+	require.Equal(t, []string{e.Incarnation()}, unavailable)
 	e.Slots = 4
 	r.Put(e)
 	require.Empty(t, r.Serving("s"))
@@ -46,7 +46,8 @@
 	require.Equal(t, []string{"e"}, r.DrainingSet(0).Incarnations)
 }
 
-// Names are sent only to a box whose set differs, and not after the record says the same.
+// Incarnations are sent only to a box whose set differs, and only until their records say that they
+// drain.
 func TestDrainingSetExchange(t *testing.T) {
 	var a, b endpoint.Roster
 	fill(&a, 3)
@@ -244,7 +245,7 @@
 }
 
 // TestDrainingSetsConverge simulates fleets whose boxes are killed, frozen and partitioned while
-// endpoints announce to random boxes that they drain. All boxes without a fault know of an
+// endpoints announce to random boxes that they drain. All boxes without a fault receive an
 // announcement within 1.6 s. After all faults have ended, all boxes have the same set.
 func TestDrainingSetsConverge(t *testing.T) {
 	seeds := uint64(120)
@@ -297,13 +298,14 @@
 	}
 }
 
-// checkPropagation requires that every box without a fault since before an announcement knows of it
-// after convergenceTime. Announcements made while all relays were unavailable are skipped: members
+// checkPropagation requires that every box without a fault since before an announcement has received
+// it after convergenceTime. Announcements made while all relays were unavailable are skipped: members
 // take over the relay slots only seconds later, which the simulation does not model.
 func (m *fleetModel) checkPropagation(t *testing.T, seed uint64, announced map[string]int, receiver map[string]*node) {
 	for e, at := range announced {
 		healthy := func(n *node) bool { return !n.down && !n.frozen && n.lastFault+convergenceTime <= at }
-		if m.now != at+convergenceTime || m.partitioned || m.partitionEnd+convergenceTime > at || m.lastWithoutRelay+convergenceTime > at || !healthy(receiver[e]) {
+		if m.now != at+convergenceTime || m.partitioned || m.partitionEnd+convergenceTime > at ||
+			m.lastWithoutRelay+convergenceTime > at || !healthy(receiver[e]) {
 			continue
 		}
 		for _, n := range m.nodes {
--- a/endpoint/pool.go
+++ b/endpoint/pool.go
@@ -11,7 +11,8 @@
 // in its own data centre if it has that many. The load reports that a box receives and the cost of a
 // choice grow with the subset and not with the fleet. 128 is about a hundred times the number of
 // requests that a box of the largest fleet has in flight, so few of its choices collide with those
-// of other boxes. The half in other data centres keeps the box going if its own has no endpoints.
+// of other boxes. The half in other data centres lets the box continue to serve if its own has no
+// endpoints.
 const (
 	subsetSize     = 128
 	minLocalSubset = 64
--- a/endpoint/roster.go
+++ b/endpoint/roster.go
@@ -32,7 +32,7 @@
 }
 
 // OnUnavailable sets the function that is called when an endpoint starts to drain, or is removed
-// without having drained. It is called without the lock held.
+// while it is not draining. It is called without the lock held.
 func (r *Roster) OnUnavailable(f func(Endpoint)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -1,6 +1,6 @@
 // Package ingress serves the requests of callers over HTTP. It resolves the route, account and
 // service of a request from the configuration, applies the account's rate limit, has package
-// forward send the request to an endpoint, and writes the response. It also answers the load
+// forward send the request to an endpoint, and writes the response. It also serves the load
 // balancer's readiness check.
 package ingress
 
@@ -30,8 +30,8 @@
 // Name is the name under which the service is registered in the kernel.
 const Name = "ingress"
 
-// The limits that protect the server from slow callers. The configuration has limits of its own, which
-// are not wider than these. idleTimeout is longer than any other timeout, here or there.
+// The limits that protect the server from slow callers. The limits in the configuration do not
+// exceed these. idleTimeout is longer than any other timeout, here or in the configuration.
 const (
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 3 * time.Minute
@@ -43,7 +43,7 @@
 
 // Codec translates between the platform's HTTP headers and calls.
 type Codec interface {
-	// Decode returns the call that a request makes. With an error it returns as much of the call as
+	// Decode returns the call that a request makes. On an error it returns the part of the call that
 	// it could decode, or nil.
 	Decode(r *http.Request, arrived time.Time) (*call.Call, error)
 	// ResponseHeader returns the header of the caller's response, given that of the endpoint's.
@@ -60,8 +60,8 @@
 }
 
 // Options configures an Ingress. A box that stops keeps accepting connections for ShutdownDelay, so
-// that the load balancer can notice that the box is not ready. ShutdownTimeout bounds the
-// entire shutdown, including the delay.
+// that the load balancer can notice that the box is not ready. ShutdownTimeout bounds the entire
+// shutdown, including the delay.
 type Options struct {
 	Address         string
 	ReadyAddress    string
--- a/ingress/serve.go
+++ b/ingress/serve.go
@@ -179,16 +179,16 @@
 		return nil
 	}
 	question := quota.Question{Account: a.Name, Size: rateCost(q), Urgent: q.Route.Priority <= 0}
-	v, by := i.Limiter.Take(c, question)
-	if v.OK {
+	answer, arbiter := i.Limiter.Take(c, question)
+	if answer.OK {
 		return nil
 	}
-	if by.Box == "" {
-		return errkind.New(errkind.LimitReached, "no box that could be reached knows what account %s has left", a.Name).WithRetryAfter(v.After)
+	if arbiter.Box == "" {
+		return errkind.New(errkind.LimitReached, "no box that could be reached knows what account %s has left", a.Name).WithRetryAfter(answer.After)
 	}
 	return errkind.New(errkind.LimitReached,
 		"account %s is over its rate of %.0f with a burst of %.0f: %s, with %.3f of the rate, has %.0f left for a request of %.0f",
-		a.Name, a.Rate, a.Burst, by.Box, v.Part, v.Level, question.Size).WithRetryAfter(v.After)
+		a.Name, a.Rate, a.Burst, arbiter.Box, answer.Part, answer.Level, question.Size).WithRetryAfter(answer.After)
 }
 
 // rateCost returns what a request costs in units of its account's rate, which are tokens or requests.
--- a/observer/observer.go
+++ b/observer/observer.go
@@ -269,15 +269,15 @@
 func (o *Observer) recordLoad(f view.Facts, r view.Row) {
 	o.mu.Lock()
 	old, known := o.facts[r.ID]
-	same := known && old.Incarnation == f.Incarnation && slices.Equal(old.Loaded, f.Loaded) && old.Slots == f.Slots
-	if !same {
+	unchanged := known && old.Incarnation == f.Incarnation && slices.Equal(old.Loaded, f.Loaded) && old.Slots == f.Slots
+	if !unchanged {
 		o.facts[r.ID] = f
 		o.factsChanged = true
 		o.nextPush = time.Time{}
 	}
 	o.pendingRows[r.ID] = r
 	o.mu.Unlock()
-	if !same {
+	if !unchanged {
 		o.view.SetFacts([]view.Facts{f})
 	}
 	o.view.SetRows([]view.Row{r})
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -54,8 +54,8 @@
 }
 
 // Status is the state of a box and what it knows of the other boxes and the endpoints. Ready is
-// "yes" or the reason why the box is not ready. HorizonAge is the time since the moment up to which
-// all notices are known. DutyHolder is the incarnation of the box that holds the lease of the
+// "yes" or the reason why the box is not ready. HorizonAge is the age of the horizon, the time up to
+// which all notices are known. DutyHolder is the incarnation of the box that holds the lease of the
 // placer, DutyFence is the fence of that lease, and Plan is the last plan that this box computed.
 type Status struct {
 	Box         string           `json:"box"`
--- a/plain/proxy.go
+++ b/plain/proxy.go
@@ -94,8 +94,12 @@
 	// http.Transport retries some requests when a reused connection breaks. Requests that are not
 	// repeatable therefore get a new connection.
 	return &Proxy{
-		pooled:   &http.Client{CheckRedirect: noRedirect, Transport: &http.Transport{DialContext: d.DialContext, MaxIdleConnsPerHost: 32, DisableCompression: true}},
-		unpooled: &http.Client{CheckRedirect: noRedirect, Transport: &http.Transport{DialContext: d.DialContext, DisableKeepAlives: true, DisableCompression: true}},
+		pooled: &http.Client{CheckRedirect: noRedirect, Transport: &http.Transport{
+			DialContext: d.DialContext, MaxIdleConnsPerHost: 32, DisableCompression: true,
+		}},
+		unpooled: &http.Client{CheckRedirect: noRedirect, Transport: &http.Transport{
+			DialContext: d.DialContext, DisableKeepAlives: true, DisableCompression: true,
+		}},
 	}
 }
 
