--- a/catalog/document.go
+++ b/catalog/document.go
@@ -34,11 +34,11 @@
 	Public    bool // no API key is required
 	Shares    []Share
 
-	Timeout     time.Duration // maximum duration of a request
-	Objective   time.Duration // target time to the response, or to a stream's first event
-	GapTarget   time.Duration // target for the longest pause between a stream's events
-	Priority    int           // 0 is the most urgent
-	MaxAttempts int           // maximum number of endpoints that a request is sent to
+	Timeout          time.Duration // maximum duration of a request
+	LatencyObjective time.Duration // target time to the response, or to a stream's first event
+	GapTarget        time.Duration // target for the longest pause between a stream's events
+	Priority         int           // 0 is the most urgent
+	MaxAttempts      int           // maximum number of endpoints that a request is sent to
 }
 
 // Repeatable reports whether a request of the route may run more than once.
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -177,7 +177,7 @@
 	f := &forward.Forwarder{
 		DataCentre: s.DataCentre, Roster: &p.known.Roster, Balancer: p.balancer, Budget: p.budget, Meter: p.meter,
 		Quarantine: p.gossip.Quarantine, Rollouts: p.gossip.Rollouts,
-		Pool: &exchange.Pool{DialTimeout: endpointDialTimeout}, Codec: platform.Wire{}, OnStart: p.countRequest, Metrics: m, Log: log,
+		Pool: &exchange.Pool{DialTimeout: endpointDialTimeout}, Codec: platform.HeaderCodec{}, OnStart: p.countRequest, Metrics: m, Log: log,
 		OnSend: p.sendHint, OnCrash: func(e endpoint.Endpoint) { p.gossip.BroadcastCrash(e.Incarnation()) },
 		OnDraining:    func(e endpoint.Endpoint) { p.gossip.BroadcastLeaving(e.Incarnation()) },
 		OnLimitChange: p.gossip.BroadcastRate, RequestPermit: limits.Permit,
@@ -201,7 +201,7 @@
 		limits,
 	}
 	ss = append(ss, p.newLeaderServices(log)...)
-	in := ingress.New(o, platform.Wire{}, f, limits, m, log)
+	in := ingress.New(o, platform.HeaderCodec{}, f, limits, m, log)
 	p.gossip.Leaving = in.Stopping
 	return append(ss, p.newMetricsServer(in, f, m, log), in)
 }
--- a/daemon/platform_test.go
+++ b/daemon/platform_test.go
@@ -228,7 +228,7 @@
 	defer stopAll(t, bs)
 	p.store.SetDown(true)
 	s := p.servers[0]
-	s.ReportLeaving()
+	s.ReportDraining()
 	for i := 0; s.RequestCount() == 0; i++ {
 		status, text := bs[0].call(t, fmt.Sprint("first", i), "body")
 		require.Equal(t, http.StatusOK, status, text)
--- a/endpoint/statement.go
+++ b/endpoint/statement.go
@@ -12,7 +12,7 @@
 // Statement is what a response reports about the state of the endpoint that sent it.
 type Statement struct {
 	// Draining reports that the endpoint terminates soon.
-	Leaving bool
+	Draining bool
 
 	// BackOff is how long the endpoint wants no work from the box that sent the request.
 	BackOff time.Duration
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -59,7 +59,7 @@
 			o.InvalidLimit = v
 		}
 	}
-	o.Leaving, o.BackOff = h.Get("Leaving") != "", time.Duration(ms)*time.Millisecond
+	o.Draining, o.BackOff = h.Get("Leaving") != "", time.Duration(ms)*time.Millisecond
 	return o
 }
 
@@ -220,7 +220,7 @@
 	n, err := strconv.Atoi(words[len(words)-1])
 	require.NoError(s.t, err)
 	s.route = catalog.Route{
-		Kind: kinds[words[0]], Resumable: slices.Contains(words, "resumable"), MaxAttempts: n, Objective: 200 * time.Millisecond,
+		Kind: kinds[words[0]], Resumable: slices.Contains(words, "resumable"), MaxAttempts: n, LatencyObjective: 200 * time.Millisecond,
 	}
 }
 
--- a/forward/response.go
+++ b/forward/response.go
@@ -81,7 +81,7 @@
 	if !o.WrongIncarnation {
 		r.handleRateLimit(o.Statement, e)
 	}
-	if !o.Leaving {
+	if !o.Draining {
 		return
 	}
 	metrics.GetOrRegisterCounter("answers.says_leaving", r.f.Metrics).Inc(1)
--- a/forward/run.go
+++ b/forward/run.go
@@ -275,7 +275,7 @@
 func (r *run) newQuery() balance.Query {
 	q := balance.Query{
 		DataCentre: r.f.DataCentre, Engine: r.q.Service.Engine != nil, Skip: r.tried, EndpointLost: r.mayHaveRun || r.failedDials > 0,
-		Objective: r.q.Route.Objective,
+		Objective: r.q.Route.LatencyObjective,
 		Parts:     r.q.Call.Parts, Prompt: r.q.Call.PromptTokens,
 	}
 	// The last part is specific to the request or its session, so it is not shared.
--- a/forward/trace.go
+++ b/forward/trace.go
@@ -40,7 +40,7 @@
 
 // marshalReported adds what the last response reported about its endpoint.
 func (t Trace) marshalReported(e *zerolog.Event) {
-	if t.Outcome.Leaving {
+	if t.Outcome.Draining {
 		e.Bool("says_leaving", true)
 	}
 	if t.Outcome.BackOff > 0 {
--- a/forward/watch.go
+++ b/forward/watch.go
@@ -47,8 +47,8 @@
 		return w
 	}
 	if !r.isStream() {
-		if r.countAttempts()+1 < r.maxAttempts() && r.q.Route.Objective > 0 {
-			d := time.Duration(objectiveFactor * float64(r.q.Route.Objective))
+		if r.countAttempts()+1 < r.maxAttempts() && r.q.Route.LatencyObjective > 0 {
+			d := time.Duration(objectiveFactor * float64(r.q.Route.LatencyObjective))
 			w.timer = time.AfterFunc(d, func() { cancel(errUnresponsive) })
 		}
 		return w
--- a/front/chat.go
+++ b/front/chat.go
@@ -116,7 +116,7 @@
 	o.nextIndex = from
 	c, cancel := f.requestContext(s)
 	defer cancel()
-	err := f.keeper.ReadAnywhere(c, id, s.account.Name, from, o.writeToken)
+	err := f.streams.ReadAnywhere(c, id, s.account.Name, from, o.writeToken)
 	return o.finish(closingError(c, err))
 }
 
--- a/front/front.go
+++ b/front/front.go
@@ -60,7 +60,7 @@
 	Log zerolog.Logger
 
 	dispatcher     *dispatch.Dispatcher
-	keeper         *stream.Service
+	streams        *stream.Service
 	proxy          *plain.Proxy
 	follower       *follower.Follower
 	server         *http.Server
@@ -90,7 +90,7 @@
 func (f *Front) Start(_ context.Context, k *kernel.Kernel) error {
 	err := errors.Join(
 		kernel.Bind(k, dispatch.Name, &f.dispatcher),
-		kernel.Bind(k, stream.Name, &f.keeper),
+		kernel.Bind(k, stream.Name, &f.streams),
 		kernel.Bind(k, plain.Name, &f.proxy),
 		kernel.Bind(k, follower.Name, &f.follower),
 	)
@@ -116,7 +116,7 @@
 // remaining streams over to other boxes and cancels the remaining requests.
 func (f *Front) Stop(c context.Context) error {
 	f.SetNotReady()
-	f.keeper.Drain()
+	f.streams.Drain()
 	wait.For(c, f.ShutdownDelay)
 	f.server.SetKeepAlivesEnabled(false)
 	c, cancel := context.WithTimeout(c, f.ShutdownTimeout)
@@ -128,7 +128,7 @@
 		return err
 	case <-c.Done():
 	}
-	n := f.keeper.HandOver()
+	n := f.streams.HandOver()
 	f.Log.Info().Str("event", "hand over").Int("streams", n).Msg("shutdown timeout expired")
 	f.cancelRequests()
 	x, stop := context.WithTimeout(context.WithoutCancel(c), writeTimeout)
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -207,7 +207,7 @@
 	require.Eventually(b.t, f, 20*time.Second, time.Millisecond)
 }
 
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	b := startBox(t, true)
 	b.await(b.isReady)
 	for _, c := range []struct {
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -83,7 +83,7 @@
 	members   *member.Service
 	view      *view.View
 	placer    *placer.Placer
-	keeper    *stream.Service
+	streams   *stream.Service
 	front     *front.Front
 	decisions *decisions.Log
 	peers     *peer.Node
@@ -123,7 +123,7 @@
 		kernel.Bind(k, member.Name, &o.members),
 		kernel.Bind(k, view.Name, &o.view),
 		kernel.Bind(k, placer.Name, &o.placer),
-		kernel.Bind(k, stream.Name, &o.keeper),
+		kernel.Bind(k, stream.Name, &o.streams),
 		kernel.Bind(k, front.Name, &o.front),
 		kernel.Bind(k, decisions.Name, &o.decisions),
 		kernel.Bind(k, peer.Name, &o.peers),
@@ -211,7 +211,7 @@
 	m := o.members.Self()
 	s := Status{
 		Box: m.Box, DataCentre: m.DataCentre, Incarnation: m.Incarnation, Version: o.follower.Revision().Version,
-		Ready: "yes", Streams: o.keeper.Live(), HorizonAge: time.Since(o.view.Horizon()), Members: o.members.Up(""),
+		Ready: "yes", Streams: o.streams.Live(), HorizonAge: time.Since(o.view.Horizon()), Members: o.members.Up(""),
 		Plan: o.placer.Plan(),
 	}
 	if err := o.front.Ready(); err != nil {
--- a/plain/proxy.go
+++ b/plain/proxy.go
@@ -150,7 +150,7 @@
 		}
 		resp, interruption, err := p.attempt(c, q, s, st.Attempts)
 		if err == nil {
-			p.recordAnswer(h, resp)
+			p.recordResponse(h, resp)
 			return resp, nil
 		}
 		if interruption == recovery.Disconnected && c.Err() == nil {
@@ -173,7 +173,7 @@
 
 // recordResponse records a complete response for the quarantine. A response with a 5xx status is
 // ignored, because the service may have failed before it ran the request.
-func (p *Proxy) recordAnswer(h content.Hash, resp *Response) {
+func (p *Proxy) recordResponse(h content.Hash, resp *Response) {
 	if resp.Status < http.StatusInternalServerError {
 		p.suspects.RecordAnswer(h)
 	}
@@ -195,8 +195,10 @@
 	st.MayHaveRun = st.MayHaveRun || interruption != recovery.Unreachable && interruption != recovery.Refused
 	st.HasBudget = interruption == recovery.Unreachable || st.Attempts < maxAttempts && p.admission.Retry(q.Account)
 	d := recovery.Decide(*st)
-	p.decisions.Record(decisions.Decision{Subject: q.ID, Event: "recover", Choice: box, Attempt: st.Attempts,
-		Reason: d.Reason + ": " + cause.Error(), Workload: q.Service})
+	p.decisions.Record(decisions.Decision{
+		Subject: q.ID, Event: "recover", Choice: box, Attempt: st.Attempts,
+		Reason: d.Reason + ": " + cause.Error(), Workload: q.Service,
+	})
 	switch d.Step {
 	case recovery.Failover:
 		return nil
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -29,12 +29,12 @@
 
 // fakeCloud records the reports and refuses stale fences, as the real cloud does.
 type fakeCloud struct {
-	mu            sync.Mutex
-	highest       uint64
-	reports       map[int64][]map[string]int
-	reportedAt    map[int64]time.Time
-	answersToDrop int
-	refused       int
+	mu              sync.Mutex
+	highest         uint64
+	reports         map[int64][]map[string]int
+	reportedAt      map[int64]time.Time
+	responsesToDrop int
+	refused         int
 }
 
 func (l *fakeCloud) Order(context.Context, cloudapi.Lease, cloudapi.Order) error { return nil }
@@ -51,8 +51,8 @@
 	if l.reportedAt[w].IsZero() {
 		l.reportedAt[w] = time.Now()
 	}
-	if l.answersToDrop > 0 {
-		l.answersToDrop--
+	if l.responsesToDrop > 0 {
+		l.responsesToDrop--
 		return cloudapi.ErrUnknown
 	}
 	return nil
@@ -139,7 +139,7 @@
 	runWithTwoBoxes(t, func(t *testing.T, _ *memstore.Store, l *fakeCloud, a, b *box) {
 		w := countInNextWindow(t, a, b)
 		l.mu.Lock()
-		l.answersToDrop = 1
+		l.responsesToDrop = 1
 		l.mu.Unlock()
 		wait.For(t.Context(), time.Until(a.tally.WindowEnd(w).Add(time.Second)))
 		a.stop(t)
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -109,7 +109,7 @@
 
 // whole judges a success: the whole answer to this call, from a server.
 func (r *run) whole(path, id, text string, stamped bool) {
-	want := standin.ExpectedAnswer(id)
+	want := standin.ExpectedBody(id)
 	if path == "/stream/x" {
 		want = ""
 		for i := 1; i <= r.fleet.Servers[0].Events; i++ {
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -233,7 +233,7 @@
 }
 
 // Leave lets a server leave that says so in its answers alone, and a new one come.
-func (f *Fleet) Leave(i int) error { return f.leave(i, func(s *Server) { s.ReportLeaving() }) }
+func (f *Fleet) Leave(i int) error { return f.leave(i, func(s *Server) { s.ReportDraining() }) }
 
 // leave lets a server announce that it leaves, and a new one take its place.
 func (f *Fleet) leave(i int, announce func(*Server)) error {
