--- a/kv/client_test.go
+++ b/kv/client_test.go
@@ -74,18 +74,18 @@
 func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
 // A swap succeeds at the current revision and fails with the current entry at an older one. If the
-// answer is lost, the outcome is unknown, although the swap took effect.
+// response is lost, the outcome is unknown, although the swap took effect.
 func TestSwap(t *testing.T) {
 	s := kvstore.New(1000, 1000)
 	c := kv.New(startServer(t, s), "box", 1000, 1000, metrics.NewRegistry())
 	first, err := c.Swap(t.Context(), kv.Entry{Key: "k", Value: []byte("1")})
 	require.NoError(t, err)
-	now, err := c.Swap(t.Context(), kv.Entry{Key: "k", Value: []byte("2")})
+	current, err := c.Swap(t.Context(), kv.Entry{Key: "k", Value: []byte("2")})
 	require.ErrorIs(t, err, kv.ErrConflict)
-	require.Equal(t, "1", string(now.Value))
-	require.Equal(t, first.Rev, now.Rev)
+	require.Equal(t, "1", string(current.Value))
+	require.Equal(t, first.Rev, current.Rev)
 	s.Faults.Set(faults.Fault{Name: "lost_answer", Remaining: 1})
-	_, err = c.Swap(t.Context(), kv.Entry{Key: "k", Rev: now.Rev, Value: []byte("3")})
+	_, err = c.Swap(t.Context(), kv.Entry{Key: "k", Rev: current.Rev, Value: []byte("3")})
 	require.ErrorIs(t, err, kv.ErrOutcomeUnknown)
 	require.Eventually(t, func() bool {
 		e, err := c.Get(t.Context(), "k")
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -110,7 +110,7 @@
 // checkAnswer checks that a successful answer is complete, belongs to this call and was stamped by a
 // server.
 func (r *run) checkAnswer(path, id, text string, stamped bool) {
-	want := standin.ExpectedAnswer(id)
+	want := standin.ExpectedBody(id)
 	if path == "/stream/x" {
 		want = ""
 		for i := 1; i <= r.fleet.Servers[0].Events; i++ {
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -238,7 +238,7 @@
 // LeaveByAnswer makes a server report in its answers, but not in its record, that it is leaving, and
 // starts a replacement.
 func (f *Fleet) LeaveByAnswer(i int) error {
-	return f.replaceServer(i, func(s *Server) { s.ReportLeaving() })
+	return f.replaceServer(i, func(s *Server) { s.ReportDraining() })
 }
 
 // replaceServer starts a replacement for a server, calls announce for the old one and stops it after
