--- a/boottime/boottime.go
+++ b/boottime/boottime.go
@@ -1,6 +1,6 @@
 // Package boottime provides a monotonic time that includes the time during which the machine was
 // suspended. The monotonic clock of package time stops during a suspension, so leases, ages and
-// deadlines that are based on it look too young after the machine resumes.
+// deadlines that are based on it would not count the suspended time.
 //
 // Times returned by Now are comparable with each other. They are comparable with those of
 // time.Now only if the machine was never suspended in the life of the process.
--- a/cmd/birchup/measure.go
+++ b/cmd/birchup/measure.go
@@ -21,8 +21,8 @@
 // ticksPerSecond is the number of clock ticks per second in /proc/PID/stat (USER_HZ).
 const ticksPerSecond = 100
 
-// measuredOptions returns o reduced to one data centre with the numbers of boxes and engines that a
-// asks for.
+// measuredOptions returns o reduced to one data centre with the numbers of boxes and engines given
+// in a.
 func measuredOptions(o lab.Options, a arguments) lab.Options {
 	o.DataCentres, o.Entries = o.DataCentres[:1], a.Entries
 	kinds := o.Engines
--- a/compare/run.go
+++ b/compare/run.go
@@ -26,21 +26,21 @@
 // PolicySets returns the default policies first, followed by one set for each baseline, which replaces
 // one of the default policies.
 func PolicySets() []PolicySet {
-	chosen := func(s *state) router.Policy {
+	affinity := func(s *state) router.Policy {
 		return router.Affinity{LoadBound: s.document.Targets.LoadBound, RecomputeWeight: s.document.Targets.RecomputeWeight}
 	}
 	leastLoaded := func(*state) router.Policy { return router.LeastLoaded{} }
 	roundRobin := func(*state) router.Policy { return &router.RoundRobin{} }
 	random := func(*state) router.Policy { return router.Random{Int: rand.New(rand.NewPCG(5, 5)).IntN} }
 	return []PolicySet{
-		{"chosen", placement.Sticky{}, chosen, true, true},
+		{"chosen", placement.Sticky{}, affinity, true, true},
 		{"least loaded", placement.Sticky{}, leastLoaded, true, true},
 		{"round robin", placement.Sticky{}, roundRobin, true, true},
 		{"random", placement.Sticky{}, random, true, true},
-		{"all on demand", placement.OnDemandOnly{}, chosen, true, true},
-		{"place anew", placement.FromScratch{}, chosen, true, true},
-		{"replay only", placement.Sticky{}, chosen, false, true},
-		{"no reserve", placement.Sticky{}, chosen, true, false},
+		{"all on demand", placement.OnDemandOnly{}, affinity, true, true},
+		{"place anew", placement.FromScratch{}, affinity, true, true},
+		{"replay only", placement.Sticky{}, affinity, false, true},
+		{"no reserve", placement.Sticky{}, affinity, true, false},
 	}
 }
 
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -73,7 +73,7 @@
 // newServices returns the services in the order in which they start. They stop in the reverse
 // order, so that callers are drained first.
 func (d *Daemon) newServices(s settings.Settings, m metrics.Registry, log zerolog.Logger) []kernel.Service {
-	platform := cloud.New(s.Cloud, s.BoxList, s.Box)
+	cl := cloud.New(s.Cloud, s.BoxList, s.Box)
 	d.Front = front.New(front.Options{
 		Address: s.Callers, MaxBody: s.MaxBody, MaxRequests: s.MaxRequests, ShutdownDelay: s.StopNotice, ShutdownTimeout: s.StopLimit,
 	}, m, log)
@@ -86,13 +86,13 @@
 		follower.New(log),
 		view.New(),
 		admission.New(),
-		observer.New(platform, log),
+		observer.New(cl, log),
 		suspects.New(log),
 		stream.New(s.Policy, s.MaxHeldAnswers, m, log),
 		plain.New(),
 		claims.New(s.ClaimSlots, s.ClaimTTL),
 		dispatch.New(s.ClaimTTL),
-		placer.New(platform, log),
+		placer.New(cl, log),
 		d.Operator,
 		d.Front,
 	}
--- a/daemon/gossip.go
+++ b/daemon/gossip.go
@@ -16,8 +16,8 @@
 	"birchlink.dev/birchlink/tally"
 )
 
-// connectGossip connects gossip to the components: which status this box reports, and how it uses
-// those of the other boxes.
+// connectGossip connects gossip to the components that provide this box's status and use the
+// statuses of the other boxes.
 func (p *platformComponents) connectGossip() {
 	g, s := p.gossip, p.settings
 	g.Box, g.DataCentre, g.Address, g.Prefix, g.Seeds, g.Store = s.Box, s.DataCentre, s.Peers, relaysPrefix, s.Seeds, p.store
@@ -78,8 +78,8 @@
 	p.balancer.SetRemoteStats(others.Speeds)
 }
 
-// recordCrash records that another box found an endpoint crashed. It ignores the report if another
-// process has started under the endpoint's ID since.
+// recordCrash records a crash of an endpoint that another box reported. It ignores the report if
+// another process has started under the endpoint's ID since.
 func (p *platformComponents) recordCrash(incarnation string) {
 	id := endpoint.IDOf(incarnation)
 	if e, ok := p.known.Roster.Get(id); ok && e.Incarnation() == incarnation {
@@ -147,9 +147,9 @@
 	p.mu.Lock()
 	maps.Copy(out, p.remoteDemand[service])
 	p.mu.Unlock()
-	own := p.meter.Snapshot(boottime.Now())[service]
+	local := p.meter.Snapshot(boottime.Now())[service]
 	f := out[p.settings.DataCentre]
-	out[p.settings.DataCentre] = demand.Stats{Tokens: f.Tokens + own.Tokens, Running: f.Running + own.Running}
+	out[p.settings.DataCentre] = demand.Stats{Tokens: f.Tokens + local.Tokens, Running: f.Running + local.Running}
 	return out
 }
 
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -52,8 +52,8 @@
 const broadcastWindows = 2
 
 // Time limits of a stop. The load balancer checks readiness each second and stops sending requests
-// after two failed checks, so the box keeps accepting them for maxUnreadyPeriod. The
-// last drainReserve of the limit is kept for stopping the other services.
+// after two failed checks, so the box keeps accepting them for maxUnreadyPeriod. The last
+// drainReserve of the stop limit is reserved for stopping the other services.
 const (
 	maxUnreadyPeriod = 2500 * time.Millisecond
 	drainReserve     = 700 * time.Millisecond
@@ -125,7 +125,7 @@
 	nearbyPeers  []netip.AddrPort                   // receive hints of all long prompts
 	distantPeers []netip.AddrPort                   // receive hints of very long prompts only
 	remoteDemand map[string]map[string]demand.Stats // of the other boxes, by service and data centre
-	// the other boxes' evidence on versions in rollout, by service
+	// remoteEvidence is the other boxes' evidence on versions in rollout, by service.
 	remoteEvidence map[string]rollout.Evidence
 
 	// incarnation distinguishes this process from earlier ones on the same box.
@@ -240,19 +240,19 @@
 		ss = append(ss, p.reporter)
 	}
 	if s.Autoscale {
-		o := orders.New(log)
-		o.Box, o.Cloud, o.Election, o.Policy, o.Demand = s.Box, cl, e, scaling.Default, p.demandByDataCentre
-		o.Limited = func(e endpoint.Endpoint) bool {
+		a := orders.New(log)
+		a.Box, a.Cloud, a.Election, a.Policy, a.Demand = s.Box, cl, e, scaling.Default, p.demandByDataCentre
+		a.Limited = func(e endpoint.Endpoint) bool {
 			return p.balancer.Availability.IsRateLimited(e.Incarnation(), boottime.Now())
 		}
-		o.Capacity = func(service string, slots int, pause time.Duration) scaling.Capacity {
+		a.Capacity = func(service string, slots int, pause time.Duration) scaling.Capacity {
 			m := p.balancer.Model(service)
 			return scaling.Capacity{
 				Reclaimable: m.EndpointCapacity(scaling.LateShareFor(p.balancer.UnobservedFraction()), slots, pause),
 				OnDemand:    m.EndpointCapacity(scaling.LateShareOnDemand, slots, pause),
 			}
 		}
-		ss = append(ss, o)
+		ss = append(ss, a)
 	}
 	return ss
 }
--- a/daemon/platform_test.go
+++ b/daemon/platform_test.go
@@ -89,8 +89,8 @@
 	callersAddress, metricsAddress, readyAddress string
 }
 
-// freeAddress returns an address on which nobody listens. Its IP address differs from the source
-// address of outgoing connections, which might otherwise take the port before the box listens on it.
+// freeAddress returns an unused address. Its IP address differs from the source address of outgoing
+// connections, which might otherwise take the port before the box listens on it.
 func freeAddress(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.2:0")
 	require.NoError(t, err)
@@ -271,8 +271,8 @@
 }
 
 // All boxes together keep within the request rate that a server states in its answers, and callers
-// get answers while other servers have capacity. A stated rate that each box ignored, or applied
-// alone, would be exceeded by the boxes together.
+// get answers while other servers have capacity. If each box ignored the rate, or applied it
+// separately, the boxes together would exceed it.
 func TestAllBoxesShareServerLimit(t *testing.T) {
 	const perSecond, window = 0.5, 4.0
 	p := newPlatform(t, 3)
--- a/daytime/daytime.go
+++ b/daytime/daytime.go
@@ -1,6 +1,6 @@
 // Package daytime provides a wall time that does not jump when a box's system clock is stepped.
-// The boxes synchronize it with each other, so that those that number time windows by it assign
-// the same moment to the same window.
+// The boxes synchronize their clocks, so that all boxes assign the same moment to the same time
+// window.
 package daytime
 
 import (
@@ -35,7 +35,7 @@
 }
 
 // New returns a clock that starts at the current reading of the system clock, which readWall
-// returns. It is time.Now except in tests.
+// returns. The argument is time.Now except in tests.
 func New(readWall func() time.Time) *Clock {
 	now := boottime.Now()
 	return &Clock{readWall: readWall, startWall: readWall().Round(0), start: now, lastAdjusted: now}
--- a/daytime/daytime_test.go
+++ b/daytime/daytime_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// A permanent step of the system clock is followed by 1 ms per second.
+// After a permanent step of the system clock, the time is slewed by 1 ms per second.
 func TestPermanentStep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := startBox(0)
@@ -93,8 +93,8 @@
 }
 
 // The time advances during a suspension. A clock based on the monotonic clock alone would be 5 s
-// late after a suspension of 5 s, and catching up at 1 ms per second would take more than an hour,
-// in which requests are counted in windows that are over.
+// behind after a suspension of 5 s. Catching up at 1 ms per second would take more than an hour,
+// during which requests would be counted in past windows.
 func TestSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := startBox(0)
--- a/figures/figures.go
+++ b/figures/figures.go
@@ -43,8 +43,8 @@
 
 // RegisterGauge registers a gauge whose value is read on each request for the metrics.
 func (s *Server) RegisterGauge(name string, read func() int64) {
-	// The only error is a duplicate name, which keeps its first gauge. Package daemon registers each
-	// name once.
+	// The only error is a duplicate name; the first gauge stays registered. Package daemon
+	// registers each name once.
 	_ = s.registry.Register(name, metrics.NewFunctionalGauge(read))
 }
 
@@ -55,7 +55,7 @@
 	}
 	l, err := net.Listen("tcp", s.Address)
 	if err != nil {
-		// The box serves requests without metrics rather than not at all.
+		// The box serves requests even if its metrics are unavailable.
 		s.log.Error().Str("event", "listen").Str("address", s.Address).Err(err).Msg("metrics are not served")
 		return nil
 	}
--- a/load/audit.go
+++ b/load/audit.go
@@ -79,21 +79,21 @@
 // stand-ins. A guarded request must run at most once, a guarded request that was refused as not run
 // must not have run, and an answer must be correct.
 func (a Audit) Violations(o Outcome) []string {
-	var ws []string
+	var vs []string
 	runs := 0
 	for _, id := range o.IDs {
 		runs += len(a.Service[id]) + countRuns(a.Engine[id])
 	}
 	if o.Spec.Guard != Unguarded && runs > 1 {
-		ws = append(ws, fmt.Sprintf("%s ran %d times", o.ID, runs))
+		vs = append(vs, fmt.Sprintf("%s ran %d times", o.ID, runs))
 	}
 	if !o.Answered && o.Spec.Guard != Unguarded && len(o.Refusals) > 0 && runs > 0 && notRunKinds[o.LastRefusal] {
-		ws = append(ws, fmt.Sprintf("%s was refused as not run (%s) and ran", o.ID, o.LastRefusal))
+		vs = append(vs, fmt.Sprintf("%s was refused as not run (%s) and ran", o.ID, o.LastRefusal))
 	}
 	if o.Mismatch != "" {
-		ws = append(ws, fmt.Sprintf("%s: %s", o.ID, o.Mismatch))
+		vs = append(vs, fmt.Sprintf("%s: %s", o.ID, o.Mismatch))
 	}
-	return ws
+	return vs
 }
 
 // countRuns counts the attempts that computed the first token of an answer. An attempt that starts at
--- a/load/mix.go
+++ b/load/mix.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Guard is the means by which a request is kept from running more than once.
+// Guard is the means that prevents a request from running more than once.
 type Guard int
 
 // The guards.
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -153,9 +153,9 @@
 
 // unchanged STAND: the stand-in has had no run since mark
 func cmdUnchanged(ts *testscript.TestScript, neg bool, args []string) {
-	n, was := countRuns(ts, args[0]), environmentOf(ts).runCounts[args[0]]
-	if (n == was) == neg {
-		ts.Fatalf("%s had %d runs and has %d", args[0], was, n)
+	n, marked := countRuns(ts, args[0]), environmentOf(ts).runCounts[args[0]]
+	if (n == marked) == neg {
+		ts.Fatalf("%s had %d runs and has %d", args[0], marked, n)
 	}
 }
 
--- a/settings/platform.go
+++ b/settings/platform.go
@@ -21,7 +21,7 @@
 	Metrics string   // listen address for metrics; empty disables them
 	Seeds   []string // peer addresses of other boxes
 
-	// FirstStart is set at the first start of the whole system.
+	// FirstStart is set at the first start of the deployment.
 	FirstStart bool
 
 	// LinkMbps is the bandwidth of the box's link in Mbit/s; zero if unknown.
@@ -57,7 +57,7 @@
 	ReportDue    time.Duration
 
 	// RolloutShare is the fraction of a service's requests that a new version of its endpoints may
-	// receive before it has proved to be good.
+	// receive before it is judged good.
 	RolloutShare float64
 
 	LogLevel string
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -37,7 +37,7 @@
 
 	StopNotice time.Duration // how long connections are still accepted during a stop
 	StopLimit  time.Duration // bounds the duration of a stop
-	ClaimSlots int           // pages for claims
+	ClaimSlots int           // number of claim pages
 	ClaimTTL   time.Duration // lifetime of claims, and of records of idempotency keys and tickets
 	WriteRate  int           // writes per second to the key-value store
 	ReadRate   int           // reads per second from the key-value store
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -12,7 +12,8 @@
 	"birchlink.dev/birchlink/platform/standin"
 )
 
-// callTimeout bounds a call, and maxCallPause the random pause between two calls of a caller.
+// callTimeout is the deadline that a call states; the HTTP client waits twice as long. maxCallPause
+// bounds the random pause between two calls of a caller.
 const (
 	callTimeout  = 4 * time.Second
 	maxCallPause = 60 * time.Millisecond
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -110,9 +110,9 @@
 	return f, nil
 }
 
-func (f *Fleet) newServer(zone string) (*Server, error) {
+func (f *Fleet) newServer(dc string) (*Server, error) {
 	f.lastServerID++
-	s := &Server{dataCentre: zone, Server: &standin.Server{
+	s := &Server{dataCentre: dc, Server: &standin.Server{
 		ID: fmt.Sprintf("i-%d", f.lastServerID), Service: serviceName, Slots: 64, Work: 5 * time.Millisecond, Events: 12, Audit: f.Audit,
 	}}
 	h, a, err := serve(s.Server)
@@ -123,7 +123,7 @@
 	if s.proxy, err = NewProxy(a); err != nil {
 		return nil, err
 	}
-	f.Store.Set(s.Record(s.proxy.Address(), zone, "ready"))
+	f.Store.Set(s.Record(s.proxy.Address(), dc, "ready"))
 	return s, nil
 }
 
@@ -235,7 +235,7 @@
 	return f.replaceServer(i, func(s *Server) { f.Store.Set(s.Record(s.proxy.Address(), s.dataCentre, "draining")) })
 }
 
-// LeaveByAnswer makes a server report in its answers, but not in its record, that it is leaving, and
+// LeaveByAnswer makes a server report in its answers, but not in its record, that it is draining, and
 // starts a replacement.
 func (f *Fleet) LeaveByAnswer(i int) error {
 	return f.replaceServer(i, func(s *Server) { s.ReportLeaving() })
@@ -259,7 +259,7 @@
 	return nil
 }
 
-// drainTime is how long a leaving server continues to serve.
+// drainTime is how long a draining server continues to serve.
 const drainTime = 4 * time.Second
 
 // PutNextConfig stores the next configuration version and returns its number.
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -25,9 +25,9 @@
 	StoreDown        Kind = "store down"
 	StoreAnswersLost Kind = "store answers lost"
 	Compact          Kind = "store history lost"
-	Drain            Kind = "drain" // an endpoint announces in its record that it is leaving; another replaces it
+	Drain            Kind = "drain" // an endpoint announces in its record that it is draining; another replaces it
 	Config           Kind = "configuration"
-	LeaveByAnswer    Kind = "leave"     // an endpoint reports only in its answers that it is leaving; another replaces it
+	LeaveByAnswer    Kind = "leave"     // an endpoint reports only in its answers that it is draining; another replaces it
 	RefuseCalls      Kind = "turn away" // an endpoint refuses every call and asks callers to back off
 	ReportLimit      Kind = "limit"     // an endpoint reports the rate limit that it has for all boxes together
 )
@@ -67,7 +67,7 @@
 	return out
 }
 
-// drawEndpointReports draws the reports of endpoints: leaving, refusal and rate limit.
+// drawEndpointReports draws the reports of endpoints: draining, refusal and rate limit.
 func drawEndpointReports(seed uint64, span time.Duration, servers int) []Fault {
 	r := rand.New(rand.NewPCG(seed, 2))
 	kinds := []Kind{LeaveByAnswer, RefuseCalls, ReportLimit}
--- a/stand/faults/switch.go
+++ b/stand/faults/switch.go
@@ -30,45 +30,45 @@
 	active map[string]Fault
 }
 
-// Set activates a fault, or removes it if m.Remaining is zero.
-func (s *Injector) Set(m Fault) {
+// Set activates a fault, or removes it if f.Remaining is zero.
+func (s *Injector) Set(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.active == nil {
 		s.active = make(map[string]Fault)
 	}
-	if m.Remaining == 0 {
-		delete(s.active, m.Name)
+	if f.Remaining == 0 {
+		delete(s.active, f.Name)
 		return
 	}
-	s.active[m.Name] = m
+	s.active[f.Name] = f
 }
 
 // Consume returns the fault with a name if it is active, and decrements its remaining calls.
 func (s *Injector) Consume(name string) (Fault, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m, ok := s.active[name]
+	f, ok := s.active[name]
 	if !ok {
 		return Fault{}, false
 	}
-	if m.Remaining > 0 {
-		m.Remaining--
+	if f.Remaining > 0 {
+		f.Remaining--
 	}
-	if m.Remaining == 0 {
+	if f.Remaining == 0 {
 		delete(s.active, name)
 	} else {
-		s.active[name] = m
+		s.active[name] = f
 	}
-	return m, true
+	return f, true
 }
 
 // Lookup returns the fault with a name if it is active, without decrementing its remaining calls.
 func (s *Injector) Lookup(name string) (Fault, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m, ok := s.active[name]
-	return m, ok
+	f, ok := s.active[name]
+	return f, ok
 }
 
 // Exit terminates the process, as the reclaim of a box does. If file is not empty, it first writes
@@ -92,9 +92,9 @@
 
 // ServeHTTP sets the fault in the request body.
 func (s *Injector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	var m Fault
-	if jsonhttp.Read(w, r, &m) {
-		s.Set(m)
-		jsonhttp.Write(w, http.StatusOK, m)
+	var f Fault
+	if jsonhttp.Read(w, r, &f) {
+		s.Set(f)
+		jsonhttp.Write(w, http.StatusOK, f)
 	}
 }
--- a/stand/lab/lab.go
+++ b/stand/lab/lab.go
@@ -246,12 +246,12 @@
 }
 
 // InjectFault sets a fault on a stand-in.
-func (l *Lab) InjectFault(c context.Context, name string, m faults.Fault) error {
+func (l *Lab) InjectFault(c context.Context, name string, f faults.Fault) error {
 	p, err := l.Get(name)
 	if err != nil {
 		return err
 	}
-	return jsonhttp.New(p.Address, "lab", startTimeout).Do(c, http.MethodPost, "/control", m, nil)
+	return jsonhttp.New(p.Address, "lab", startTimeout).Do(c, http.MethodPost, "/control", f, nil)
 }
 
 func (l *Lab) auditFile(name string) string { return filepath.Join(l.Dir, name+".audit.json") }
@@ -272,8 +272,8 @@
 	return sources
 }
 
-// SaveAudit writes the audit of an engine or service to its file. Call it before killing the process;
-// for other processes it does nothing.
+// SaveAudit writes the audit of an engine or service to its file. Call it before killing the process.
+// For other processes, SaveAudit does nothing.
 func (l *Lab) SaveAudit(c context.Context, name string) error {
 	p, err := l.Get(name)
 	if err != nil || p.Role != "engine" && p.Role != "service" {
--- a/stand/memstore/store.go
+++ b/stand/memstore/store.go
@@ -18,7 +18,7 @@
 type Store struct {
 	mu             sync.Mutex
 	items          map[string]store.Item
-	keyLeases      map[string]store.Lease // of the keys
+	keyLeases      map[string]store.Lease // by key
 	leases         map[store.Lease]*lease
 	events         []store.Item
 	revision       uint64
