--- a/cmd/birchlinkd/main.go
+++ b/cmd/birchlinkd/main.go
@@ -42,7 +42,7 @@
 
 func run(a arguments) error {
 	if a.Platform {
-		return runEntry(a)
+		return runPlatform(a)
 	}
 	s, err := settings.Load(a.Settings)
 	if err != nil {
@@ -64,9 +64,9 @@
 	return serve(d.App, stop)
 }
 
-// runEntry runs with the settings of the users' platform. SIGHUP reloads the settings; SIGTERM and
+// runPlatform runs with the settings of the users' platform. SIGHUP reloads the settings; SIGTERM and
 // SIGINT stop the daemon.
-func runEntry(a arguments) error {
+func runPlatform(a arguments) error {
 	s, err := settings.LoadPlatform(a.Settings)
 	if err != nil {
 		return err
--- a/compare/run.go
+++ b/compare/run.go
@@ -174,10 +174,10 @@
 	v := r.state.route(*o, r.policies.Router(r.state), reserve)
 	r.lastRouting = v
 	return fmt.Sprintf("%d\t%.1f%%\t%d\t%v\t%.1f%%\t%.2f\t%s", v.sent, 100*float64(v.cacheHits)/float64(max(v.sent, 1)), v.computedTokens,
-		v.p95().Round(100_000), 100*v.shareWithin(r.state.document.Targets.FirstToken), v.peakLoad, refusals(v.refused)), nil
+		v.p95().Round(100_000), 100*v.shareWithin(r.state.document.Targets.FirstToken), v.peakLoad, formatRefusals(v.refused)), nil
 }
 
-func refusals(m map[admission.Kind]int) string {
+func formatRefusals(m map[admission.Kind]int) string {
 	var b []string
 	for _, k := range admission.Kinds() {
 		if m[k] > 0 {
--- a/settings/platform_test.go
+++ b/settings/platform_test.go
@@ -81,7 +81,7 @@
 }
 
 // The address of the cloud is optional if the box neither orders endpoints nor reports usage.
-func TestWithoutDuties(t *testing.T) {
+func TestCloudAddressOptional(t *testing.T) {
 	text := regexp.MustCompile(`(?m)^(address = 10.0.0.9:6|duties = .*)$`).ReplaceAllString(fillTemplate(t), "")
 	s, err := settings.ParsePlatform([]byte(text))
 	require.NoError(t, err)
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -235,9 +235,9 @@
 	return f.replaceServer(i, func(s *Server) { f.Store.Set(s.Record(s.proxy.Address(), s.dataCentre, "draining")) })
 }
 
-// LeaveByAnswer makes a server report in its answers, but not in its record, that it is draining, and
+// DrainByAnswer makes a server report in its answers, but not in its record, that it is draining, and
 // starts a replacement.
-func (f *Fleet) LeaveByAnswer(i int) error {
+func (f *Fleet) DrainByAnswer(i int) error {
 	return f.replaceServer(i, func(s *Server) { s.ReportLeaving() })
 }
 
--- a/soak/run.go
+++ b/soak/run.go
@@ -129,8 +129,8 @@
 		if err := r.fleet.Drain(f.Target); err != nil {
 			r.reportViolation("a server could not be replaced: %v", err)
 		}
-	case LeaveByAnswer:
-		if err := r.fleet.LeaveByAnswer(f.Target); err != nil {
+	case DrainByAnswer:
+		if err := r.fleet.DrainByAnswer(f.Target); err != nil {
 			r.reportViolation("a server could not be replaced: %v", err)
 		}
 	case RefuseCalls:
--- a/soak/schedule.go
+++ b/soak/schedule.go
@@ -27,7 +27,7 @@
 	Compact          Kind = "store history lost"
 	Drain            Kind = "drain" // an endpoint announces in its record that it is draining; another replaces it
 	Config           Kind = "configuration"
-	LeaveByAnswer    Kind = "leave"     // an endpoint reports only in its answers that it is draining; another replaces it
+	DrainByAnswer    Kind = "leave"     // an endpoint reports only in its answers that it is draining; another replaces it
 	RefuseCalls      Kind = "turn away" // an endpoint refuses every call and asks callers to back off
 	ReportLimit      Kind = "limit"     // an endpoint reports the rate limit that it has for all boxes together
 )
@@ -70,7 +70,7 @@
 // drawEndpointReports draws the reports of endpoints: draining, refusal and rate limit.
 func drawEndpointReports(seed uint64, span time.Duration, servers int) []Fault {
 	r := rand.New(rand.NewPCG(seed, 2))
-	kinds := []Kind{LeaveByAnswer, RefuseCalls, ReportLimit}
+	kinds := []Kind{DrainByAnswer, RefuseCalls, ReportLimit}
 	var out []Fault
 	for at := faultFreeStart; at < span; at += time.Duration(r.Int64N(int64(2 * meanReportGap))) {
 		out = append(out, Fault{
