--- a/compare/run.go
+++ b/compare/run.go
@@ -26,21 +26,21 @@
 // PolicySets returns the default policies first, followed by one set for each baseline, which replaces
 // one of the default policies.
 func PolicySets() []PolicySet {
-	chosen := func(s *state) router.Policy {
+	affinity := func(s *state) router.Policy {
 		return router.Affinity{LoadBound: s.document.Targets.LoadBound, RecomputeWeight: s.document.Targets.RecomputeWeight}
 	}
 	leastLoaded := func(*state) router.Policy { return router.LeastLoaded{} }
 	roundRobin := func(*state) router.Policy { return &router.RoundRobin{} }
 	random := func(*state) router.Policy { return router.Random{Int: rand.New(rand.NewPCG(5, 5)).IntN} }
 	return []PolicySet{
-		{"chosen", placement.Sticky{}, chosen, true, true},
+		{"chosen", placement.Sticky{}, affinity, true, true},
 		{"least loaded", placement.Sticky{}, leastLoaded, true, true},
 		{"round robin", placement.Sticky{}, roundRobin, true, true},
 		{"random", placement.Sticky{}, random, true, true},
-		{"all on demand", placement.OnDemandOnly{}, chosen, true, true},
-		{"place anew", placement.FromScratch{}, chosen, true, true},
-		{"replay only", placement.Sticky{}, chosen, false, true},
-		{"no reserve", placement.Sticky{}, chosen, true, false},
+		{"all on demand", placement.OnDemandOnly{}, affinity, true, true},
+		{"place anew", placement.FromScratch{}, affinity, true, true},
+		{"replay only", placement.Sticky{}, affinity, false, true},
+		{"no reserve", placement.Sticky{}, affinity, true, false},
 	}
 }
 
@@ -174,10 +174,10 @@
 	v := r.state.route(*o, r.policies.Router(r.state), reserve)
 	r.lastRouting = v
 	return fmt.Sprintf("%d\t%.1f%%\t%d\t%v\t%.1f%%\t%.2f\t%s", v.sent, 100*float64(v.cacheHits)/float64(max(v.sent, 1)), v.computedTokens,
-		v.p95().Round(100_000), 100*v.shareWithin(r.state.document.Targets.FirstToken), v.peakLoad, refusals(v.refused)), nil
+		v.p95().Round(100_000), 100*v.shareWithin(r.state.document.Targets.FirstToken), v.peakLoad, formatRefusals(v.refused)), nil
 }
 
-func refusals(m map[admission.Kind]int) string {
+func formatRefusals(m map[admission.Kind]int) string {
 	var b []string
 	for _, k := range admission.Kinds() {
 		if m[k] > 0 {
