--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -24,12 +24,12 @@
 	"birchlink.dev/birchlink/endpoint"
 	"birchlink.dev/birchlink/exchange"
 	"birchlink.dev/birchlink/figures"
+	"birchlink.dev/birchlink/fleetstate"
 	"birchlink.dev/birchlink/forward"
 	"birchlink.dev/birchlink/gossip"
 	"birchlink.dev/birchlink/hint"
 	"birchlink.dev/birchlink/ingress"
 	"birchlink.dev/birchlink/kernel"
-	"birchlink.dev/birchlink/known"
 	"birchlink.dev/birchlink/limit"
 	"birchlink.dev/birchlink/orders"
 	"birchlink.dev/birchlink/peer"
@@ -113,7 +113,7 @@
 	meter    *demand.Meter
 	tally    *tally.Tally
 	clock    *daytime.Clock
-	known    *known.Service
+	known    *fleetstate.Service
 	gossip   *gossip.Gossip
 	hints    *hint.Service
 	reporter *reporter.Reporter // nil unless usage is reported
@@ -145,7 +145,7 @@
 		tally:  &tally.Tally{Window: s.ReportWindow}, clock: daytime.New(time.Now),
 		gossip: gossip.New(log), incarnation: uuid.NewString()[:8],
 	}
-	p.known = known.New(known.Source{
+	p.known = fleetstate.New(fleetstate.Source{
 		ConfigKey: platform.ConfigKey, OperatorPrefix: platform.OperatorPrefix, EndpointsPrefix: platform.ServersPrefix,
 		DecodeConfig: platform.DecodeDocument, DecodeEndpoint: platform.DecodeEndpoint, DecodeOrder: platform.DecodeOrder,
 	}, st, log)
--- a/known/known.go
+++ b/fleetstate/known.go
@@ -1,8 +1,8 @@
-// Package known holds a box's copy of the fleet's state: the configuration in
+// Package fleetstate holds a box's copy of the fleet's state: the configuration in
 // force, the endpoint records and the rollout orders. The state comes from watches
 // of the store or, on a box that doesn't watch it, from other boxes. Changes are
 // applied by revision, so an older one never replaces a newer one.
-package known
+package fleetstate
 
 import (
 	"context"
--- a/known/known_test.go
+++ b/fleetstate/known_test.go
@@ -1,4 +1,4 @@
-package known_test
+package fleetstate_test
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 
 	"birchlink.dev/birchlink/catalog"
 	"birchlink.dev/birchlink/endpoint"
+	"birchlink.dev/birchlink/fleetstate"
 	"birchlink.dev/birchlink/kernel"
-	"birchlink.dev/birchlink/known"
 	"birchlink.dev/birchlink/session"
 	"birchlink.dev/birchlink/stand/memstore"
 	"birchlink.dev/birchlink/store"
@@ -30,7 +30,7 @@
 	removalBound = 2500 * time.Millisecond
 )
 
-var source = known.Source{
+var source = fleetstate.Source{
 	ConfigKey: "config", EndpointsPrefix: "e/",
 	DecodeConfig: func(b []byte) (*catalog.Document, error) {
 		var d catalog.Document
@@ -48,7 +48,7 @@
 
 // box is one box with its session and its copy of the store.
 type box struct {
-	*known.Service
+	*fleetstate.Service
 	session *session.Session
 	t       *testing.T
 }
@@ -56,7 +56,7 @@
 func startBox(t *testing.T, m *memstore.Store) *box {
 	t.Helper()
 	s := session.New(m, zerolog.Nop())
-	k := known.New(source, m, zerolog.Nop())
+	k := fleetstate.New(source, m, zerolog.Nop())
 	n := &kernel.Kernel{}
 	require.NoError(t, n.Add(s))
 	require.NoError(t, s.Start(t.Context(), n))
@@ -194,14 +194,14 @@
 		b.SetWatching(false)
 		wait.For(t.Context(), removalBound)
 		at := b.Revision()
-		newer := known.Records{Items: []store.Item{{Key: "e/three", Value: []byte("ready"), Revision: at + 6}}, From: at + 5, To: at + 6}
+		newer := fleetstate.Records{Items: []store.Item{{Key: "e/three", Value: []byte("ready"), Revision: at + 6}}, From: at + 5, To: at + 6}
 		b.DecodeEndpoint = func(key string, v []byte) (endpoint.Endpoint, error) {
 			if key == "e/two" {
 				b.Merge(newer)
 			}
 			return source.DecodeEndpoint(key, v)
 		}
-		b.Merge(known.Records{Items: []store.Item{
+		b.Merge(fleetstate.Records{Items: []store.Item{
 			{Key: "e/one", Value: []byte("ready"), Revision: at + 4}, {Key: "e/two", Value: []byte("ready"), Revision: at + 5},
 		}, Whole: true, To: at + 5})
 		b.Merge(newer)
@@ -216,11 +216,11 @@
 		item := func(value string, revision uint64) []store.Item {
 			return []store.Item{{Key: "e/one", Value: []byte(value), Revision: revision}}
 		}
-		require.True(t, b.Merge(known.Records{Items: item("ready", at+5), From: at, To: at + 5}))
-		require.True(t, b.Merge(known.Records{Items: item("draining", at+4), From: at, To: at + 6}))
+		require.True(t, b.Merge(fleetstate.Records{Items: item("ready", at+5), From: at, To: at + 5}))
+		require.True(t, b.Merge(fleetstate.Records{Items: item("draining", at+4), From: at, To: at + 6}))
 		require.Len(t, b.Roster.Serving("s"), 1)
-		require.True(t, b.Merge(known.Records{Items: []store.Item{{Key: "e/one", Revision: at + 7, Deleted: true}}, From: at + 6, To: at + 7}))
-		require.True(t, b.Merge(known.Records{Items: item("ready", at+6), From: at + 7, To: at + 8}))
+		require.True(t, b.Merge(fleetstate.Records{Items: []store.Item{{Key: "e/one", Revision: at + 7, Deleted: true}}, From: at + 6, To: at + 7}))
+		require.True(t, b.Merge(fleetstate.Records{Items: item("ready", at+6), From: at + 7, To: at + 8}))
 		require.Empty(t, b.Roster.Serving("s"))
 	})
 }
@@ -291,8 +291,8 @@
 		items[i] = store.Item{Key: fmt.Sprint("e/", i), Value: []byte("ready"), Revision: uint64(i) + 1}
 	}
 	for b.Loop() {
-		k := known.New(source, nil, zerolog.New(io.Discard).With().Timestamp().Str("box", "front-1").Logger())
-		k.Merge(known.Records{Items: items, Whole: true, To: 10_000})
+		k := fleetstate.New(source, nil, zerolog.New(io.Discard).With().Timestamp().Str("box", "front-1").Logger())
+		k.Merge(fleetstate.Records{Items: items, Whole: true, To: 10_000})
 	}
 }
 
@@ -306,9 +306,9 @@
 		for i := range items {
 			items[i] = store.Item{Key: fmt.Sprint("e/", i), Value: []byte("ready"), Revision: at + 1}
 		}
-		require.True(t, b.Merge(known.Records{Items: items, Whole: true, To: at + 1}))
+		require.True(t, b.Merge(fleetstate.Records{Items: items, Whole: true, To: at + 1}))
 		require.Len(t, b.Roster.IDs(), 5000)
-		require.True(t, b.Merge(known.Records{Whole: true, To: at + 2}))
+		require.True(t, b.Merge(fleetstate.Records{Whole: true, To: at + 2}))
 		wait.For(t.Context(), removalBound)
 		require.Empty(t, b.Roster.IDs())
 	})
--- a/known/orders.go
+++ b/fleetstate/orders.go
@@ -1,4 +1,4 @@
-package known
+package fleetstate
 
 import (
 	"maps"
--- a/known/orders_test.go
+++ b/fleetstate/orders_test.go
@@ -1,4 +1,4 @@
-package known_test
+package fleetstate_test
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
+	"birchlink.dev/birchlink/fleetstate"
 	"birchlink.dev/birchlink/kernel"
-	"birchlink.dev/birchlink/known"
 	"birchlink.dev/birchlink/rollout"
 	"birchlink.dev/birchlink/session"
 	"birchlink.dev/birchlink/stand/memstore"
@@ -40,7 +40,7 @@
 			}
 			return o, true, nil
 		}
-		k := known.New(src, m, zerolog.Nop())
+		k := fleetstate.New(src, m, zerolog.Nop())
 		var received []rollout.Orders
 		k.OnOrders = func(o rollout.Orders) { received = append(received, o) }
 		b := &box{k, s, t}
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -14,8 +14,8 @@
 	"birchlink.dev/birchlink/boottime"
 	"birchlink.dev/birchlink/daytime"
 	"birchlink.dev/birchlink/estimate"
+	"birchlink.dev/birchlink/fleetstate"
 	"birchlink.dev/birchlink/kernel"
-	"birchlink.dev/birchlink/known"
 	"birchlink.dev/birchlink/mirror"
 	"birchlink.dev/birchlink/peer"
 	"birchlink.dev/birchlink/quarantine"
@@ -114,7 +114,7 @@
 	RestoreEndpointStats func(map[string]estimate.Stats)
 
 	log           zerolog.Logger
-	known         *known.Service
+	known         *fleetstate.Service
 	session       *session.Session
 	node          *peer.Node
 	ctx           context.Context
@@ -169,7 +169,7 @@
 // Start registers the handlers for calls of other boxes and starts the rounds.
 func (g *Gossip) Start(_ context.Context, k *kernel.Kernel) error {
 	err := errors.Join(
-		kernel.Bind(k, known.Name, &g.known), kernel.Bind(k, peer.Name, &g.node), kernel.Bind(k, session.Name, &g.session),
+		kernel.Bind(k, fleetstate.Name, &g.known), kernel.Bind(k, peer.Name, &g.node), kernel.Bind(k, session.Name, &g.session),
 	)
 	if err != nil {
 		return err
@@ -198,7 +198,7 @@
 		StoreUnreachable: g.session.StoreUnreachable,
 	}
 	g.session.OnReconnect(g.slotWatch.Restart)
-	g.known.OnRecords(func(r known.Records) { g.pushRecords(c, r) })
+	g.known.OnRecords(func(r fleetstate.Records) { g.pushRecords(c, r) })
 	g.known.OnRawConfig(func(raw []byte) {
 		g.updateQuota() // makes new accounts known before their first request
 		g.pushConfiguration(c, raw)
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -22,9 +22,9 @@
 	"birchlink.dev/birchlink/daytime"
 	"birchlink.dev/birchlink/endpoint"
 	"birchlink.dev/birchlink/estimate"
+	"birchlink.dev/birchlink/fleetstate"
 	"birchlink.dev/birchlink/gossip"
 	"birchlink.dev/birchlink/kernel"
-	"birchlink.dev/birchlink/known"
 	"birchlink.dev/birchlink/peer"
 	"birchlink.dev/birchlink/quota"
 	"birchlink.dev/birchlink/session"
@@ -36,7 +36,7 @@
 type box struct {
 	*gossip.Gossip
 	t       *testing.T
-	known   *known.Service
+	known   *fleetstate.Service
 	session *session.Session
 	node    *peer.Node
 	stopped bool
@@ -86,7 +86,7 @@
 func startBoxWith(t *testing.T, s store.Store, name, dc, address string, set func(*box)) *box {
 	t.Helper()
 	b := &box{t: t, session: session.New(s, zerolog.Nop()), node: peer.NewNode(address, address, "secret", metrics.NewRegistry())}
-	b.known = known.New(known.Source{
+	b.known = fleetstate.New(fleetstate.Source{
 		ConfigKey: "config", EndpointsPrefix: "e/",
 		DecodeConfig: func(v []byte) (*catalog.Document, error) {
 			var d catalog.Document
--- a/gossip/gzip_test.go
+++ b/gossip/gzip_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/require"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"birchlink.dev/birchlink/known"
+	"birchlink.dev/birchlink/fleetstate"
 	"birchlink.dev/birchlink/store"
 )
 
 // testRecords returns the records of n endpoints in the format of the store.
-func testRecords(n int) known.Records {
-	r := known.Records{Whole: true, From: 3, To: 9}
+func testRecords(n int) fleetstate.Records {
+	r := fleetstate.Records{Whole: true, From: 3, To: 9}
 	for i := range n {
 		v := fmt.Sprintf(`{"service":"s%d","address":"10.%d.%d.7:8188","zone":"dc%d","version":1,"slots":96,"state":"ready","seq":%d}`, i%2, i%9, i%251, i%3, i)
 		r.Items = append(r.Items, store.Item{Key: fmt.Sprintf("e/i-%08x", 2654435761*uint32(i)), Value: []byte(v), Revision: uint64(i), Created: uint64(i)})
--- a/gossip/records.go
+++ b/gossip/records.go
@@ -7,13 +7,13 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"birchlink.dev/birchlink/known"
+	"birchlink.dev/birchlink/fleetstate"
 )
 
 // maxPlainRecords is the number of records up to which compression isn't worthwhile.
 const maxPlainRecords = 50
 
-func (g *Gossip) pushRecords(c context.Context, r known.Records) {
+func (g *Gossip) pushRecords(c context.Context, r fleetstate.Records) {
 	if len(r.Items) <= maxPlainRecords {
 		g.pushUpdate(c, update{Records: &r, From: g.Box})
 		return
@@ -29,7 +29,7 @@
 // packRecords encodes and compresses records. A relay that has read the records of 3,000 endpoints
 // sends them to a hundred members at once. Encoded separately for each member, this took 287 MB and
 // 21 MB/s on the busiest of 300 boxes; packed once for all, 49 MB and 3.6 MB/s.
-func packRecords(r known.Records) ([]byte, error) {
+func packRecords(r fleetstate.Records) ([]byte, error) {
 	b, err := msgpack.Marshal(r)
 	if err != nil {
 		return nil, fmt.Errorf("encode records: %w", err)
@@ -46,7 +46,7 @@
 }
 
 // pack returns the packed records that changed since a revision. It packs once per pair of revisions.
-func (p *recordsCache) pack(k *known.Service, since uint64) ([]byte, error) {
+func (p *recordsCache) pack(k *fleetstate.Service, since uint64) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if zip, ok := p.zipsByStart[since]; ok && p.revision == k.Revision() {
@@ -71,8 +71,8 @@
 }
 
 // unpackRecords reverses packRecords.
-func unpackRecords(zip []byte) (known.Records, error) {
-	var r known.Records
+func unpackRecords(zip []byte) (fleetstate.Records, error) {
+	var r fleetstate.Records
 	b, err := unpack(zip)
 	if err != nil {
 		return r, err
--- a/gossip/status.go
+++ b/gossip/status.go
@@ -11,7 +11,7 @@
 	"birchlink.dev/birchlink/demand"
 	"birchlink.dev/birchlink/endpoint"
 	"birchlink.dev/birchlink/estimate"
-	"birchlink.dev/birchlink/known"
+	"birchlink.dev/birchlink/fleetstate"
 	"birchlink.dev/birchlink/quarantine"
 	"birchlink.dev/birchlink/quota"
 	"birchlink.dev/birchlink/rollout"
@@ -84,7 +84,7 @@
 // update carries a change of the configuration or of endpoint records.
 type update struct {
 	Configuration []byte
-	Records       *known.Records
+	Records       *fleetstate.Records
 	Packed        []byte // packed records, used instead of Records for many
 	From          string
 }
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -19,9 +19,9 @@
 
 	"birchlink.dev/birchlink/boottime"
 	"birchlink.dev/birchlink/call"
+	"birchlink.dev/birchlink/fleetstate"
 	"birchlink.dev/birchlink/forward"
 	"birchlink.dev/birchlink/kernel"
-	"birchlink.dev/birchlink/known"
 	"birchlink.dev/birchlink/quota"
 	"birchlink.dev/birchlink/session"
 	"birchlink.dev/birchlink/wait"
@@ -77,7 +77,7 @@
 	Limiter RateLimiter
 
 	forwarder *forward.Forwarder
-	known     *known.Service
+	known     *fleetstate.Service
 	session   *session.Session
 	metrics   metrics.Registry
 	log       zerolog.Logger
@@ -104,7 +104,7 @@
 
 // Start begins to accept requests and readiness checks.
 func (i *Ingress) Start(_ context.Context, k *kernel.Kernel) error {
-	err := errors.Join(kernel.Bind(k, known.Name, &i.known), kernel.Bind(k, session.Name, &i.session))
+	err := errors.Join(kernel.Bind(k, fleetstate.Name, &i.known), kernel.Bind(k, session.Name, &i.session))
 	if err != nil {
 		return err
 	}
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -26,10 +26,10 @@
 	"birchlink.dev/birchlink/demand"
 	"birchlink.dev/birchlink/endpoint"
 	"birchlink.dev/birchlink/exchange"
+	"birchlink.dev/birchlink/fleetstate"
 	"birchlink.dev/birchlink/forward"
 	"birchlink.dev/birchlink/ingress"
 	"birchlink.dev/birchlink/kernel"
-	"birchlink.dev/birchlink/known"
 	"birchlink.dev/birchlink/quarantine"
 	"birchlink.dev/birchlink/quota"
 	"birchlink.dev/birchlink/rollout"
@@ -99,7 +99,7 @@
 	t            *testing.T
 	store        *memstore.Store
 	session      *session.Session
-	known        *known.Service
+	known        *fleetstate.Service
 	address      string
 	readyAddress string
 	release      chan struct{} // when closed, the endpoint responds to /a/hold
@@ -119,7 +119,7 @@
 		b.store.Set("e/one", strings.TrimPrefix(e.URL, "http://"))
 	}
 	b.session = session.New(b.store, zerolog.Nop())
-	b.known = known.New(known.Source{
+	b.known = fleetstate.New(fleetstate.Source{
 		ConfigKey: "config", EndpointsPrefix: "e/",
 		DecodeConfig: func(v []byte) (*catalog.Document, error) {
 			var d catalog.Document
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -19,8 +19,8 @@
 	"birchlink.dev/birchlink/election"
 	"birchlink.dev/birchlink/endpoint"
 	"birchlink.dev/birchlink/estimate"
+	"birchlink.dev/birchlink/fleetstate"
 	"birchlink.dev/birchlink/kernel"
-	"birchlink.dev/birchlink/known"
 	"birchlink.dev/birchlink/scaling"
 	"birchlink.dev/birchlink/wait"
 )
@@ -92,7 +92,7 @@
 	Capacity func(service string, slots int, pause time.Duration) scaling.Capacity
 
 	log    zerolog.Logger
-	known  *known.Service
+	known  *fleetstate.Service
 	cancel context.CancelFunc
 	group  sync.WaitGroup
 
@@ -149,7 +149,7 @@
 
 // Start binds the services that the autoscaler needs from k and begins to scale the fleet.
 func (a *Autoscaler) Start(_ context.Context, k *kernel.Kernel) error {
-	if err := kernel.Bind(k, known.Name, &a.known); err != nil {
+	if err := kernel.Bind(k, fleetstate.Name, &a.known); err != nil {
 		return err
 	}
 	c, cancel := context.WithCancel(context.Background())
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -20,8 +20,8 @@
 	"birchlink.dev/birchlink/election"
 	"birchlink.dev/birchlink/endpoint"
 	"birchlink.dev/birchlink/estimate"
+	"birchlink.dev/birchlink/fleetstate"
 	"birchlink.dev/birchlink/kernel"
-	"birchlink.dev/birchlink/known"
 	"birchlink.dev/birchlink/orders"
 	"birchlink.dev/birchlink/scaling"
 	"birchlink.dev/birchlink/session"
@@ -158,7 +158,7 @@
 	list(listed)
 	time.AfterFunc(time.Second, func() { list(onDemand - listed) })
 	s := session.New(m, zerolog.Nop())
-	k := known.New(known.Source{
+	k := fleetstate.New(fleetstate.Source{
 		ConfigKey: "config", EndpointsPrefix: "e/",
 		DecodeConfig: func(v []byte) (*catalog.Document, error) {
 			var d catalog.Document
