--- a/once/table.go
+++ b/dedup/table.go
@@ -1,6 +1,6 @@
-// Package once records the runs of a process by idempotency key or ticket, so that each request runs
+// Package dedup records the runs of a process by idempotency key or ticket, so that each request runs
 // at most once.
-package once
+package dedup
 
 import (
 	"context"
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -11,11 +11,11 @@
 	"birchlink.dev/birchlink/admission"
 	"birchlink.dev/birchlink/claims"
 	"birchlink.dev/birchlink/decisions"
+	"birchlink.dev/birchlink/dedup"
 	"birchlink.dev/birchlink/errkind"
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/ledger"
 	"birchlink.dev/birchlink/member"
-	"birchlink.dev/birchlink/once"
 	"birchlink.dev/birchlink/peer"
 	"birchlink.dev/birchlink/plain"
 	"birchlink.dev/birchlink/stream"
@@ -46,7 +46,7 @@
 type Dispatcher struct {
 	TTL time.Duration
 
-	records   *once.Table[Result]
+	records   *dedup.Table[Result]
 	members   *member.Service
 	peers     *peer.Node
 	claims    *claims.Service
@@ -59,7 +59,7 @@
 
 // New returns a dispatcher that keeps the records of keys and tickets for ttl.
 func New(ttl time.Duration) *Dispatcher {
-	return &Dispatcher{TTL: ttl, records: once.NewTable[Result](maxRecords, ttl)}
+	return &Dispatcher{TTL: ttl, records: dedup.NewTable[Result](maxRecords, ttl)}
 }
 
 // Name returns the name of the service.
@@ -278,7 +278,7 @@
 }
 
 // runRecord runs the call of a record unless it has run already, and passes the outcome to sink.
-func (d *Dispatcher) runRecord(c context.Context, r *once.Record[Result], q Call, sink Sink) error {
+func (d *Dispatcher) runRecord(c context.Context, r *dedup.Record[Result], q Call, sink Sink) error {
 	if r.TryBegin(d.TTL / 2) {
 		release, remote, err := d.admit(q)
 		if err != nil {
@@ -300,19 +300,19 @@
 		return d.readPartial(c, v.Inherited, sink)
 	case v.Err != nil:
 		return v.Err
-	case st == once.Open:
+	case st == dedup.Open:
 		return errkind.New(errkind.ClaimUnavailable, "the key or ticket is too old to run").WithRetryAfter(0)
 	}
 	return sink(Item{Plain: v.Plain})
 }
 
 // hasOutcome reports whether there is an outcome, or a stream to read from.
-func hasOutcome(s once.State, r Result) bool {
-	return s != once.Running || r.Stream != nil
+func hasOutcome(s dedup.State, r Result) bool {
+	return s != dedup.Running || r.Stream != nil
 }
 
 // run runs the call of a record. The run continues if its caller disconnects.
-func (d *Dispatcher) run(r *once.Record[Result], q Call, remote bool) {
+func (d *Dispatcher) run(r *dedup.Record[Result], q Call, remote bool) {
 	if q.Plain != nil {
 		resp, err := d.proxy.Do(context.Background(), *q.Plain)
 		r.Finish(Result{Plain: resp, Err: err}, mayHaveRun(err))
--- a/dispatch/handover.go
+++ b/dispatch/handover.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"birchlink.dev/birchlink/decisions"
+	"birchlink.dev/birchlink/dedup"
 	"birchlink.dev/birchlink/errkind"
 	"birchlink.dev/birchlink/member"
-	"birchlink.dev/birchlink/once"
 	"birchlink.dev/birchlink/plain"
 	"birchlink.dev/birchlink/stream"
 )
@@ -84,9 +84,9 @@
 
 // packRecord converts a record to the form that is handed over. It reports false for a record
 // that is neither open nor done.
-func packRecord(name string, r *once.Record[Result]) (handoverRecord, bool) {
+func packRecord(name string, r *dedup.Record[Result]) (handoverRecord, bool) {
 	s, v, _ := r.Snapshot()
-	h := handoverRecord{Name: name, Nonce: r.Nonce, Digest: r.Digest, Age: r.Age(), Open: s == once.Open, Plain: v.Plain}
+	h := handoverRecord{Name: name, Nonce: r.Nonce, Digest: r.Digest, Age: r.Age(), Open: s == dedup.Open, Plain: v.Plain}
 	if h.Open {
 		return h, true
 	}
@@ -110,20 +110,20 @@
 	if v.Inherited != nil {
 		h.Stream = v.Inherited
 	}
-	return h, s == once.Done
+	return h, s == dedup.Done
 }
 
 // handleHandover handles the records handed over by a process that shuts down.
 func (d *Dispatcher) handleHandover(_ context.Context, records []handoverRecord) (struct{}, error) {
 	for _, h := range records {
-		s, v := once.Done, Result{Plain: h.Plain, Inherited: h.Stream}
+		s, v := dedup.Done, Result{Plain: h.Plain, Inherited: h.Stream}
 		if h.Reason != "" {
 			v.Err = errkind.New(h.Kind, "%s", h.Reason)
 		}
 		if h.Open {
-			s, v = once.Open, Result{}
+			s, v = dedup.Open, Result{}
 		}
-		d.records.TakeOver(h.Name, once.RestoreRecord(h.Nonce, h.Digest, h.Age, s, v))
+		d.records.TakeOver(h.Name, dedup.RestoreRecord(h.Nonce, h.Digest, h.Age, s, v))
 	}
 	return struct{}{}, nil
 }
