--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -27,7 +27,7 @@
 	"birchlink.dev/birchlink/operator"
 	"birchlink.dev/birchlink/peer"
 	"birchlink.dev/birchlink/placer"
-	"birchlink.dev/birchlink/plain"
+	"birchlink.dev/birchlink/serviceproxy"
 	"birchlink.dev/birchlink/settings"
 	"birchlink.dev/birchlink/stream"
 	"birchlink.dev/birchlink/suspects"
@@ -89,7 +89,7 @@
 		observer.New(cl, log),
 		suspects.New(log),
 		stream.New(s.Policy, s.MaxHeldAnswers, m, log),
-		plain.New(),
+		serviceproxy.New(),
 		claims.New(s.ClaimSlots, s.ClaimTTL),
 		dispatch.New(s.ClaimTTL),
 		placer.New(cl, log),
--- a/dispatch/call.go
+++ b/dispatch/call.go
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"birchlink.dev/birchlink/admission"
-	"birchlink.dev/birchlink/plain"
+	"birchlink.dev/birchlink/serviceproxy"
 	"birchlink.dev/birchlink/stream"
 )
 
@@ -19,7 +19,7 @@
 // the idempotency key and Ticket the ticket, if the caller sent one.
 type Call struct {
 	Chat   *stream.Request
-	Plain  *plain.Request
+	Plain  *serviceproxy.Request
 	Key    string
 	Ticket string
 }
@@ -29,7 +29,7 @@
 type Item struct {
 	Index int
 	Token string
-	Plain *plain.Response
+	Plain *serviceproxy.Response
 }
 
 // Sink receives the items of a response in order. An error from it ends the call.
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -17,7 +17,7 @@
 	"birchlink.dev/birchlink/ledger"
 	"birchlink.dev/birchlink/member"
 	"birchlink.dev/birchlink/peer"
-	"birchlink.dev/birchlink/plain"
+	"birchlink.dev/birchlink/serviceproxy"
 	"birchlink.dev/birchlink/stream"
 	"birchlink.dev/birchlink/ticket"
 )
@@ -34,7 +34,7 @@
 // Result is the outcome of a run: a stream, which may still be running, a response, or an error.
 type Result struct {
 	Stream *stream.Stream
-	Plain  *plain.Response
+	Plain  *serviceproxy.Response
 	Err    error
 
 	// Inherited holds the tokens of a stream taken over from another process. The remaining tokens,
@@ -51,7 +51,7 @@
 	peers     *peer.Node
 	claims    *claims.Service
 	streams   *stream.Service
-	proxy     *plain.Proxy
+	proxy     *serviceproxy.Proxy
 	admission *admission.Admission
 	decisions *decisions.Log
 	runs      sync.WaitGroup
@@ -72,7 +72,7 @@
 		kernel.Bind(k, peer.Name, &d.peers),
 		kernel.Bind(k, claims.Name, &d.claims),
 		kernel.Bind(k, stream.Name, &d.streams),
-		kernel.Bind(k, plain.Name, &d.proxy),
+		kernel.Bind(k, serviceproxy.Name, &d.proxy),
 		kernel.Bind(k, admission.Name, &d.admission),
 		kernel.Bind(k, decisions.Name, &d.decisions),
 	); err != nil {
--- a/dispatch/handover.go
+++ b/dispatch/handover.go
@@ -9,7 +9,7 @@
 	"birchlink.dev/birchlink/dedup"
 	"birchlink.dev/birchlink/errkind"
 	"birchlink.dev/birchlink/member"
-	"birchlink.dev/birchlink/plain"
+	"birchlink.dev/birchlink/serviceproxy"
 	"birchlink.dev/birchlink/stream"
 )
 
@@ -40,7 +40,7 @@
 	Age    time.Duration
 	Open   bool
 	Stream *partialStream
-	Plain  *plain.Response
+	Plain  *serviceproxy.Response
 	Kind   errkind.Kind
 	Reason string
 }
--- a/front/front.go
+++ b/front/front.go
@@ -23,7 +23,7 @@
 	"birchlink.dev/birchlink/errkind"
 	"birchlink.dev/birchlink/follower"
 	"birchlink.dev/birchlink/kernel"
-	"birchlink.dev/birchlink/plain"
+	"birchlink.dev/birchlink/serviceproxy"
 	"birchlink.dev/birchlink/stream"
 	"birchlink.dev/birchlink/wait"
 )
@@ -61,7 +61,7 @@
 
 	dispatcher     *dispatch.Dispatcher
 	streams        *stream.Service
-	proxy          *plain.Proxy
+	proxy          *serviceproxy.Proxy
 	follower       *follower.Follower
 	server         *http.Server
 	listener       net.Listener
@@ -91,7 +91,7 @@
 	err := errors.Join(
 		kernel.Bind(k, dispatch.Name, &f.dispatcher),
 		kernel.Bind(k, stream.Name, &f.streams),
-		kernel.Bind(k, plain.Name, &f.proxy),
+		kernel.Bind(k, serviceproxy.Name, &f.proxy),
 		kernel.Bind(k, follower.Name, &f.follower),
 	)
 	if err != nil {
--- a/front/service.go
+++ b/front/service.go
@@ -17,7 +17,7 @@
 	"birchlink.dev/birchlink/errkind"
 	"birchlink.dev/birchlink/jsonhttp"
 	"birchlink.dev/birchlink/openai"
-	"birchlink.dev/birchlink/plain"
+	"birchlink.dev/birchlink/serviceproxy"
 )
 
 // maxTickets is the maximum number of tickets that one request may issue.
@@ -66,7 +66,7 @@
 	if !strings.HasPrefix(p, "/") {
 		p = "/" + p
 	}
-	q := &plain.Request{
+	q := &serviceproxy.Request{
 		ID: s.id, Account: s.account.Name, Service: n, Method: s.r.Method, Path: p, Header: s.r.Header, Body: b,
 		Repeatable: isRepeatable(s.r, s.headers), Kind: s.headers.kind,
 		Weight: s.account.Weight, Rate: s.account.RequestsPerSecond, Deadline: s.headers.deadline,
@@ -78,7 +78,7 @@
 }
 
 // writeResponse writes the response of a plain service.
-func writeResponse(w http.ResponseWriter, resp *plain.Response) error {
+func writeResponse(w http.ResponseWriter, resp *serviceproxy.Response) error {
 	for k, vs := range resp.Header {
 		if k == "Connection" || k == "Transfer-Encoding" || strings.HasPrefix(k, "Birchlink-") {
 			continue
--- a/plain/proxy.go
+++ b/serviceproxy/proxy.go
@@ -1,7 +1,7 @@
-// Package plain forwards requests to plain services, which are services that return one complete
+// Package serviceproxy forwards requests to plain services, which are services that return one complete
 // response instead of a token stream. It retries a request at another endpoint if this cannot run a
 // non-repeatable request twice, and passes on only complete responses.
-package plain
+package serviceproxy
 
 import (
 	"bytes"
