--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -23,7 +23,6 @@
 	"birchlink.dev/birchlink/election"
 	"birchlink.dev/birchlink/endpoint"
 	"birchlink.dev/birchlink/exchange"
-	"birchlink.dev/birchlink/figures"
 	"birchlink.dev/birchlink/fleetstate"
 	"birchlink.dev/birchlink/forward"
 	"birchlink.dev/birchlink/gossip"
@@ -31,6 +30,7 @@
 	"birchlink.dev/birchlink/ingress"
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/limit"
+	"birchlink.dev/birchlink/metricshttp"
 	"birchlink.dev/birchlink/orders"
 	"birchlink.dev/birchlink/peer"
 	"birchlink.dev/birchlink/platform"
@@ -208,8 +208,8 @@
 
 // newMetricsServer returns the service that serves the box's metrics, with gauges of its current
 // state registered.
-func (p *platformComponents) newMetricsServer(in *ingress.Ingress, f *forward.Forwarder, m metrics.Registry, log zerolog.Logger) *figures.Server {
-	s := figures.New(p.settings.Metrics, m, log)
+func (p *platformComponents) newMetricsServer(in *ingress.Ingress, f *forward.Forwarder, m metrics.Registry, log zerolog.Logger) *metricshttp.Server {
+	s := metricshttp.New(p.settings.Metrics, m, log)
 	s.RegisterGauge("configuration.version", func() int64 { v, _ := p.known.RawConfig(); return int64(v) })
 	s.RegisterGauge("endpoints.known", func() int64 { return int64(p.known.Roster.Len()) })
 	s.RegisterGauge("endpoints.leaving", func() int64 { return int64(p.known.Roster.CountDraining()) })
--- a/figures/figures.go
+++ b/metricshttp/figures.go
@@ -1,5 +1,5 @@
-// Package figures serves the metrics of a process over HTTP as plain text.
-package figures
+// Package metricshttp serves the metrics of a process over HTTP as plain text.
+package metricshttp
 
 import (
 	"context"
--- a/figures/figures_test.go
+++ b/metricshttp/figures_test.go
@@ -1,4 +1,4 @@
-package figures_test
+package metricshttp_test
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
-	"birchlink.dev/birchlink/figures"
+	"birchlink.dev/birchlink/metricshttp"
 )
 
 func TestServesMetrics(t *testing.T) {
@@ -20,11 +20,11 @@
 	address := l.Addr().String()
 	require.NoError(t, l.Close())
 	r := metrics.NewRegistry()
-	s := figures.New(address, r, zerolog.Nop())
+	s := metricshttp.New(address, r, zerolog.Nop())
 	s.RegisterGauge("configuration.version", func() int64 { return 7 })
 	metrics.GetOrRegisterCounter("refused.overloaded", r).Inc(3)
 	require.NoError(t, s.Start(t.Context(), nil))
-	a, err := http.Get("http://" + address + figures.Path)
+	a, err := http.Get("http://" + address + metricshttp.Path)
 	require.NoError(t, err)
 	defer a.Body.Close()
 	b, err := io.ReadAll(a.Body)
@@ -39,7 +39,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
-	s := figures.New(l.Addr().String(), metrics.NewRegistry(), zerolog.Nop())
+	s := metricshttp.New(l.Addr().String(), metrics.NewRegistry(), zerolog.Nop())
 	require.NoError(t, s.Start(t.Context(), nil))
 	require.NoError(t, s.Stop(context.Background()))
 }
