--- a/availability/availability.go
+++ b/availability/availability.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
+	"birchlink.dev/birchlink/backoff"
 	"birchlink.dev/birchlink/endpoint"
-	"birchlink.dev/birchlink/rest"
 	"birchlink.dev/birchlink/stated"
 )
 
@@ -19,7 +19,7 @@
 	// Rates holds the rate limits of endpoints, which apply to all boxes together.
 	Rates stated.Rates
 
-	backOffs rest.BackOffs
+	backOffs backoff.BackOffs
 
 	mu      sync.Mutex
 	skipped map[string]skip
--- a/rest/rest.go
+++ b/backoff/rest.go
@@ -1,6 +1,6 @@
-// Package rest records the back-off periods that endpoints request of this box in the Retry-After
+// Package backoff records the back-off periods that endpoints request of this box in the Retry-After
 // header of a refusal.
-package rest
+package backoff
 
 import (
 	"maps"
--- a/engine/client.go
+++ b/engine/client.go
@@ -13,8 +13,8 @@
 	"syscall"
 	"time"
 
+	"birchlink.dev/birchlink/backoff"
 	"birchlink.dev/birchlink/jsonhttp"
-	"birchlink.dev/birchlink/rest"
 )
 
 // callTimeout bounds a call that does not stream its response.
@@ -118,7 +118,7 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer resp.Body.Close()
-		if d := rest.ParseRetryAfter(resp.Header); d > 0 && resp.StatusCode == http.StatusServiceUnavailable {
+		if d := backoff.ParseRetryAfter(resp.Header); d > 0 && resp.StatusCode == http.StatusServiceUnavailable {
 			return nil, &BackOffError{d}
 		}
 		return nil, statusError(resp.StatusCode)
--- a/serviceproxy/proxy.go
+++ b/serviceproxy/proxy.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"birchlink.dev/birchlink/admission"
+	"birchlink.dev/birchlink/backoff"
 	"birchlink.dev/birchlink/boottime"
 	"birchlink.dev/birchlink/call"
 	"birchlink.dev/birchlink/config"
@@ -28,7 +29,6 @@
 	"birchlink.dev/birchlink/member"
 	"birchlink.dev/birchlink/observer"
 	"birchlink.dev/birchlink/recovery"
-	"birchlink.dev/birchlink/rest"
 	"birchlink.dev/birchlink/router"
 	"birchlink.dev/birchlink/suspects"
 	"birchlink.dev/birchlink/view"
@@ -250,7 +250,7 @@
 		return 0
 	}
 	ss := p.eligible(d, q.Service, nil, func(s *view.EndpointState) bool { return s.State == fleet.Live })
-	return rest.MinRemaining(&p.view.BackOffs, ss, (*view.EndpointState).ProcessID, boottime.Now())
+	return backoff.MinRemaining(&p.view.BackOffs, ss, (*view.EndpointState).ProcessID, boottime.Now())
 }
 
 // choose returns the least loaded endpoint in this box's data centre, or in any data centre if this
@@ -327,7 +327,7 @@
 	if resp.StatusCode == http.StatusServiceUnavailable {
 		// An endpoint that refuses requests has the least load. Without a back-off period it would
 		// be chosen for every request.
-		p.view.BackOffs.Extend(s.ProcessID(), rest.ParseRetryAfter(resp.Header), boottime.Now())
+		p.view.BackOffs.Extend(s.ProcessID(), backoff.ParseRetryAfter(resp.Header), boottime.Now())
 	}
 	return readResponse(resp, s.Name)
 }
--- a/stream/choose.go
+++ b/stream/choose.go
@@ -7,6 +7,7 @@
 	"sync"
 	"time"
 
+	"birchlink.dev/birchlink/backoff"
 	"birchlink.dev/birchlink/boottime"
 	"birchlink.dev/birchlink/config"
 	"birchlink.dev/birchlink/decisions"
@@ -14,7 +15,6 @@
 	"birchlink.dev/birchlink/errkind"
 	"birchlink.dev/birchlink/fleet"
 	"birchlink.dev/birchlink/member"
-	"birchlink.dev/birchlink/rest"
 	"birchlink.dev/birchlink/router"
 	"birchlink.dev/birchlink/view"
 )
@@ -90,7 +90,7 @@
 }
 
 // gather fills c with the endpoints of cs that are neither in avoid nor backing off.
-func (c *candidates) gather(cs []candidate, cachedOn string, avoid map[string]bool, backOffs *rest.BackOffs) {
+func (c *candidates) gather(cs []candidate, cachedOn string, avoid map[string]bool, backOffs *backoff.BackOffs) {
 	c.targets, c.endpoints = c.targets[:0], c.endpoints[:0]
 	now := boottime.Now()
 	noneBackingOff := backOffs.IsEmpty(now)
@@ -147,7 +147,7 @@
 	if !errors.As(err, &e) || e.Kind != errkind.NoEndpoint {
 		return err
 	}
-	left := rest.MinRemaining(&r.k.view.BackOffs, cs, candidate.ProcessID, boottime.Now())
+	left := backoff.MinRemaining(&r.k.view.BackOffs, cs, candidate.ProcessID, boottime.Now())
 	return e.WithRetryAfter(left)
 }
 
--- a/stream/choose_test.go
+++ b/stream/choose_test.go
@@ -9,11 +9,11 @@
 
 	"github.com/stretchr/testify/require"
 
+	"birchlink.dev/birchlink/backoff"
 	"birchlink.dev/birchlink/boottime"
 	"birchlink.dev/birchlink/config"
 	"birchlink.dev/birchlink/fleet"
 	"birchlink.dev/birchlink/rendezvous"
-	"birchlink.dev/birchlink/rest"
 	"birchlink.dev/birchlink/router"
 	"birchlink.dev/birchlink/view"
 )
@@ -58,7 +58,7 @@
 	ss[6].Incarnation = ""
 	var c candidates
 	x := &endpointIndex{snapshot: &view.Snapshot{Endpoints: ss}, document: d, dc: "a"}
-	var backOffs rest.BackOffs
+	var backOffs backoff.BackOffs
 	c.gather(x.eligible("m@1"), "", map[string]bool{"box-5": true}, &backOffs)
 	require.Len(t, c.targets, 1)
 	require.Equal(t, "box-0", c.targets[0].Box)
@@ -79,7 +79,7 @@
 			p := router.Affinity{LoadBound: 1.25, RecomputeWeight: 0.2}
 			b.ReportAllocs()
 			for b.Loop() {
-				c.gather(x.eligible("m1@2"), "", nil, &rest.BackOffs{})
+				c.gather(x.eligible("m1@2"), "", nil, &backoff.BackOffs{})
 				p.Pick(c.targets, router.Query{Prefix: 7, PromptTokens: 500, AnswerTokens: 128})
 			}
 		})
--- a/view/view.go
+++ b/view/view.go
@@ -10,12 +10,12 @@
 	"sync/atomic"
 	"time"
 
+	"birchlink.dev/birchlink/backoff"
 	"birchlink.dev/birchlink/config"
 	"birchlink.dev/birchlink/fleet"
 	"birchlink.dev/birchlink/follower"
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/rendezvous"
-	"birchlink.dev/birchlink/rest"
 )
 
 // Name is the name of the service.
@@ -75,7 +75,7 @@
 // load without a lock.
 type View struct {
 	// BackOffs holds the back-off periods that endpoints requested from this box, by ProcessID.
-	BackOffs rest.BackOffs
+	BackOffs backoff.BackOffs
 
 	mu               sync.Mutex
 	boxes            []fleet.Box
