--- a/availability/availability.go
+++ b/availability/availability.go
@@ -10,14 +10,14 @@
 
 	"birchlink.dev/birchlink/backoff"
 	"birchlink.dev/birchlink/endpoint"
-	"birchlink.dev/birchlink/stated"
+	"birchlink.dev/birchlink/endpointlimit"
 )
 
 // Availability holds the availability of endpoints as known to one box. Endpoints are identified by
 // their incarnations. Its zero value is ready to use, and its methods may be called concurrently.
 type Availability struct {
 	// Rates holds the rate limits of endpoints, which apply to all boxes together.
-	Rates stated.Rates
+	Rates endpointlimit.Rates
 
 	backOffs backoff.BackOffs
 
--- a/stated/rates.go
+++ b/endpointlimit/rates.go
@@ -1,7 +1,7 @@
-// Package stated keeps the request rates that endpoints accept from all boxes together. A rate is
+// Package endpointlimit keeps the request rates that endpoints accept from all boxes together. A rate is
 // learned from an endpoint's answers or from other boxes, and the newest statement counts. The
 // package reads no clock: callers pass the time.
-package stated
+package endpointlimit
 
 import (
 	"maps"
--- a/stated/rates_test.go
+++ b/endpointlimit/rates_test.go
@@ -1,4 +1,4 @@
-package stated_test
+package endpointlimit_test
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"birchlink.dev/birchlink/endpoint"
-	"birchlink.dev/birchlink/stated"
+	"birchlink.dev/birchlink/endpointlimit"
 )
 
 var epoch = time.Unix(1_000_000, 0)
@@ -22,7 +22,7 @@
 }
 
 func ExampleRates() {
-	var a, b stated.Rates
+	var a, b endpointlimit.Rates
 	s, urgent := a.Observe("i-1", endpoint.Limit{Limited: true, PerSecond: 1.5}, epoch)
 	fmt.Println(s.PerSecond, urgent)
 	b.Merge(a.Report(b.Sum(), at(time.Second)).Words, at(time.Second))
@@ -35,7 +35,7 @@
 
 // A limit that is new, has dropped or is removed is urgent. Other changes wait for a gossip round.
 func TestObserveReportsUrgentChanges(t *testing.T) {
-	var r stated.Rates
+	var r endpointlimit.Rates
 	for i, x := range []struct {
 		offset time.Duration
 		limit  endpoint.Limit
@@ -60,7 +60,7 @@
 // An answer without a limit removes the limit only if no answer has carried it for limitTTL, since
 // not every answer may carry it.
 func TestLimitExpires(t *testing.T) {
-	var r stated.Rates
+	var r endpointlimit.Rates
 	r.Observe("e", limited(1), epoch)
 	for d := time.Duration(0); d < 10*time.Second; d += 100 * time.Millisecond {
 		r.Observe("e", endpoint.Limit{}, at(d))
@@ -76,32 +76,32 @@
 // The newest statement counts, whatever the order of arrival, and an older one does not restore a
 // limit that was removed.
 func TestMergeOrder(t *testing.T) {
-	statements := []stated.Statement{
+	statements := []endpointlimit.Statement{
 		{Incarnation: "e", Limited: true, PerSecond: 1, Age: 4 * time.Second},
 		{Incarnation: "e", Limited: true, PerSecond: 2, Age: 3 * time.Second},
 		{Incarnation: "e", Age: time.Second},
 	}
 	for seed := range uint64(20) {
-		var r stated.Rates
+		var r endpointlimit.Rates
 		for _, i := range rand.New(rand.NewPCG(seed, 1)).Perm(len(statements)) {
 			r.Merge(statements[i:i+1], epoch)
 		}
 		l, _ := r.Limit("e", epoch)
 		require.False(t, l.Limited)
 	}
-	var r stated.Rates
+	var r endpointlimit.Rates
 	require.Len(t, r.Merge(statements[:1], epoch), 1)
 	require.Empty(t, r.Merge(statements[:2], epoch))
 	l, age := r.Limit("e", epoch)
 	require.Equal(t, limited(2), l)
 	require.Equal(t, 3*time.Second, age)
-	require.Empty(t, r.Merge([]stated.Statement{{Incarnation: "other", Age: time.Minute}}, epoch))
+	require.Empty(t, r.Merge([]endpointlimit.Statement{{Incarnation: "other", Age: time.Minute}}, epoch))
 }
 
 // A box with a different set of limited endpoints gets all statements, and one with the same set
 // gets the recent ones. The size of a report is bounded.
 func TestReport(t *testing.T) {
-	var r, other stated.Rates
+	var r, other endpointlimit.Rates
 	for i := range 100 {
 		r.Observe(fmt.Sprint("e", i), limited(1), at(time.Duration(i)*100*time.Millisecond))
 	}
@@ -110,7 +110,7 @@
 	require.Len(t, r.Report(r.Sum(), now).Words, 11)
 	other.Merge(r.Report(other.Sum(), now).Words, now)
 	require.Equal(t, r.Sum(), other.Sum())
-	require.Zero(t, (&stated.Rates{}).Sum())
+	require.Zero(t, (&endpointlimit.Rates{}).Sum())
 	for i := range 1000 {
 		r.Observe(fmt.Sprint("f", i), limited(1), now)
 	}
@@ -119,7 +119,7 @@
 
 // Forget drops endpoints that are unknown and limits that were removed long ago.
 func TestForget(t *testing.T) {
-	var r stated.Rates
+	var r endpointlimit.Rates
 	for _, e := range []string{"a", "b", "c"} {
 		r.Observe(e, limited(1), epoch)
 	}
@@ -133,10 +133,10 @@
 
 // A report survives encoding, and one statement takes at most 64 bytes on the wire.
 func TestEncoding(t *testing.T) {
-	in := stated.Report{Sum: 7, Words: []stated.Statement{{Incarnation: "e/1", Limited: true, PerSecond: 0.3, Age: time.Second}}}
+	in := endpointlimit.Report{Sum: 7, Words: []endpointlimit.Statement{{Incarnation: "e/1", Limited: true, PerSecond: 0.3, Age: time.Second}}}
 	b, err := msgpack.Marshal(in)
 	require.NoError(t, err)
-	var out stated.Report
+	var out endpointlimit.Report
 	require.NoError(t, msgpack.Unmarshal(b, &out))
 	require.Equal(t, in, out)
 	require.LessOrEqual(t, len(b), 64)
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -26,12 +26,12 @@
 	"birchlink.dev/birchlink/content"
 	"birchlink.dev/birchlink/demand"
 	"birchlink.dev/birchlink/endpoint"
+	"birchlink.dev/birchlink/endpointlimit"
 	"birchlink.dev/birchlink/errkind"
 	"birchlink.dev/birchlink/exchange"
 	"birchlink.dev/birchlink/forward"
 	"birchlink.dev/birchlink/quarantine"
 	"birchlink.dev/birchlink/rollout"
-	"birchlink.dev/birchlink/stated"
 	"birchlink.dev/birchlink/throttle"
 )
 
@@ -144,7 +144,7 @@
 		Budget: budget.New(budget.Limits{Ratio: 1, Slack: 1000, Window: time.Minute}), Meter: &demand.Meter{}, Quarantine: &quarantine.Quarantine{},
 		Codec: codec{}, OnStart: func(string, time.Time) { s.started++ }, OnSend: func(endpoint.Endpoint, int) {},
 		OnCrash: func(endpoint.Endpoint) {}, OnDraining: func(endpoint.Endpoint) {},
-		OnLimitChange: func(stated.Statement) {},
+		OnLimitChange: func(endpointlimit.Statement) {},
 		Metrics:       metrics.NewRegistry(), Log: zerolog.Nop(),
 	}
 	s.f.Roster.OnReplaced(s.f.CancelReplaced)
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -20,11 +20,11 @@
 	"birchlink.dev/birchlink/content"
 	"birchlink.dev/birchlink/demand"
 	"birchlink.dev/birchlink/endpoint"
+	"birchlink.dev/birchlink/endpointlimit"
 	"birchlink.dev/birchlink/errkind"
 	"birchlink.dev/birchlink/exchange"
 	"birchlink.dev/birchlink/quarantine"
 	"birchlink.dev/birchlink/rollout"
-	"birchlink.dev/birchlink/stated"
 )
 
 // Codec translates between calls and the HTTP headers of the endpoints.
@@ -75,7 +75,7 @@
 type DrainFunc func(e endpoint.Endpoint)
 
 // LimitFunc is called when an endpoint sets, lowers or removes the limit on its request rate.
-type LimitFunc func(s stated.Statement)
+type LimitFunc func(s endpointlimit.Statement)
 
 // Forwarder forwards requests. All exported fields must be set.
 type Forwarder struct {
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -13,6 +13,7 @@
 
 	"birchlink.dev/birchlink/boottime"
 	"birchlink.dev/birchlink/daytime"
+	"birchlink.dev/birchlink/endpointlimit"
 	"birchlink.dev/birchlink/estimate"
 	"birchlink.dev/birchlink/fleetstate"
 	"birchlink.dev/birchlink/kernel"
@@ -22,7 +23,6 @@
 	"birchlink.dev/birchlink/quota"
 	"birchlink.dev/birchlink/rollout"
 	"birchlink.dev/birchlink/session"
-	"birchlink.dev/birchlink/stated"
 	"birchlink.dev/birchlink/store"
 	"birchlink.dev/birchlink/wait"
 )
@@ -100,7 +100,7 @@
 	Quarantine *quarantine.Quarantine
 
 	// Rates holds the request rates that endpoints accept from all boxes together.
-	Rates *stated.Rates
+	Rates *endpointlimit.Rates
 
 	// OnCrash is called with the incarnation of each endpoint that another box reports as crashed.
 	OnCrash func(incarnation string)
@@ -157,7 +157,7 @@
 // New returns a service. Its exported fields must be set before it starts.
 func New(log zerolog.Logger) *Gossip {
 	return &Gossip{
-		log: log, Quarantine: &quarantine.Quarantine{}, Rollouts: &rollout.Gate{}, Rates: &stated.Rates{},
+		log: log, Quarantine: &quarantine.Quarantine{}, Rollouts: &rollout.Gate{}, Rates: &endpointlimit.Rates{},
 		OnCrash: func(string) {}, UsedEndpoints: func() []string { return nil },
 		slots: map[string]relaySlot{}, members: map[string]receivedStatus{}, otherRelays: map[string]receivedStatus{},
 	}
--- a/gossip/news.go
+++ b/gossip/news.go
@@ -10,9 +10,9 @@
 	"birchlink.dev/birchlink/boottime"
 	"birchlink.dev/birchlink/content"
 	"birchlink.dev/birchlink/endpoint"
+	"birchlink.dev/birchlink/endpointlimit"
 	"birchlink.dev/birchlink/quarantine"
 	"birchlink.dev/birchlink/rollout"
-	"birchlink.dev/birchlink/stated"
 	"birchlink.dev/birchlink/wait"
 )
 
@@ -35,7 +35,7 @@
 	Ended    []string // incarnations of crashed endpoints
 	Leaving  []string // incarnations of endpoints that announced in an answer that they are draining
 	Suspects []quarantine.Suspect
-	Rates    []stated.Statement          // rate limits that endpoints set, lowered or removed
+	Rates    []endpointlimit.Statement   // rate limits that endpoints set, lowered or removed
 	Orders   rollout.Orders              // of rollouts; zero if unchanged
 	Words    map[string]rollout.Progress // of rollouts that entered a new stage, by service
 }
@@ -67,13 +67,13 @@
 }
 
 // BroadcastRate notifies the other boxes of the request rate that an endpoint stated.
-func (g *Gossip) BroadcastRate(w stated.Statement) {
-	g.notify(notification{Rates: []stated.Statement{w}})
+func (g *Gossip) BroadcastRate(w endpointlimit.Statement) {
+	g.notify(notification{Rates: []endpointlimit.Statement{w}})
 }
 
 // mergeRates merges the endpoints' request rates reported by another box, and returns those that
 // are new.
-func (g *Gossip) mergeRates(statements []stated.Statement) []stated.Statement {
+func (g *Gossip) mergeRates(statements []endpointlimit.Statement) []endpointlimit.Statement {
 	fresh := g.Rates.Merge(statements, boottime.Now())
 	for _, w := range fresh {
 		g.log.Info().Str("event", "endpoint").Str("endpoint", w.Incarnation).Bool("limited", w.Limited).Float64("per_second", w.PerSecond).
--- a/gossip/status.go
+++ b/gossip/status.go
@@ -10,12 +10,12 @@
 	"birchlink.dev/birchlink/balance"
 	"birchlink.dev/birchlink/demand"
 	"birchlink.dev/birchlink/endpoint"
+	"birchlink.dev/birchlink/endpointlimit"
 	"birchlink.dev/birchlink/estimate"
 	"birchlink.dev/birchlink/fleetstate"
 	"birchlink.dev/birchlink/quarantine"
 	"birchlink.dev/birchlink/quota"
 	"birchlink.dev/birchlink/rollout"
-	"birchlink.dev/birchlink/stated"
 	"birchlink.dev/birchlink/tally"
 )
 
@@ -46,7 +46,7 @@
 	Judged     uint64                        // checksum of the verdicts on contents that a member knows
 	Failing    map[string]balance.CallCounts // calls to endpoints with failures, from boxes of this data centre
 	Leavers    endpoint.DrainingSet          // draining endpoints whose records don't say so yet
-	Rates      stated.Report                 // request rates that endpoints accept from all boxes together
+	Rates      endpointlimit.Report          // request rates that endpoints accept from all boxes together
 	Orders     rollout.Orders                // of rollouts; set by relays
 	Words      map[string]rollout.Progress   // progress of rollouts, by service
 	Evidence   map[string]rollout.Evidence
@@ -77,7 +77,7 @@
 	Judged   uint64               // checksum of Verdicts
 	Works    uint64               // checksum of the member's EndpointSet as known to the relay
 	Leavers  endpoint.DrainingSet // draining endpoints whose records don't say so yet
-	Rates    stated.Report        // request rates that endpoints accept from all boxes together
+	Rates    endpointlimit.Report // request rates that endpoints accept from all boxes together
 	Orders   rollout.Orders       // of rollouts
 }
 
--- a/limit/limit.go
+++ b/limit/limit.go
@@ -13,10 +13,10 @@
 	"github.com/rs/zerolog"
 
 	"birchlink.dev/birchlink/boottime"
+	"birchlink.dev/birchlink/endpointlimit"
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/peer"
 	"birchlink.dev/birchlink/quota"
-	"birchlink.dev/birchlink/stated"
 	"birchlink.dev/birchlink/throttle"
 )
 
@@ -46,7 +46,7 @@
 	// Throttle enforces the shares of endpoints' rates that are leased to this box. Rates holds
 	// the rates that endpoints have stated.
 	Throttle *throttle.Throttle
-	Rates    *stated.Rates
+	Rates    *endpointlimit.Rates
 
 	// Cooldown is how long a box that did not answer is skipped.
 	Cooldown time.Duration
@@ -60,7 +60,7 @@
 }
 
 // New returns a service that uses q for accounts and r for the rates of endpoints.
-func New(q *quota.Quota, r *stated.Rates, m metrics.Registry, log zerolog.Logger) *Service {
+func New(q *quota.Quota, r *endpointlimit.Rates, m metrics.Registry, log zerolog.Logger) *Service {
 	return &Service{
 		Quota: q, Throttle: &throttle.Throttle{Leases: q}, Rates: r, Cooldown: defaultCooldown,
 		metrics: m, log: log, unresponsive: map[string]time.Time{},
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -12,11 +12,11 @@
 	"github.com/stretchr/testify/require"
 
 	"birchlink.dev/birchlink/catalog"
+	"birchlink.dev/birchlink/endpointlimit"
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/limit"
 	"birchlink.dev/birchlink/peer"
 	"birchlink.dev/birchlink/quota"
-	"birchlink.dev/birchlink/stated"
 )
 
 // freeAddress returns a loopback address that is not in use.
@@ -44,7 +44,7 @@
 		Self:        quota.Arbiter{Box: name, DataCentre: "dc", Address: a},
 		Incarnation: name, Started: time.Now().Add(-time.Minute), Rand: rand.Float64,
 	}
-	b.Service = limit.New(q, &stated.Rates{}, b.metrics, zerolog.Nop())
+	b.Service = limit.New(q, &endpointlimit.Rates{}, b.metrics, zerolog.Nop())
 	k := &kernel.Kernel{}
 	for _, s := range []kernel.Service{n, b.Service} {
 		require.NoError(t, k.Add(s))
--- a/limit/permit.go
+++ b/limit/permit.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"birchlink.dev/birchlink/boottime"
-	"birchlink.dev/birchlink/stated"
+	"birchlink.dev/birchlink/endpointlimit"
 	"birchlink.dev/birchlink/throttle"
 )
 
@@ -39,7 +39,7 @@
 // the rate that the endpoint stated last, which may be newer than the one in the question.
 func (l *Service) answerPermit(x throttle.Question) throttle.Answer {
 	now := boottime.Now()
-	l.Rates.Merge([]stated.Statement{{Incarnation: x.Endpoint, Limited: true, PerSecond: x.PerSecond, Age: x.Age}}, now)
+	l.Rates.Merge([]endpointlimit.Statement{{Incarnation: x.Endpoint, Limited: true, PerSecond: x.PerSecond, Age: x.Age}}, now)
 	latest, _ := l.Rates.Limit(x.Endpoint, now)
 	if !latest.Limited {
 		return throttle.Answer{OK: true}
--- a/quota/rates_test.go
+++ b/quota/rates_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 
 	"birchlink.dev/birchlink/endpoint"
+	"birchlink.dev/birchlink/endpointlimit"
 	"birchlink.dev/birchlink/quota"
-	"birchlink.dev/birchlink/stated"
 	"birchlink.dev/birchlink/throttle"
 )
 
@@ -104,20 +104,20 @@
 
 // broadcastRate sends a rate limit that box i received to all boxes, through its relay and the other
 // relays.
-func (f *fleet) broadcastRate(i int, report stated.Statement) {
+func (f *fleet) broadcastRate(i int, report endpointlimit.Statement) {
 	from := i
 	if !f.isRelay(i) {
 		from = f.nodes[i].relay
 		if from < 0 || !f.reaches(i, from) {
 			return
 		}
-		f.nodes[from].available.Rates.Merge([]stated.Statement{report}, f.now)
+		f.nodes[from].available.Rates.Merge([]endpointlimit.Statement{report}, f.now)
 	}
 	relays := []int{from}
 	for dc := range f.dataCentres {
 		for _, r := range f.relays(dc) {
 			if r != from && f.reaches(from, r) {
-				f.nodes[r].available.Rates.Merge([]stated.Statement{report}, f.now)
+				f.nodes[r].available.Rates.Merge([]endpointlimit.Statement{report}, f.now)
 				relays = append(relays, r)
 			}
 		}
@@ -125,7 +125,7 @@
 	for _, r := range relays {
 		for m := range f.nodes[r].members {
 			if f.reaches(r, m) {
-				f.nodes[m].available.Rates.Merge([]stated.Statement{report}, f.now)
+				f.nodes[m].available.Rates.Merge([]endpointlimit.Statement{report}, f.now)
 			}
 		}
 	}
@@ -188,7 +188,7 @@
 
 // answerPermit returns the answer of an arbiter.
 func (f *fleet) answerPermit(n *node, x throttle.Question) throttle.Answer {
-	n.available.Rates.Merge([]stated.Statement{{Incarnation: x.Endpoint, Limited: true, PerSecond: x.PerSecond, Age: x.Age}}, f.now)
+	n.available.Rates.Merge([]endpointlimit.Statement{{Incarnation: x.Endpoint, Limited: true, PerSecond: x.PerSecond, Age: x.Age}}, f.now)
 	l, _ := n.available.Rates.Limit(x.Endpoint, f.now)
 	if !l.Limited {
 		return throttle.Answer{OK: true}
