--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -29,12 +29,12 @@
 	"birchlink.dev/birchlink/hint"
 	"birchlink.dev/birchlink/ingress"
 	"birchlink.dev/birchlink/kernel"
-	"birchlink.dev/birchlink/limit"
 	"birchlink.dev/birchlink/metricshttp"
 	"birchlink.dev/birchlink/orders"
 	"birchlink.dev/birchlink/peer"
 	"birchlink.dev/birchlink/platform"
 	"birchlink.dev/birchlink/quota"
+	"birchlink.dev/birchlink/ratelimit"
 	"birchlink.dev/birchlink/reporter"
 	"birchlink.dev/birchlink/rollout"
 	"birchlink.dev/birchlink/scaling"
@@ -173,7 +173,7 @@
 // reverse order, so that callers are drained first.
 func newPlatformServices(s settings.PlatformSettings, m metrics.Registry, log zerolog.Logger) []kernel.Service {
 	p := newPlatformComponents(s, log)
-	limits := limit.New(p.quota, &p.balancer.Availability.Rates, m, log)
+	limits := ratelimit.New(p.quota, &p.balancer.Availability.Rates, m, log)
 	f := &forward.Forwarder{
 		DataCentre: s.DataCentre, Roster: &p.known.Roster, Balancer: p.balancer, Budget: p.budget, Meter: p.meter,
 		Quarantine: p.gossip.Quarantine, Rollouts: p.gossip.Rollouts,
--- a/limit/limit.go
+++ b/ratelimit/limit.go
@@ -1,8 +1,8 @@
-// Package limit provides the service that enforces rates shared by all boxes. It asks the
+// Package ratelimit provides the service that enforces rates shared by all boxes. It asks the
 // arbiters of an account whether a request may be admitted, and the arbiters of an endpoint's
 // rate whether a request may be sent there. It answers other boxes for the accounts and
 // endpoints of which this box is an arbiter.
-package limit
+package ratelimit
 
 import (
 	"context"
--- a/limit/limit_test.go
+++ b/ratelimit/limit_test.go
@@ -1,4 +1,4 @@
-package limit_test
+package ratelimit_test
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 	"birchlink.dev/birchlink/catalog"
 	"birchlink.dev/birchlink/endpointlimit"
 	"birchlink.dev/birchlink/kernel"
-	"birchlink.dev/birchlink/limit"
 	"birchlink.dev/birchlink/peer"
 	"birchlink.dev/birchlink/quota"
+	"birchlink.dev/birchlink/ratelimit"
 )
 
 // freeAddress returns a loopback address that is not in use.
@@ -30,7 +30,7 @@
 
 // box is a box that runs the service.
 type box struct {
-	*limit.Service
+	*ratelimit.Service
 	metrics metrics.Registry
 }
 
@@ -44,7 +44,7 @@
 		Self:        quota.Arbiter{Box: name, DataCentre: "dc", Address: a},
 		Incarnation: name, Started: time.Now().Add(-time.Minute), Rand: rand.Float64,
 	}
-	b.Service = limit.New(q, &endpointlimit.Rates{}, b.metrics, zerolog.Nop())
+	b.Service = ratelimit.New(q, &endpointlimit.Rates{}, b.metrics, zerolog.Nop())
 	k := &kernel.Kernel{}
 	for _, s := range []kernel.Service{n, b.Service} {
 		require.NoError(t, k.Add(s))
--- a/limit/permit.go
+++ b/ratelimit/permit.go
@@ -1,4 +1,4 @@
-package limit
+package ratelimit
 
 import (
 	"context"
