--- a/daemon/gossip.go
+++ b/daemon/gossip.go
@@ -13,7 +13,7 @@
 	"birchlink.dev/birchlink/gossip"
 	"birchlink.dev/birchlink/hint"
 	"birchlink.dev/birchlink/quota"
-	"birchlink.dev/birchlink/tally"
+	"birchlink.dev/birchlink/usage"
 )
 
 // connectGossip connects gossip to the components that provide this box's status and use the
@@ -33,7 +33,7 @@
 			Box: s.Box, DataCentre: s.DataCentre, Address: s.Peers, Version: v,
 			Words: p.rollouts.CurrentProgress(), Evidence: p.gossip.Rollouts.LocalEvidence(),
 			Load: p.balancer.OwnLoad(), Failing: p.balancer.FailureReport(now), Demand: d, Speeds: p.balancer.OwnStats(now),
-			Usage: []tally.Report{p.tally.Recent(s.Box+"."+p.incarnation, p.tally.WindowAt(p.clock.At(now))-broadcastWindows)},
+			Usage: []usage.Report{p.tally.Recent(s.Box+"."+p.incarnation, p.tally.WindowAt(p.clock.At(now))-broadcastWindows)},
 		}
 	}
 	g.OnRound, g.Quota, g.Clock = p.mergeStatus, p.quota, p.clock
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -41,7 +41,7 @@
 	"birchlink.dev/birchlink/session"
 	"birchlink.dev/birchlink/settings"
 	"birchlink.dev/birchlink/store"
-	"birchlink.dev/birchlink/tally"
+	"birchlink.dev/birchlink/usage"
 )
 
 // endpointDialTimeout bounds the time to connect to an endpoint. Connections normally take
@@ -111,7 +111,7 @@
 	budget   *budget.Budget
 	quota    *quota.Quota
 	meter    *demand.Meter
-	tally    *tally.Tally
+	tally    *usage.Tally
 	clock    *daytime.Clock
 	known    *fleetstate.Service
 	gossip   *gossip.Gossip
@@ -142,7 +142,7 @@
 			Rand: rand.Float64,
 		}, meter: &demand.Meter{},
 		budget: budget.New(budget.Limits{Ratio: s.RetryRatio, Slack: s.RetrySlack, Window: s.RetryWindow}),
-		tally:  &tally.Tally{Window: s.ReportWindow}, clock: daytime.New(time.Now),
+		tally:  &usage.Tally{Window: s.ReportWindow}, clock: daytime.New(time.Now),
 		gossip: gossip.New(log), incarnation: uuid.NewString()[:8],
 	}
 	p.known = fleetstate.New(fleetstate.Source{
--- a/gossip/status.go
+++ b/gossip/status.go
@@ -16,7 +16,7 @@
 	"birchlink.dev/birchlink/quarantine"
 	"birchlink.dev/birchlink/quota"
 	"birchlink.dev/birchlink/rollout"
-	"birchlink.dev/birchlink/tally"
+	"birchlink.dev/birchlink/usage"
 )
 
 // Status is the report of one box to its relay, or of a relay to other relays for itself and its
@@ -39,7 +39,7 @@
 	Load       map[string]balance.Load
 	Works      EndpointSet                        // the endpoints for which a member needs load reports
 	Demand     map[string]map[string]demand.Stats // by service and data centre
-	Usage      []tally.Report
+	Usage      []usage.Report
 	Speeds     map[string]estimate.Stats     // endpoint statistics by service; nil means unchanged
 	Members    []string                      // addresses of the boxes that a relay represents
 	Suspects   []quarantine.Suspect          // recent suspicions of contents that may crash endpoints
--- a/reporter/reporter.go
+++ b/reporter/reporter.go
@@ -19,7 +19,7 @@
 	"birchlink.dev/birchlink/election"
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/store"
-	"birchlink.dev/birchlink/tally"
+	"birchlink.dev/birchlink/usage"
 	"birchlink.dev/birchlink/wait"
 )
 
@@ -65,7 +65,7 @@
 // Reporter is the service that writes the counts of one box and, on the leader, reports the sums.
 type Reporter struct {
 	Options
-	Tally    *tally.Tally
+	Tally    *usage.Tally
 	Store    store.Store
 	Cloud    cloudapi.Cloud
 	Election *election.Election
@@ -81,7 +81,7 @@
 }
 
 // New returns a reporter for a box. The leader of the election e reports to l.
-func New(o Options, t *tally.Tally, s store.Store, l cloudapi.Cloud, e *election.Election, log zerolog.Logger) *Reporter {
+func New(o Options, t *usage.Tally, s store.Store, l cloudapi.Cloud, e *election.Election, log zerolog.Logger) *Reporter {
 	if o.Now == nil {
 		o.Now = time.Now
 	}
@@ -109,7 +109,7 @@
 
 // Merge keeps the counts that another process reported, in case it crashes or is partitioned before it
 // has written them.
-func (r *Reporter) Merge(p tally.Report) {
+func (r *Reporter) Merge(p usage.Report) {
 	oldest := r.Tally.WindowAt(r.Now()) - retainedWindows
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -17,7 +17,7 @@
 	"birchlink.dev/birchlink/reporter"
 	"birchlink.dev/birchlink/stand/memstore"
 	"birchlink.dev/birchlink/store"
-	"birchlink.dev/birchlink/tally"
+	"birchlink.dev/birchlink/usage"
 	"birchlink.dev/birchlink/wait"
 )
 
@@ -61,14 +61,14 @@
 // box holds the services of one box.
 type box struct {
 	name     string
-	tally    *tally.Tally
+	tally    *usage.Tally
 	election *election.Election
 	reporter *reporter.Reporter
 }
 
 func newBox(t *testing.T, m *memstore.Store, l *fakeCloud, name string) *box {
 	t.Helper()
-	b := &box{name: name, tally: &tally.Tally{Window: window}}
+	b := &box{name: name, tally: &usage.Tally{Window: window}}
 	b.election = &election.Election{Store: m, Key: "duty", Box: name, Term: term, Log: zerolog.Nop()}
 	o := reporter.Options{Prefix: "usage/", WritersPrefix: "boxes/", Box: name, Incarnation: "1", Due: due}
 	b.reporter = reporter.New(o, b.tally, m, l, b.election, zerolog.Nop())
--- a/tally/part.go
+++ b/usage/part.go
@@ -1,4 +1,4 @@
-package tally
+package usage
 
 import "maps"
 
--- a/tally/tally.go
+++ b/usage/tally.go
@@ -1,5 +1,5 @@
-// Package tally counts started requests by account, in fixed windows of wall-clock time.
-package tally
+// Package usage counts started requests by account, in fixed windows of wall-clock time.
+package usage
 
 import (
 	"maps"
