--- a/admission/service.go
+++ b/admission/service.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"birchlink.dev/birchlink/config"
-	"birchlink.dev/birchlink/follower"
+	"birchlink.dev/birchlink/configsync"
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/member"
 	"birchlink.dev/birchlink/view"
@@ -83,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	f, err := kernel.Find[*follower.Follower](k, follower.Name)
+	f, err := kernel.Find[*configsync.Follower](k, configsync.Name)
 	if err != nil {
 		return err
 	}
--- a/cmd/birchctl/main.go
+++ b/cmd/birchctl/main.go
@@ -15,8 +15,8 @@
 
 	"github.com/alexflint/go-arg"
 
+	"birchlink.dev/birchlink/configsync"
 	"birchlink.dev/birchlink/decisions"
-	"birchlink.dev/birchlink/follower"
 	"birchlink.dev/birchlink/iniread"
 	"birchlink.dev/birchlink/jsonhttp"
 	"birchlink.dev/birchlink/operator"
@@ -126,7 +126,7 @@
 	if err != nil {
 		return fmt.Errorf("read configuration: %w", err)
 	}
-	var r follower.Revision
+	var r configsync.Revision
 	if err := h.Do(c, http.MethodPut, "/operator/config", operator.Edit{Base: p.Base, Text: string(b), Editor: p.Editor}, &r); err != nil {
 		return refusalError(err)
 	}
@@ -135,7 +135,7 @@
 }
 
 func show(c context.Context, h *jsonhttp.Client) error {
-	var r follower.Revision
+	var r configsync.Revision
 	if err := h.Do(c, http.MethodGet, "/operator/config", nil, &r); err != nil {
 		return refusalError(err)
 	}
--- a/follower/follower.go
+++ b/configsync/follower.go
@@ -1,7 +1,7 @@
-// Package follower keeps the operators' configuration on a box up to date. It installs the highest
+// Package configsync keeps the operators' configuration on a box up to date. It installs the highest
 // version found in the key-value service or at a peer, and never goes back to a lower one. It also
 // writes the new versions that operators submit.
-package follower
+package configsync
 
 import (
 	"context"
--- a/follower/follower_test.go
+++ b/configsync/follower_test.go
@@ -1,4 +1,4 @@
-package follower_test
+package configsync_test
 
 import (
 	"fmt"
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 
 	"birchlink.dev/birchlink/config"
-	"birchlink.dev/birchlink/follower"
+	"birchlink.dev/birchlink/configsync"
 )
 
 // The installed version never decreases, whatever the order and number of the versions received, and
 // hooks are called once for each change.
 func TestVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := follower.New(zerolog.Nop())
+		f := configsync.New(zerolog.Nop())
 		var notified []uint64
 		f.OnChange(func(d *config.Document) { notified = append(notified, d.Version) })
 		highest := uint64(0)
@@ -26,7 +26,7 @@
 			if !valid {
 				text = "[model \"m\"]\n"
 			}
-			require.Equal(t, valid && v > highest, f.Install(follower.Revision{Version: v, Text: text}))
+			require.Equal(t, valid && v > highest, f.Install(configsync.Revision{Version: v, Text: text}))
 			if valid {
 				highest = max(highest, v)
 			}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -16,9 +16,9 @@
 	"birchlink.dev/birchlink/admission"
 	"birchlink.dev/birchlink/claims"
 	"birchlink.dev/birchlink/cloud"
+	"birchlink.dev/birchlink/configsync"
 	"birchlink.dev/birchlink/decisions"
 	"birchlink.dev/birchlink/dispatch"
-	"birchlink.dev/birchlink/follower"
 	"birchlink.dev/birchlink/front"
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/kv"
@@ -83,7 +83,7 @@
 		&kv.Service{Client: kv.New(s.KV, s.Box, s.WriteRate, s.ReadRate, m)},
 		member.New(s.Box, s.DataCentre, s.Seeds, log),
 		decisions.New(s.Box, log),
-		follower.New(log),
+		configsync.New(log),
 		view.New(),
 		admission.New(),
 		observer.New(cl, log),
--- a/front/front.go
+++ b/front/front.go
@@ -19,9 +19,9 @@
 	"golang.org/x/sync/semaphore"
 
 	"birchlink.dev/birchlink/config"
+	"birchlink.dev/birchlink/configsync"
 	"birchlink.dev/birchlink/dispatch"
 	"birchlink.dev/birchlink/errkind"
-	"birchlink.dev/birchlink/follower"
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/serviceproxy"
 	"birchlink.dev/birchlink/stream"
@@ -62,7 +62,7 @@
 	dispatcher     *dispatch.Dispatcher
 	streams        *stream.Service
 	proxy          *serviceproxy.Proxy
-	follower       *follower.Follower
+	follower       *configsync.Follower
 	server         *http.Server
 	listener       net.Listener
 	requests       *semaphore.Weighted
@@ -92,7 +92,7 @@
 		kernel.Bind(k, dispatch.Name, &f.dispatcher),
 		kernel.Bind(k, stream.Name, &f.streams),
 		kernel.Bind(k, serviceproxy.Name, &f.proxy),
-		kernel.Bind(k, follower.Name, &f.follower),
+		kernel.Bind(k, configsync.Name, &f.follower),
 	)
 	if err != nil {
 		return err
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -16,10 +16,10 @@
 	"github.com/rcrowley/go-metrics"
 	"github.com/rs/zerolog"
 
+	"birchlink.dev/birchlink/configsync"
 	"birchlink.dev/birchlink/decisions"
 	"birchlink.dev/birchlink/errkind"
 	"birchlink.dev/birchlink/fleet"
-	"birchlink.dev/birchlink/follower"
 	"birchlink.dev/birchlink/front"
 	"birchlink.dev/birchlink/iniread"
 	"birchlink.dev/birchlink/jsonhttp"
@@ -79,7 +79,7 @@
 	Log     zerolog.Logger
 	Metrics metrics.Registry
 
-	follower  *follower.Follower
+	follower  *configsync.Follower
 	members   *member.Service
 	view      *view.View
 	placer    *placer.Placer
@@ -119,7 +119,7 @@
 
 func (o *Operator) bindServices(k *kernel.Kernel) error {
 	return errors.Join(
-		kernel.Bind(k, follower.Name, &o.follower),
+		kernel.Bind(k, configsync.Name, &o.follower),
 		kernel.Bind(k, member.Name, &o.members),
 		kernel.Bind(k, view.Name, &o.view),
 		kernel.Bind(k, placer.Name, &o.placer),
@@ -181,7 +181,7 @@
 	c, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
 	bs, _ := o.view.Boxes()
-	if ms := follower.Check(e.Text, bs); len(ms) > 0 {
+	if ms := configsync.Check(e.Text, bs); len(ms) > 0 {
 		writeRefusal(w, errkind.New(errkind.ConfigInvalid, "%d mistakes", len(ms)), ms)
 		return
 	}
@@ -200,7 +200,7 @@
 		return
 	}
 	bs, _ := o.view.Boxes()
-	if ms := follower.Check(e.Text, bs); len(ms) > 0 {
+	if ms := configsync.Check(e.Text, bs); len(ms) > 0 {
 		writeRefusal(w, errkind.New(errkind.ConfigInvalid, "%d mistakes", len(ms)), ms)
 		return
 	}
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -16,11 +16,11 @@
 
 	"birchlink.dev/birchlink/admission"
 	"birchlink.dev/birchlink/cloud"
+	"birchlink.dev/birchlink/configsync"
 	"birchlink.dev/birchlink/decisions"
 	"birchlink.dev/birchlink/duty"
 	"birchlink.dev/birchlink/engine"
 	"birchlink.dev/birchlink/fleet"
-	"birchlink.dev/birchlink/follower"
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/kv"
 	"birchlink.dev/birchlink/member"
@@ -48,7 +48,7 @@
 	lease     *duty.Lease
 	view      *view.View
 	members   *member.Service
-	follower  *follower.Follower
+	follower  *configsync.Follower
 	decisions *decisions.Log
 	admission *admission.Admission
 	engines   *engine.Client
@@ -80,7 +80,7 @@
 	if err := errors.Join(
 		kernel.Bind(k, view.Name, &p.view),
 		kernel.Bind(k, member.Name, &p.members),
-		kernel.Bind(k, follower.Name, &p.follower),
+		kernel.Bind(k, configsync.Name, &p.follower),
 		kernel.Bind(k, decisions.Name, &p.decisions),
 		kernel.Bind(k, admission.Name, &p.admission),
 	); err != nil {
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -15,9 +15,9 @@
 
 	"github.com/rogpeppe/go-internal/testscript"
 
+	"birchlink.dev/birchlink/configsync"
 	"birchlink.dev/birchlink/engine"
 	"birchlink.dev/birchlink/fleet"
-	"birchlink.dev/birchlink/follower"
 	"birchlink.dev/birchlink/load"
 	"birchlink.dev/birchlink/operator"
 	standengine "birchlink.dev/birchlink/stand/engine"
@@ -168,7 +168,7 @@
 func cmdPut(ts *testscript.TestScript, neg bool, args []string) {
 	w, m := environmentOf(ts), parseFields(ts, args[2:])
 	e := operator.Edit{Base: uint64(parseInt(ts, m["base"])), Text: ts.ReadFile(args[1]), Editor: valueOr(m, "editor", "script")}
-	var r follower.Revision
+	var r configsync.Revision
 	err := w.Admin(w.c, args[0], http.MethodPut, "/operator/config", e, &r)
 	if neg {
 		if err == nil {
--- a/serviceproxy/proxy.go
+++ b/serviceproxy/proxy.go
@@ -20,11 +20,11 @@
 	"birchlink.dev/birchlink/boottime"
 	"birchlink.dev/birchlink/call"
 	"birchlink.dev/birchlink/config"
+	"birchlink.dev/birchlink/configsync"
 	"birchlink.dev/birchlink/content"
 	"birchlink.dev/birchlink/decisions"
 	"birchlink.dev/birchlink/errkind"
 	"birchlink.dev/birchlink/fleet"
-	"birchlink.dev/birchlink/follower"
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/member"
 	"birchlink.dev/birchlink/observer"
@@ -78,7 +78,7 @@
 type Proxy struct {
 	view           *view.View
 	members        *member.Service
-	follower       *follower.Follower
+	follower       *configsync.Follower
 	decisions      *decisions.Log
 	admission      *admission.Admission
 	noticeObserver *observer.Observer
@@ -113,7 +113,7 @@
 	return errors.Join(
 		kernel.Bind(k, view.Name, &p.view),
 		kernel.Bind(k, member.Name, &p.members),
-		kernel.Bind(k, follower.Name, &p.follower),
+		kernel.Bind(k, configsync.Name, &p.follower),
 		kernel.Bind(k, decisions.Name, &p.decisions),
 		kernel.Bind(k, admission.Name, &p.admission),
 		kernel.Bind(k, observer.Name, &p.noticeObserver),
--- a/stream/service.go
+++ b/stream/service.go
@@ -14,11 +14,11 @@
 
 	"birchlink.dev/birchlink/admission"
 	"birchlink.dev/birchlink/config"
+	"birchlink.dev/birchlink/configsync"
 	"birchlink.dev/birchlink/decisions"
 	"birchlink.dev/birchlink/engine"
 	"birchlink.dev/birchlink/errkind"
 	"birchlink.dev/birchlink/fleet"
-	"birchlink.dev/birchlink/follower"
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/member"
 	"birchlink.dev/birchlink/observer"
@@ -54,7 +54,7 @@
 	members       *member.Service
 	peers         *peer.Node
 	decisions     *decisions.Log
-	follower      *follower.Follower
+	follower      *configsync.Follower
 	admission     *admission.Admission
 	viewObserver  *observer.Observer
 	suspects      *suspects.Service
@@ -106,7 +106,7 @@
 		kernel.Bind(n, member.Name, &k.members),
 		kernel.Bind(n, peer.Name, &k.peers),
 		kernel.Bind(n, decisions.Name, &k.decisions),
-		kernel.Bind(n, follower.Name, &k.follower),
+		kernel.Bind(n, configsync.Name, &k.follower),
 		kernel.Bind(n, admission.Name, &k.admission),
 		kernel.Bind(n, observer.Name, &k.viewObserver),
 		kernel.Bind(n, suspects.Name, &k.suspects),
--- a/view/view.go
+++ b/view/view.go
@@ -12,8 +12,8 @@
 
 	"birchlink.dev/birchlink/backoff"
 	"birchlink.dev/birchlink/config"
+	"birchlink.dev/birchlink/configsync"
 	"birchlink.dev/birchlink/fleet"
-	"birchlink.dev/birchlink/follower"
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/rendezvous"
 )
@@ -114,7 +114,7 @@
 
 // Start subscribes to the operators' labels. The observer service sets everything else.
 func (v *View) Start(_ context.Context, k *kernel.Kernel) error {
-	f, err := kernel.Find[*follower.Follower](k, follower.Name)
+	f, err := kernel.Find[*configsync.Follower](k, configsync.Name)
 	if err != nil {
 		return err
 	}
