--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -23,7 +23,6 @@
 	"birchlink.dev/birchlink/budget"
 	"birchlink.dev/birchlink/call"
 	"birchlink.dev/birchlink/catalog"
-	"birchlink.dev/birchlink/content"
 	"birchlink.dev/birchlink/demand"
 	"birchlink.dev/birchlink/endpoint"
 	"birchlink.dev/birchlink/endpointlimit"
@@ -31,6 +30,7 @@
 	"birchlink.dev/birchlink/exchange"
 	"birchlink.dev/birchlink/forward"
 	"birchlink.dev/birchlink/quarantine"
+	"birchlink.dev/birchlink/requesthash"
 	"birchlink.dev/birchlink/rollout"
 	"birchlink.dev/birchlink/throttle"
 )
@@ -230,7 +230,7 @@
 	c := &call.Call{ID: strconv.Itoa(s.serial), Method: http.MethodPost, Host: "h", Target: "/x", Path: "/x", Body: []byte("body"), Arrived: boottime.Now()}
 	q := forward.Request{
 		Call: c, Route: &s.route, Service: &catalog.Service{Name: "s"}, Account: &catalog.Account{Name: "a"}, Expires: boottime.Now().Add(5 * time.Second),
-		Content: content.HashOf("a", c),
+		Content: requesthash.HashOf("a", c),
 	}
 	if s.err = s.f.Check(q); s.err == nil {
 		_, s.err = s.f.Do(context.Background(), q, s.last)
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -17,13 +17,13 @@
 	"birchlink.dev/birchlink/budget"
 	"birchlink.dev/birchlink/call"
 	"birchlink.dev/birchlink/catalog"
-	"birchlink.dev/birchlink/content"
 	"birchlink.dev/birchlink/demand"
 	"birchlink.dev/birchlink/endpoint"
 	"birchlink.dev/birchlink/endpointlimit"
 	"birchlink.dev/birchlink/errkind"
 	"birchlink.dev/birchlink/exchange"
 	"birchlink.dev/birchlink/quarantine"
+	"birchlink.dev/birchlink/requesthash"
 	"birchlink.dev/birchlink/rollout"
 )
 
@@ -50,7 +50,7 @@
 	Route   *catalog.Route
 	Service *catalog.Service
 	Account *catalog.Account // nil if the route needs no key
-	Content content.Hash     // identifies requests with the same content
+	Content requesthash.Hash // identifies requests with the same content
 	Expires time.Time        // deadline, on the clock of package boottime
 }
 
--- a/forward/trace.go
+++ b/forward/trace.go
@@ -7,14 +7,14 @@
 
 	"birchlink.dev/birchlink/balance"
 	"birchlink.dev/birchlink/call"
-	"birchlink.dev/birchlink/content"
+	"birchlink.dev/birchlink/requesthash"
 )
 
 // Trace describes for the log how a request was forwarded.
 type Trace struct {
-	Content  content.Hash   // identifies requests with the same content
-	Attempts int            // number of endpoints chosen
-	Choice   balance.Choice // the last choice of an endpoint, with the data it was based on
+	Content  requesthash.Hash // identifies requests with the same content
+	Attempts int              // number of endpoints chosen
+	Choice   balance.Choice   // the last choice of an endpoint, with the data it was based on
 
 	// Outcome is what the last response reported.
 	Outcome call.Outcome
--- a/gossip/news.go
+++ b/gossip/news.go
@@ -8,10 +8,10 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 
 	"birchlink.dev/birchlink/boottime"
-	"birchlink.dev/birchlink/content"
 	"birchlink.dev/birchlink/endpoint"
 	"birchlink.dev/birchlink/endpointlimit"
 	"birchlink.dev/birchlink/quarantine"
+	"birchlink.dev/birchlink/requesthash"
 	"birchlink.dev/birchlink/rollout"
 	"birchlink.dev/birchlink/wait"
 )
@@ -189,7 +189,7 @@
 
 // sendsTrials reports whether this box sends the trial requests with a refused content. Only one box
 // does: the first by rendezvous hashing among the known relays.
-func (g *Gossip) sendsTrials(h content.Hash) bool {
+func (g *Gossip) sendsTrials(h requesthash.Hash) bool {
 	first, maxWeight := g.Box, uint64(0)
 	for _, a := range g.arbiters() {
 		if w := xxhash.Sum64String(h.String() + "/" + a.Box); w > maxWeight {
--- a/ingress/serve.go
+++ b/ingress/serve.go
@@ -14,12 +14,12 @@
 	"birchlink.dev/birchlink/boottime"
 	"birchlink.dev/birchlink/call"
 	"birchlink.dev/birchlink/catalog"
-	"birchlink.dev/birchlink/content"
 	"birchlink.dev/birchlink/errkind"
 	"birchlink.dev/birchlink/forward"
 	"birchlink.dev/birchlink/jsonhttp"
 	"birchlink.dev/birchlink/openai"
 	"birchlink.dev/birchlink/quota"
+	"birchlink.dev/birchlink/requesthash"
 )
 
 // staleAfter is how long the store may be unreachable before the configuration counts as stale. A
@@ -47,7 +47,7 @@
 		err = i.readBody(w, r, cl)
 	}
 	if err == nil {
-		q.Content = content.HashOf(q.AccountName(), cl)
+		q.Content = requesthash.HashOf(q.AccountName(), cl)
 		err = i.forwarder.Check(q)
 	}
 	if err != nil {
--- a/quarantine/decide.go
+++ b/quarantine/decide.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"birchlink.dev/birchlink/content"
+	"birchlink.dev/birchlink/requesthash"
 )
 
 // updateRefused drops expired records, recomputes the set of refused contents and logs the
@@ -33,8 +33,8 @@
 // selectRefused returns the contents that explain the crashes. It is a greedy set cover: the content
 // with the most unexplained crashes is selected first, and its crashes no longer count for any other
 // content. Contents with equally many are selected together, until further crashes distinguish them.
-func selectRefused(records map[content.Hash]*record) map[content.Hash]bool {
-	refused := map[content.Hash]bool{}
+func selectRefused(records map[requesthash.Hash]*record) map[requesthash.Hash]bool {
+	refused := map[requesthash.Hash]bool{}
 	explained := map[uint64]bool{}
 	for {
 		top := mostCrashes(records, refused, explained)
@@ -53,9 +53,9 @@
 
 // mostCrashes returns the contents, not yet selected, with the most unexplained crashes. It returns
 // none if that number is below minCrashes.
-func mostCrashes(records map[content.Hash]*record, refused map[content.Hash]bool, explained map[uint64]bool) []content.Hash {
+func mostCrashes(records map[requesthash.Hash]*record, refused map[requesthash.Hash]bool, explained map[uint64]bool) []requesthash.Hash {
 	most := minCrashes
-	var top []content.Hash
+	var top []requesthash.Hash
 	for h, r := range records {
 		if refused[h] || len(r.crashes) < most {
 			continue
@@ -73,7 +73,7 @@
 
 // prune removes the contents whose crashes are all explained by others. A content whose crashes are
 // a subset of h's does not explain any for h, so of two contents with the same crashes both stay.
-func prune(records map[content.Hash]*record, refused map[content.Hash]bool) {
+func prune(records map[requesthash.Hash]*record, refused map[requesthash.Hash]bool) {
 	for _, h := range slices.Sorted(maps.Keys(refused)) {
 		others := map[uint64]bool{}
 		for o := range refused {
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -12,8 +12,8 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
-	"birchlink.dev/birchlink/content"
 	"birchlink.dev/birchlink/quarantine"
+	"birchlink.dev/birchlink/requesthash"
 )
 
 // Parameters of the simulation.
@@ -72,7 +72,7 @@
 type request struct {
 	box          *node
 	process      *quarantine.Quarantine
-	content      content.Hash
+	content      requesthash.Hash
 	attemptsLeft int
 	serial       int
 }
@@ -91,11 +91,11 @@
 	stored      []quarantine.Suspect
 	storedAt    time.Duration
 
-	crashes    map[content.Hash]int           // crashes caused by each crashing content
-	thirdCrash map[content.Hash]time.Duration // time of the third of these
-	lateSends  map[content.Hash]int           // sends by settled boxes more than settleTime after that
-	refused    int                            // refused requests with other contents
-	sent       int                            // attempts of requests with other contents
+	crashes    map[requesthash.Hash]int           // crashes caused by each crashing content
+	thirdCrash map[requesthash.Hash]time.Duration // time of the third of these
+	lateSends  map[requesthash.Hash]int           // sends by settled boxes more than settleTime after that
+	refused    int                                // refused requests with other contents
+	sent       int                                // attempts of requests with other contents
 }
 
 var epoch = time.Unix(1_000_000, 0)
@@ -128,7 +128,7 @@
 }
 
 // sendsTrials reports whether a box is the first reachable relay for a content.
-func (m *model) sendsTrials(n *node, h content.Hash) bool {
+func (m *model) sendsTrials(n *node, h requesthash.Hash) bool {
 	for i := range m.relays {
 		if r := m.nodes[(int(h)+i)%m.relays]; r == n || m.connected(n, r) {
 			return r == n
@@ -141,7 +141,7 @@
 func (m *model) startProcess(n *node) {
 	q := &quarantine.Quarantine{Log: zerolog.Nop()}
 	q.OnChange = func(s []quarantine.Suspect) { m.broadcast(n, s) }
-	q.SendsTrials = func(h content.Hash) bool { return m.sendsTrials(n, h) }
+	q.SendsTrials = func(h requesthash.Hash) bool { return m.sendsTrials(n, h) }
 	n.Quarantine, n.down = q, false
 	if !m.storeDown {
 		for i := range m.stored {
@@ -229,7 +229,7 @@
 }
 
 // submit sends a request to a random box. If crashing is true, its content crashes endpoints.
-func (m *model) submit(h content.Hash, crashing bool) {
+func (m *model) submit(h requesthash.Hash, crashing bool) {
 	n := m.nodes[m.rnd.IntN(len(m.nodes))]
 	if n.down || n.frozen {
 		return
@@ -319,9 +319,9 @@
 }
 
 // Contents from firstCrashing on crash endpoints.
-const firstCrashing content.Hash = 1 << 60
+const firstCrashing requesthash.Hash = 1 << 60
 
-func (m *model) crashesServers(h content.Hash) bool { return h >= firstCrashing }
+func (m *model) crashesServers(h requesthash.Hash) bool { return h >= firstCrashing }
 
 // injectFaults injects a random fault and schedules the next.
 func (m *model) injectFaults() {
@@ -375,7 +375,7 @@
 
 // generateLoad submits a request with a distinct content, sometimes one with a content that many
 // requests share, and schedules the next.
-func (m *model) generateLoad(perSecond int, i content.Hash) {
+func (m *model) generateLoad(perSecond int, i requesthash.Hash) {
 	m.submit(i, false)
 	if m.rnd.IntN(4) == 0 {
 		m.submit(1, false)
@@ -384,7 +384,7 @@
 }
 
 // submitCrashing submits requests with a crashing content until a time.
-func (m *model) submitCrashing(h content.Hash, until time.Duration) {
+func (m *model) submitCrashing(h requesthash.Hash, until time.Duration) {
 	m.submit(h, true)
 	if m.rnd.IntN(6) == 0 {
 		m.submit(h, true)
@@ -397,7 +397,7 @@
 // run simulates one fleet.
 func (m *model) run(seed uint64) {
 	m.rnd = rand.New(rand.NewPCG(seed, 1))
-	m.crashes, m.lateSends, m.thirdCrash = map[content.Hash]int{}, map[content.Hash]int{}, map[content.Hash]time.Duration{}
+	m.crashes, m.lateSends, m.thirdCrash = map[requesthash.Hash]int{}, map[requesthash.Hash]int{}, map[requesthash.Hash]time.Duration{}
 	boxes := []int{3, 6, 8, 30, 100}[m.rnd.IntN(5)]
 	m.relays = min(6, boxes-1)
 	for i := range boxes {
@@ -415,7 +415,7 @@
 	for i := range 1 + m.rnd.IntN(2) {
 		at := m.randomDuration(time.Second, 10*time.Second)
 		m.schedule(at, func() {
-			m.submitCrashing(firstCrashing+content.Hash(i), at+m.randomDuration(5*time.Second, 25*time.Second))
+			m.submitCrashing(firstCrashing+requesthash.Hash(i), at+m.randomDuration(5*time.Second, 25*time.Second))
 		})
 	}
 	for m.now < runTime {
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -20,7 +20,7 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 	"github.com/rs/zerolog"
 
-	"birchlink.dev/birchlink/content"
+	"birchlink.dev/birchlink/requesthash"
 )
 
 const (
@@ -87,25 +87,25 @@
 
 	// SendsTrials reports whether this box is the one that sends a refused content as a trial. If
 	// it is nil, any box does.
-	SendsTrials func(content.Hash) bool
+	SendsTrials func(requesthash.Hash) bool
 
 	mu       sync.Mutex
-	records  map[content.Hash]*record
-	refused  map[content.Hash]bool
+	records  map[requesthash.Hash]*record
+	refused  map[requesthash.Hash]bool
 	failed   []failedAttempt
-	answered *simplelru.LRU[content.Hash, time.Time]
+	answered *simplelru.LRU[requesthash.Hash, time.Time]
 }
 
 // failedAttempt is an attempt whose connection broke while the endpoint ran a content.
 type failedAttempt struct {
-	content  content.Hash
+	content  requesthash.Hash
 	endpoint string
 	at       time.Time
 }
 
 // RecordFailure records that an attempt broke at an endpoint that had not announced its shutdown.
 // The failure counts against the content once the endpoint is found to have crashed.
-func (q *Quarantine) RecordFailure(h content.Hash, endpoint string, now time.Time) {
+func (q *Quarantine) RecordFailure(h requesthash.Hash, endpoint string, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if _, ok := q.answeredAt(h, now); ok {
@@ -156,10 +156,10 @@
 }
 
 // RecordAnswer records that an endpoint has answered a content completely.
-func (q *Quarantine) RecordAnswer(h content.Hash, now time.Time) {
+func (q *Quarantine) RecordAnswer(h requesthash.Hash, now time.Time) {
 	q.mu.Lock()
 	if q.answered == nil {
-		q.answered, _ = simplelru.NewLRU[content.Hash, time.Time](maxAnswered, nil) // fails only for a size of zero or less
+		q.answered, _ = simplelru.NewLRU[requesthash.Hash, time.Time](maxAnswered, nil) // fails only for a size of zero or less
 	}
 	q.answered.Add(h, now)
 	changed := q.clear(h, now, now)
@@ -171,7 +171,7 @@
 
 // clear records that a suspected content was answered at time at. It returns the changed record, or
 // nil if other boxes need not be notified.
-func (q *Quarantine) clear(h content.Hash, at, now time.Time) []Suspect {
+func (q *Quarantine) clear(h requesthash.Hash, at, now time.Time) []Suspect {
 	r := q.records[h]
 	if r == nil || len(r.crashes) == 0 || !r.addAnswer(at) {
 		return nil // not suspected, or known to be answered
@@ -183,7 +183,7 @@
 
 // answeredAt returns when a content was last answered to this box, and whether that was within
 // answerProtection.
-func (q *Quarantine) answeredAt(h content.Hash, now time.Time) (time.Time, bool) {
+func (q *Quarantine) answeredAt(h requesthash.Hash, now time.Time) (time.Time, bool) {
 	if q.answered == nil {
 		return time.Time{}, false
 	}
@@ -193,7 +193,7 @@
 
 // Refuses reports whether a content must not be sent to any endpoint now, and the time after which
 // the caller may retry.
-func (q *Quarantine) Refuses(h content.Hash, now time.Time) (time.Duration, bool) {
+func (q *Quarantine) Refuses(h requesthash.Hash, now time.Time) (time.Duration, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if !q.refused[h] {
@@ -214,7 +214,7 @@
 }
 
 // RecordSend records that a content is sent to an endpoint. The send of a refused content is a trial.
-func (q *Quarantine) RecordSend(h content.Hash, now time.Time) {
+func (q *Quarantine) RecordSend(h requesthash.Hash, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.refused[h] {
@@ -262,12 +262,12 @@
 
 // Local returns the records that changed recently by observations of this box.
 func (q *Quarantine) Local(now time.Time) []Suspect {
-	return q.list(now, func(_ content.Hash, r *record) bool { return now.Sub(r.lastLocal) < recentWindow })
+	return q.list(now, func(_ requesthash.Hash, r *record) bool { return now.Sub(r.lastLocal) < recentWindow })
 }
 
 // Recent returns the records with a recent crash or answer, whichever box observed it.
 func (q *Quarantine) Recent(now time.Time) []Suspect {
-	return q.list(now, func(_ content.Hash, r *record) bool {
+	return q.list(now, func(_ requesthash.Hash, r *record) bool {
 		return now.Sub(r.lastCrash) < recentWindow || now.Sub(r.lastAnswer) < recentWindow
 	})
 }
@@ -275,19 +275,19 @@
 // Verdicts returns the records that a relay sends to its members: those of the contents that are
 // refused, and of suspected contents that were answered within answerProtection.
 func (q *Quarantine) Verdicts(now time.Time) []Suspect {
-	return q.list(now, func(h content.Hash, r *record) bool {
+	return q.list(now, func(h requesthash.Hash, r *record) bool {
 		return q.refused[h] || now.Sub(r.lastAnswer) < answerProtection
 	})
 }
 
 // Refused returns the records of the contents that are refused.
 func (q *Quarantine) Refused(now time.Time) []Suspect {
-	return q.list(now, func(h content.Hash, _ *record) bool { return q.refused[h] })
+	return q.list(now, func(h requesthash.Hash, _ *record) bool { return q.refused[h] })
 }
 
 // list returns up to maxSuspects records for which include returns true, those with the most crashes
 // first.
-func (q *Quarantine) list(now time.Time, include func(content.Hash, *record) bool) []Suspect {
+func (q *Quarantine) list(now time.Time, include func(requesthash.Hash, *record) bool) []Suspect {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var suspects []Suspect
@@ -304,12 +304,12 @@
 
 // record returns the record of a content. If there is none it adds one, and evicts another if the
 // table is full.
-func (q *Quarantine) record(h content.Hash) *record {
+func (q *Quarantine) record(h requesthash.Hash) *record {
 	if r := q.records[h]; r != nil {
 		return r
 	}
 	if q.records == nil {
-		q.records = map[content.Hash]*record{}
+		q.records = map[requesthash.Hash]*record{}
 	}
 	if len(q.records) >= maxContents {
 		q.evict()
@@ -321,7 +321,7 @@
 
 // evict drops the record with the fewest crashes, and among equals the one whose last crash is oldest.
 func (q *Quarantine) evict() {
-	var victim content.Hash
+	var victim requesthash.Hash
 	var least *record
 	for h, r := range q.records {
 		if least == nil || len(r.crashes) < len(least.crashes) || len(r.crashes) == len(least.crashes) && r.lastCrash.Before(least.lastCrash) {
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -12,8 +12,8 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
-	"birchlink.dev/birchlink/content"
 	"birchlink.dev/birchlink/quarantine"
+	"birchlink.dev/birchlink/requesthash"
 )
 
 // script runs one file of testdata: the events, messages and expected decisions of several boxes.
@@ -56,10 +56,10 @@
 	return s.boxes[name]
 }
 
-func hash(name string) content.Hash {
-	var h content.Hash
+func hash(name string) requesthash.Hash {
+	var h requesthash.Hash
 	for _, b := range []byte(name) {
-		h = h<<8 | content.Hash(b)
+		h = h<<8 | requesthash.Hash(b)
 	}
 	return h
 }
@@ -87,7 +87,7 @@
 			b.RecordSend(hash(c), s.now)
 		}
 	case "elsewhere": // another box sends the trials
-		b.SendsTrials = func(content.Hash) bool { return false }
+		b.SendsTrials = func(requesthash.Hash) bool { return false }
 	case "answered": // content
 		b.RecordAnswer(hash(args[0]), s.now)
 	case "tells": // box: what a member sends to its relay
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -8,14 +8,14 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"birchlink.dev/birchlink/content"
+	"birchlink.dev/birchlink/requesthash"
 )
 
 // Suspect reports a content from one box to another: the endpoints that crashed while they ran it,
 // and the time since it was last answered. Times are ages, so that the clocks of the boxes need not
 // agree.
 type Suspect struct {
-	Content  content.Hash
+	Content  requesthash.Hash
 	Ends     []Crash
 	Answered time.Duration `msgpack:",omitempty" json:",omitempty"` // zero if no answer is known
 }
@@ -101,7 +101,7 @@
 }
 
 // suspect returns the record in the form in which it is sent to other boxes.
-func (r *record) suspect(h content.Hash, now time.Time) Suspect {
+func (r *record) suspect(h requesthash.Hash, now time.Time) Suspect {
 	s := Suspect{Content: h}
 	for e, at := range r.crashes {
 		s.Ends = append(s.Ends, Crash{e, now.Sub(at)})
--- a/content/hash.go
+++ b/requesthash/hash.go
@@ -1,5 +1,5 @@
-// Package content computes hashes that identify requests by their content.
-package content
+// Package requesthash computes hashes that identify requests by their content.
+package requesthash
 
 import (
 	"encoding/binary"
--- a/content/hash_test.go
+++ b/requesthash/hash_test.go
@@ -1,4 +1,4 @@
-package content_test
+package requesthash_test
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 
 	"birchlink.dev/birchlink/call"
-	"birchlink.dev/birchlink/content"
+	"birchlink.dev/birchlink/requesthash"
 )
 
 // The hash depends on the content and the account, and not on the request's ID, the caller's timeout,
@@ -15,9 +15,9 @@
 	base := call.Call{ID: "1", Method: "POST", Host: "h", Target: "/a?b", Body: []byte("body"), Timeout: 1}
 	same := base
 	same.ID, same.Timeout, same.LastEventID, same.Key = "2", 2, "7", "another key of the account"
-	require.Equal(t, content.HashOf("a", &base), content.HashOf("a", &same))
+	require.Equal(t, requesthash.HashOf("a", &base), requesthash.HashOf("a", &same))
 
-	seen := map[content.Hash]bool{content.HashOf("a", &base): true}
+	seen := map[requesthash.Hash]bool{requesthash.HashOf("a", &base): true}
 	for _, change := range []func(c *call.Call){
 		func(c *call.Call) { c.Method = "PUT" },
 		func(c *call.Call) { c.Host = "i" },
@@ -28,9 +28,9 @@
 	} {
 		other := base
 		change(&other)
-		h := content.HashOf("a", &other)
+		h := requesthash.HashOf("a", &other)
 		require.False(t, seen[h])
 		seen[h] = true
 	}
-	require.False(t, seen[content.HashOf("b", &base)])
+	require.False(t, seen[requesthash.HashOf("b", &base)])
 }
--- a/serviceproxy/proxy.go
+++ b/serviceproxy/proxy.go
@@ -21,7 +21,6 @@
 	"birchlink.dev/birchlink/call"
 	"birchlink.dev/birchlink/config"
 	"birchlink.dev/birchlink/configsync"
-	"birchlink.dev/birchlink/content"
 	"birchlink.dev/birchlink/decisions"
 	"birchlink.dev/birchlink/errkind"
 	"birchlink.dev/birchlink/fleet"
@@ -29,6 +28,7 @@
 	"birchlink.dev/birchlink/member"
 	"birchlink.dev/birchlink/observer"
 	"birchlink.dev/birchlink/recovery"
+	"birchlink.dev/birchlink/requesthash"
 	"birchlink.dev/birchlink/router"
 	"birchlink.dev/birchlink/suspects"
 	"birchlink.dev/birchlink/view"
@@ -167,13 +167,13 @@
 }
 
 // content returns a hash of the request that does not depend on its ID.
-func (q Request) content() content.Hash {
-	return content.HashOf(q.Account, &call.Call{Method: q.Method, Host: q.Service, Target: q.Path, Body: q.Body})
+func (q Request) content() requesthash.Hash {
+	return requesthash.HashOf(q.Account, &call.Call{Method: q.Method, Host: q.Service, Target: q.Path, Body: q.Body})
 }
 
 // recordResponse records a complete response for the quarantine. A response with a 5xx status is
 // ignored, because the service may have failed before it ran the request.
-func (p *Proxy) recordResponse(h content.Hash, resp *Response) {
+func (p *Proxy) recordResponse(h requesthash.Hash, resp *Response) {
 	if resp.Status < http.StatusInternalServerError {
 		p.suspects.RecordAnswer(h)
 	}
--- a/stream/run.go
+++ b/stream/run.go
@@ -6,13 +6,13 @@
 	"time"
 
 	"birchlink.dev/birchlink/boottime"
-	"birchlink.dev/birchlink/content"
 	"birchlink.dev/birchlink/decisions"
 	"birchlink.dev/birchlink/engine"
 	"birchlink.dev/birchlink/errkind"
 	"birchlink.dev/birchlink/member"
 	"birchlink.dev/birchlink/reclaim"
 	"birchlink.dev/birchlink/recovery"
+	"birchlink.dev/birchlink/requesthash"
 	"birchlink.dev/birchlink/splice"
 	"birchlink.dev/birchlink/view"
 	"birchlink.dev/birchlink/wait"
@@ -62,7 +62,7 @@
 	preferredBox string // box of the next attempt by the reclaim plan
 	avoid        map[string]bool
 	pending      moveRequest
-	contentHash  content.Hash
+	contentHash  requesthash.Hash
 }
 
 // target is the endpoint of an attempt, or a box in another data centre if endpoint is nil.
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -11,9 +11,9 @@
 
 	"birchlink.dev/birchlink/admission"
 	"birchlink.dev/birchlink/call"
-	"birchlink.dev/birchlink/content"
 	"birchlink.dev/birchlink/engine"
 	"birchlink.dev/birchlink/errkind"
+	"birchlink.dev/birchlink/requesthash"
 )
 
 // Request is one accepted request.
@@ -38,8 +38,8 @@
 }
 
 // contentHash returns the hash of the request's content, which doesn't include its ID.
-func (q Request) contentHash() content.Hash {
-	return content.HashOf(q.Account, &call.Call{Host: q.Workload, Target: strconv.Itoa(q.MaxTokens), Body: []byte(q.Prompt)})
+func (q Request) contentHash() requesthash.Hash {
+	return requesthash.HashOf(q.Account, &call.Call{Host: q.Workload, Target: strconv.Itoa(q.MaxTokens), Body: []byte(q.Prompt)})
 }
 
 // MovedError is the error of a stream that ended on this box because a peer continues it.
--- a/suspects/suspects.go
+++ b/suspects/suspects.go
@@ -17,12 +17,12 @@
 	"github.com/rs/zerolog"
 
 	"birchlink.dev/birchlink/boottime"
-	"birchlink.dev/birchlink/content"
 	"birchlink.dev/birchlink/errkind"
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/member"
 	"birchlink.dev/birchlink/peer"
 	"birchlink.dev/birchlink/quarantine"
+	"birchlink.dev/birchlink/requesthash"
 	"birchlink.dev/birchlink/wait"
 )
 
@@ -101,7 +101,7 @@
 
 // Check returns an error of kind errkind.Quarantined if a content must not be sent to any endpoint
 // because several crashed under it. Otherwise it records that the content is sent now.
-func (s *Service) Check(h content.Hash) error {
+func (s *Service) Check(h requesthash.Hash) error {
 	now := boottime.Now()
 	if left, refused := s.quarantine.Refuses(h, now); refused {
 		return errkind.New(errkind.Quarantined, "endpoints ended while they ran this request").WithRetryAfter(left)
@@ -111,11 +111,11 @@
 }
 
 // RecordAnswer records that an endpoint has answered a content completely.
-func (s *Service) RecordAnswer(h content.Hash) { s.quarantine.RecordAnswer(h, boottime.Now()) }
+func (s *Service) RecordAnswer(h requesthash.Hash) { s.quarantine.RecordAnswer(h, boottime.Now()) }
 
 // RecordFailure records that an attempt broke at a process that had not announced its shutdown. It
 // dials the address and records a crash if the connection is refused.
-func (s *Service) RecordFailure(c context.Context, h content.Hash, process, address string) {
+func (s *Service) RecordFailure(c context.Context, h requesthash.Hash, process, address string) {
 	s.quarantine.RecordFailure(h, process, boottime.Now())
 	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	n, err := d.DialContext(c, "tcp", address)
@@ -162,7 +162,7 @@
 
 // sendsTrials reports whether this box is the one that sends a refused content as a trial: the
 // first among all boxes by rendezvous hashing.
-func (s *Service) sendsTrials(h content.Hash) bool {
+func (s *Service) sendsTrials(h requesthash.Hash) bool {
 	weight := func(box string) uint64 { return xxhash.Sum64String(h.String() + "/" + box) }
 	own := weight(s.members.Self().Box)
 	for _, m := range s.others() {
--- a/suspects/suspects_test.go
+++ b/suspects/suspects_test.go
@@ -12,12 +12,12 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
-	"birchlink.dev/birchlink/content"
 	"birchlink.dev/birchlink/errkind"
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/kv"
 	"birchlink.dev/birchlink/member"
 	"birchlink.dev/birchlink/peer"
+	"birchlink.dev/birchlink/requesthash"
 	"birchlink.dev/birchlink/stand/kvstore"
 	"birchlink.dev/birchlink/suspects"
 )
@@ -60,7 +60,7 @@
 	require.Eventually(t, f, 30*time.Second, 5*time.Millisecond)
 }
 
-func (b *box) refuses(h content.Hash) bool { return errkind.Is(b.Check(h), errkind.Quarantined) }
+func (b *box) refuses(h requesthash.Hash) bool { return errkind.Is(b.Check(h), errkind.Quarantined) }
 
 // A content under which three endpoints crashed at one box is refused by all boxes, in each data
 // centre, and by a box that starts later. An endpoint that still listens has not crashed.
