--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -38,9 +38,9 @@
 	"birchlink.dev/birchlink/reporter"
 	"birchlink.dev/birchlink/rollout"
 	"birchlink.dev/birchlink/scaling"
-	"birchlink.dev/birchlink/session"
 	"birchlink.dev/birchlink/settings"
 	"birchlink.dev/birchlink/store"
+	"birchlink.dev/birchlink/storesession"
 	"birchlink.dev/birchlink/usage"
 )
 
@@ -193,7 +193,7 @@
 		ShutdownDelay: min(maxUnreadyPeriod, s.StopLimit/3), ShutdownTimeout: s.StopLimit - drainReserve,
 	}
 	ss := []kernel.Service{
-		session.New(p.store, log),
+		storesession.New(p.store, log),
 		peer.NewNode(s.Peers, s.Peers, peerSecret, m),
 		p.known,
 		p.gossip,
--- a/fleetstate/known.go
+++ b/fleetstate/known.go
@@ -20,8 +20,8 @@
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/mirror"
 	"birchlink.dev/birchlink/rollout"
-	"birchlink.dev/birchlink/session"
 	"birchlink.dev/birchlink/store"
+	"birchlink.dev/birchlink/storesession"
 )
 
 // Name is the name of the service.
@@ -68,7 +68,7 @@
 	OnInvalidRecord func(endpoint.Reason)
 
 	log     zerolog.Logger
-	session *session.Session
+	session *storesession.Session
 	mirrors []*mirror.Mirror
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -101,7 +101,7 @@
 
 // Start begins to watch the store, unless DeferWatch is set.
 func (k *Service) Start(_ context.Context, n *kernel.Kernel) error {
-	if err := kernel.Bind(n, session.Name, &k.session); err != nil {
+	if err := kernel.Bind(n, storesession.Name, &k.session); err != nil {
 		return err
 	}
 	k.mirrors = []*mirror.Mirror{
--- a/fleetstate/known_test.go
+++ b/fleetstate/known_test.go
@@ -17,9 +17,9 @@
 	"birchlink.dev/birchlink/endpoint"
 	"birchlink.dev/birchlink/fleetstate"
 	"birchlink.dev/birchlink/kernel"
-	"birchlink.dev/birchlink/session"
 	"birchlink.dev/birchlink/stand/memstore"
 	"birchlink.dev/birchlink/store"
+	"birchlink.dev/birchlink/storesession"
 	"birchlink.dev/birchlink/wait"
 )
 
@@ -49,13 +49,13 @@
 // box is one box with its session and its copy of the store.
 type box struct {
 	*fleetstate.Service
-	session *session.Session
+	session *storesession.Session
 	t       *testing.T
 }
 
 func startBox(t *testing.T, m *memstore.Store) *box {
 	t.Helper()
-	s := session.New(m, zerolog.Nop())
+	s := storesession.New(m, zerolog.Nop())
 	k := fleetstate.New(source, m, zerolog.Nop())
 	n := &kernel.Kernel{}
 	require.NoError(t, n.Add(s))
--- a/fleetstate/orders_test.go
+++ b/fleetstate/orders_test.go
@@ -13,9 +13,9 @@
 	"birchlink.dev/birchlink/fleetstate"
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/rollout"
-	"birchlink.dev/birchlink/session"
 	"birchlink.dev/birchlink/stand/memstore"
 	"birchlink.dev/birchlink/store"
+	"birchlink.dev/birchlink/storesession"
 	"birchlink.dev/birchlink/wait"
 )
 
@@ -25,7 +25,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Store{}
 		m.Set("op/config", `{"Version":3}`)
-		s := session.New(m, zerolog.Nop())
+		s := storesession.New(m, zerolog.Nop())
 		src := source
 		src.ConfigKey, src.OperatorPrefix = "op/config", "op/"
 		src.DecodeOrder = func(i store.Item) (rollout.Order, bool, error) {
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -22,8 +22,8 @@
 	"birchlink.dev/birchlink/quarantine"
 	"birchlink.dev/birchlink/quota"
 	"birchlink.dev/birchlink/rollout"
-	"birchlink.dev/birchlink/session"
 	"birchlink.dev/birchlink/store"
+	"birchlink.dev/birchlink/storesession"
 	"birchlink.dev/birchlink/wait"
 )
 
@@ -115,7 +115,7 @@
 
 	log           zerolog.Logger
 	known         *fleetstate.Service
-	session       *session.Session
+	session       *storesession.Session
 	node          *peer.Node
 	ctx           context.Context
 	cancel        context.CancelFunc
@@ -169,7 +169,7 @@
 // Start registers the handlers for calls of other boxes and starts the rounds.
 func (g *Gossip) Start(_ context.Context, k *kernel.Kernel) error {
 	err := errors.Join(
-		kernel.Bind(k, fleetstate.Name, &g.known), kernel.Bind(k, peer.Name, &g.node), kernel.Bind(k, session.Name, &g.session),
+		kernel.Bind(k, fleetstate.Name, &g.known), kernel.Bind(k, peer.Name, &g.node), kernel.Bind(k, storesession.Name, &g.session),
 	)
 	if err != nil {
 		return err
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -27,9 +27,9 @@
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/peer"
 	"birchlink.dev/birchlink/quota"
-	"birchlink.dev/birchlink/session"
 	"birchlink.dev/birchlink/stand/memstore"
 	"birchlink.dev/birchlink/store"
+	"birchlink.dev/birchlink/storesession"
 )
 
 // box is a box with the services that gossip needs.
@@ -37,7 +37,7 @@
 	*gossip.Gossip
 	t       *testing.T
 	known   *fleetstate.Service
-	session *session.Session
+	session *storesession.Session
 	node    *peer.Node
 	stopped bool
 
@@ -85,7 +85,7 @@
 // startBoxWith starts a box after set has changed its fields.
 func startBoxWith(t *testing.T, s store.Store, name, dc, address string, set func(*box)) *box {
 	t.Helper()
-	b := &box{t: t, session: session.New(s, zerolog.Nop()), node: peer.NewNode(address, address, "secret", metrics.NewRegistry())}
+	b := &box{t: t, session: storesession.New(s, zerolog.Nop()), node: peer.NewNode(address, address, "secret", metrics.NewRegistry())}
 	b.known = fleetstate.New(fleetstate.Source{
 		ConfigKey: "config", EndpointsPrefix: "e/",
 		DecodeConfig: func(v []byte) (*catalog.Document, error) {
--- a/gossip/places_test.go
+++ b/gossip/places_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"birchlink.dev/birchlink/session"
 	"birchlink.dev/birchlink/stand/memstore"
+	"birchlink.dev/birchlink/storesession"
 )
 
 // A relay that is killed and restarts keeps its slot, without waiting for the lease of its former
@@ -75,7 +75,7 @@
 	before := slotsInStore(t, m)
 	m.SetDown(true)
 	waitUntil(t, func() bool {
-		return countBoxes(bs, func(b *box) bool { return b.session.StoreUnresponsiveFor() > session.TTL+time.Second }) == 9
+		return countBoxes(bs, func(b *box) bool { return b.session.StoreUnresponsiveFor() > storesession.TTL+time.Second }) == 9
 	})
 	m.SetDown(false)
 	require.Empty(t, slotsInStore(t, m))
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -23,7 +23,7 @@
 	"birchlink.dev/birchlink/forward"
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/quota"
-	"birchlink.dev/birchlink/session"
+	"birchlink.dev/birchlink/storesession"
 	"birchlink.dev/birchlink/wait"
 )
 
@@ -78,7 +78,7 @@
 
 	forwarder *forward.Forwarder
 	known     *fleetstate.Service
-	session   *session.Session
+	session   *storesession.Session
 	metrics   metrics.Registry
 	log       zerolog.Logger
 
@@ -104,7 +104,7 @@
 
 // Start begins to accept requests and readiness checks.
 func (i *Ingress) Start(_ context.Context, k *kernel.Kernel) error {
-	err := errors.Join(kernel.Bind(k, fleetstate.Name, &i.known), kernel.Bind(k, session.Name, &i.session))
+	err := errors.Join(kernel.Bind(k, fleetstate.Name, &i.known), kernel.Bind(k, storesession.Name, &i.session))
 	if err != nil {
 		return err
 	}
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -33,8 +33,8 @@
 	"birchlink.dev/birchlink/quarantine"
 	"birchlink.dev/birchlink/quota"
 	"birchlink.dev/birchlink/rollout"
-	"birchlink.dev/birchlink/session"
 	"birchlink.dev/birchlink/stand/memstore"
+	"birchlink.dev/birchlink/storesession"
 )
 
 // soleBoxView is the view of a box that is the only one.
@@ -98,7 +98,7 @@
 	*ingress.Ingress
 	t            *testing.T
 	store        *memstore.Store
-	session      *session.Session
+	session      *storesession.Session
 	known        *fleetstate.Service
 	address      string
 	readyAddress string
@@ -118,7 +118,7 @@
 		b.store.Set("config", string(text))
 		b.store.Set("e/one", strings.TrimPrefix(e.URL, "http://"))
 	}
-	b.session = session.New(b.store, zerolog.Nop())
+	b.session = storesession.New(b.store, zerolog.Nop())
 	b.known = fleetstate.New(fleetstate.Source{
 		ConfigKey: "config", EndpointsPrefix: "e/",
 		DecodeConfig: func(v []byte) (*catalog.Document, error) {
--- a/orders/orders_test.go
+++ b/orders/orders_test.go
@@ -24,8 +24,8 @@
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/orders"
 	"birchlink.dev/birchlink/scaling"
-	"birchlink.dev/birchlink/session"
 	"birchlink.dev/birchlink/stand/memstore"
+	"birchlink.dev/birchlink/storesession"
 	"birchlink.dev/birchlink/wait"
 )
 
@@ -157,7 +157,7 @@
 	}
 	list(listed)
 	time.AfterFunc(time.Second, func() { list(onDemand - listed) })
-	s := session.New(m, zerolog.Nop())
+	s := storesession.New(m, zerolog.Nop())
 	k := fleetstate.New(fleetstate.Source{
 		ConfigKey: "config", EndpointsPrefix: "e/",
 		DecodeConfig: func(v []byte) (*catalog.Document, error) {
--- a/session/session.go
+++ b/storesession/session.go
@@ -1,6 +1,6 @@
-// Package session keeps a box's lease in the store. Renewing the lease is the cheapest call of the
+// Package storesession keeps a box's lease in the store. Renewing the lease is the cheapest call of the
 // store, so its result also shows whether the store can be reached.
-package session
+package storesession
 
 import (
 	"context"
--- a/session/session_test.go
+++ b/storesession/session_test.go
@@ -1,4 +1,4 @@
-package session_test
+package storesession_test
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 
 	"birchlink.dev/birchlink/boottime"
-	"birchlink.dev/birchlink/session"
 	"birchlink.dev/birchlink/stand/memstore"
 	"birchlink.dev/birchlink/store"
+	"birchlink.dev/birchlink/storesession"
 	"birchlink.dev/birchlink/wait"
 )
 
@@ -22,13 +22,13 @@
 func TestFastRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Store{}
-		s := session.New(m, zerolog.Nop())
+		s := storesession.New(m, zerolog.Nop())
 		s.SetFast(true)
 		require.NoError(t, s.Start(t.Context(), nil))
 		wait.For(t.Context(), time.Second)
 		for range 100 {
 			wait.For(t.Context(), 37*time.Millisecond)
-			require.LessOrEqual(t, s.StoreUnresponsiveFor(), session.FastRenewInterval)
+			require.LessOrEqual(t, s.StoreUnresponsiveFor(), storesession.FastRenewInterval)
 		}
 		m.SetDown(true)
 		wait.For(t.Context(), 1200*time.Millisecond)
@@ -43,7 +43,7 @@
 func TestExpiredLeaseIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Store{}
-		s := session.New(m, zerolog.Nop())
+		s := storesession.New(m, zerolog.Nop())
 		reconnects := 0
 		s.OnReconnect(func() { reconnects++ })
 		require.NoError(t, s.Start(t.Context(), nil))
@@ -51,9 +51,9 @@
 		first := s.Lease()
 		require.NotZero(t, first)
 		m.SetDown(true)
-		wait.For(t.Context(), 2*session.TTL)
+		wait.For(t.Context(), 2*storesession.TTL)
 		m.SetDown(false)
-		wait.For(t.Context(), 3*session.RenewInterval)
+		wait.For(t.Context(), 3*storesession.RenewInterval)
 		require.NotZero(t, s.Lease())
 		require.NotEqual(t, first, s.Lease())
 		require.Equal(t, 2, reconnects)
@@ -78,12 +78,12 @@
 func TestReportsReplaceRenewals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &countingStore{Store: &memstore.Store{}}
-		s := session.New(m, zerolog.Nop())
+		s := storesession.New(m, zerolog.Nop())
 		require.NoError(t, s.Start(t.Context(), nil))
 		for range 60 {
 			s.MergeReport(100 * time.Millisecond)
 			wait.For(t.Context(), 500*time.Millisecond)
-			require.LessOrEqual(t, s.StoreUnresponsiveFor(), session.RenewInterval)
+			require.LessOrEqual(t, s.StoreUnresponsiveFor(), storesession.RenewInterval)
 		}
 		require.Zero(t, m.renewals.Load())
 		l, err := s.EnsureLease(t.Context())
@@ -102,7 +102,7 @@
 func TestStaleReportsDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Store{}
-		s := session.New(m, zerolog.Nop())
+		s := storesession.New(m, zerolog.Nop())
 		require.NoError(t, s.Start(t.Context(), nil))
 		wait.For(t.Context(), time.Second)
 		m.SetDown(true)
@@ -123,7 +123,7 @@
 func TestPingStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Store{}
-		s := session.New(m, zerolog.Nop())
+		s := storesession.New(m, zerolog.Nop())
 		require.NoError(t, s.Start(t.Context(), nil))
 		wait.For(t.Context(), 100*time.Millisecond)
 		s.MergeReport(0)
@@ -136,7 +136,7 @@
 		require.False(t, s.PingStore(t.Context()))
 		require.True(t, s.StoreUnreachable())
 		m.SetDown(false)
-		wait.For(t.Context(), session.FastRenewInterval+session.RetryDelay)
+		wait.For(t.Context(), storesession.FastRenewInterval+storesession.RetryDelay)
 		require.True(t, s.PingStore(t.Context()))
 		require.NoError(t, s.Stop(context.Background()))
 	})
@@ -147,7 +147,7 @@
 func TestWakeFromSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memstore.Store{}
-		s := session.New(m, zerolog.Nop())
+		s := storesession.New(m, zerolog.Nop())
 		require.NoError(t, s.Start(t.Context(), nil))
 		wait.For(t.Context(), 1200*time.Millisecond) // between two renewals
 		l := s.Lease()
@@ -155,8 +155,8 @@
 		boottime.SimulateSuspension(5 * time.Second)
 		m.ExpireLease(l)
 		require.GreaterOrEqual(t, s.StoreUnresponsiveFor(), 5*time.Second)
-		wait.For(t.Context(), session.FastRenewInterval)
-		require.Less(t, s.StoreUnresponsiveFor(), session.FastRenewInterval+time.Millisecond)
+		wait.For(t.Context(), storesession.FastRenewInterval)
+		require.Less(t, s.StoreUnresponsiveFor(), storesession.FastRenewInterval+time.Millisecond)
 		require.NotEqual(t, l, s.Lease())
 		require.NoError(t, s.Stop(context.Background()))
 	})
