--- a/orders/orders.go
+++ b/autoscaler/orders.go
@@ -1,7 +1,7 @@
-// Package orders scales the fleet. The box that holds the lease computes how many
+// Package autoscaler scales the fleet. The box that holds the lease computes how many
 // endpoints each service should have, with package scaling, and orders changes of
 // these counts from the cloud.
-package orders
+package autoscaler
 
 import (
 	"context"
--- a/orders/orders_test.go
+++ b/autoscaler/orders_test.go
@@ -1,4 +1,4 @@
-package orders_test
+package autoscaler_test
 
 import (
 	"context"
@@ -14,6 +14,7 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
+	"birchlink.dev/birchlink/autoscaler"
 	"birchlink.dev/birchlink/catalog"
 	"birchlink.dev/birchlink/cloudapi"
 	"birchlink.dev/birchlink/demand"
@@ -22,7 +23,6 @@
 	"birchlink.dev/birchlink/estimate"
 	"birchlink.dev/birchlink/fleetstate"
 	"birchlink.dev/birchlink/kernel"
-	"birchlink.dev/birchlink/orders"
 	"birchlink.dev/birchlink/scaling"
 	"birchlink.dev/birchlink/stand/memstore"
 	"birchlink.dev/birchlink/storesession"
@@ -118,7 +118,7 @@
 
 var dataCentres = []string{"a", "b", "c"}
 
-// fleet is a service whose size is controlled by an orders.Autoscaler.
+// fleet is a service whose size is controlled by an autoscaler.Autoscaler.
 type fleet struct {
 	*cloud
 	t *testing.T
@@ -170,7 +170,7 @@
 		},
 	}, m, zerolog.Nop())
 	e := &election.Election{Store: m, Key: "duty", Box: "box", Term: 3 * time.Second, Log: zerolog.Nop()}
-	a := orders.New(zerolog.Nop())
+	a := autoscaler.New(zerolog.Nop())
 	a.Box, a.Cloud, a.Election, a.Policy = "box", f, e, scaling.Default
 	a.Demand = func(string) map[string]demand.Stats {
 		f.mu.Lock()
--- a/orders/outcome_test.go
+++ b/autoscaler/outcome_test.go
@@ -1,4 +1,4 @@
-package orders
+package autoscaler
 
 import (
 	"errors"
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -15,6 +15,7 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/fx"
 
+	"birchlink.dev/birchlink/autoscaler"
 	"birchlink.dev/birchlink/balance"
 	"birchlink.dev/birchlink/boottime"
 	"birchlink.dev/birchlink/budget"
@@ -30,7 +31,6 @@
 	"birchlink.dev/birchlink/ingress"
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/metricshttp"
-	"birchlink.dev/birchlink/orders"
 	"birchlink.dev/birchlink/peer"
 	"birchlink.dev/birchlink/platform"
 	"birchlink.dev/birchlink/quota"
@@ -240,7 +240,7 @@
 		ss = append(ss, p.reporter)
 	}
 	if s.Autoscale {
-		a := orders.New(log)
+		a := autoscaler.New(log)
 		a.Box, a.Cloud, a.Election, a.Policy, a.Demand = s.Box, cl, e, scaling.Default, p.demandByDataCentre
 		a.Limited = func(e endpoint.Endpoint) bool {
 			return p.balancer.Availability.IsRateLimited(e.Incarnation(), boottime.Now())
