--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -23,11 +23,11 @@
 	"birchlink.dev/birchlink/demand"
 	"birchlink.dev/birchlink/election"
 	"birchlink.dev/birchlink/endpoint"
-	"birchlink.dev/birchlink/exchange"
 	"birchlink.dev/birchlink/fleetstate"
 	"birchlink.dev/birchlink/forward"
 	"birchlink.dev/birchlink/gossip"
 	"birchlink.dev/birchlink/hint"
+	"birchlink.dev/birchlink/httpconn"
 	"birchlink.dev/birchlink/ingress"
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/metricshttp"
@@ -177,7 +177,7 @@
 	f := &forward.Forwarder{
 		DataCentre: s.DataCentre, Roster: &p.known.Roster, Balancer: p.balancer, Budget: p.budget, Meter: p.meter,
 		Quarantine: p.gossip.Quarantine, Rollouts: p.gossip.Rollouts,
-		Pool: &exchange.Pool{DialTimeout: endpointDialTimeout}, Codec: platform.HeaderCodec{}, OnStart: p.countRequest, Metrics: m, Log: log,
+		Pool: &httpconn.Pool{DialTimeout: endpointDialTimeout}, Codec: platform.HeaderCodec{}, OnStart: p.countRequest, Metrics: m, Log: log,
 		OnSend: p.sendHint, OnCrash: func(e endpoint.Endpoint) { p.gossip.BroadcastCrash(e.Incarnation()) },
 		OnDraining:    func(e endpoint.Endpoint) { p.gossip.BroadcastDraining(e.Incarnation()) },
 		OnLimitChange: p.gossip.BroadcastRate, RequestPermit: limits.Permit,
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -11,7 +11,7 @@
 	"birchlink.dev/birchlink/boottime"
 	"birchlink.dev/birchlink/call"
 	"birchlink.dev/birchlink/catalog"
-	"birchlink.dev/birchlink/exchange"
+	"birchlink.dev/birchlink/httpconn"
 	"birchlink.dev/birchlink/recovery"
 )
 
@@ -42,14 +42,14 @@
 	defer r.f.attempts.add(e.Incarnation(), cancel)()
 	defer r.f.Rollouts.Begin(r.q.Service.Name, e.Version)()
 	sent := boottime.Now()
-	resp, err := r.f.Pool.Do(x, exchange.Request{
+	resp, err := r.f.Pool.Do(x, httpconn.Request{
 		Address: e.Address, Method: cl.Method, Target: cl.Target, Host: cl.Host, Header: r.f.Codec.Head(cl, a), Body: cl.Body, MaxIdle: maxIdle,
 		ShouldSend: func() bool { return r.maySend(e) },
 		Matches:    func(h http.Header) bool { return r.f.Codec.Outcome(0, h).ID == cl.ID },
 	})
 	if err != nil {
-		unreachable := errors.Is(err, exchange.ErrUnreachable)
-		notSent := errors.Is(err, exchange.ErrNotSent)
+		unreachable := errors.Is(err, httpconn.ErrUnreachable)
+		notSent := errors.Is(err, httpconn.ErrNotSent)
 		n.End(c.Err() == nil && !notSent, boottime.Now())
 		switch {
 		case unreachable:
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -27,8 +27,8 @@
 	"birchlink.dev/birchlink/endpoint"
 	"birchlink.dev/birchlink/endpointlimit"
 	"birchlink.dev/birchlink/errkind"
-	"birchlink.dev/birchlink/exchange"
 	"birchlink.dev/birchlink/forward"
+	"birchlink.dev/birchlink/httpconn"
 	"birchlink.dev/birchlink/quarantine"
 	"birchlink.dev/birchlink/requesthash"
 	"birchlink.dev/birchlink/rollout"
@@ -140,7 +140,7 @@
 	t.Helper()
 	s := &script{t: t, endpoints: map[string]*fakeEndpoint{}}
 	s.f = &forward.Forwarder{
-		Roster: &endpoint.Roster{}, Rollouts: &rollout.Gate{}, Balancer: &balance.Balancer{}, Pool: &exchange.Pool{DialTimeout: time.Second},
+		Roster: &endpoint.Roster{}, Rollouts: &rollout.Gate{}, Balancer: &balance.Balancer{}, Pool: &httpconn.Pool{DialTimeout: time.Second},
 		Budget: budget.New(budget.Limits{Ratio: 1, Slack: 1000, Window: time.Minute}), Meter: &demand.Meter{}, Quarantine: &quarantine.Quarantine{},
 		Codec: codec{}, OnStart: func(string, time.Time) { s.started++ }, OnSend: func(endpoint.Endpoint, int) {},
 		OnCrash: func(endpoint.Endpoint) {}, OnDraining: func(endpoint.Endpoint) {},
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -21,7 +21,7 @@
 	"birchlink.dev/birchlink/endpoint"
 	"birchlink.dev/birchlink/endpointlimit"
 	"birchlink.dev/birchlink/errkind"
-	"birchlink.dev/birchlink/exchange"
+	"birchlink.dev/birchlink/httpconn"
 	"birchlink.dev/birchlink/quarantine"
 	"birchlink.dev/birchlink/requesthash"
 	"birchlink.dev/birchlink/rollout"
@@ -82,7 +82,7 @@
 	DataCentre    string
 	Roster        *endpoint.Roster
 	Balancer      *balance.Balancer
-	Pool          *exchange.Pool
+	Pool          *httpconn.Pool
 	Budget        *budget.Budget
 	Meter         *demand.Meter
 	Quarantine    *quarantine.Quarantine
--- a/forward/response.go
+++ b/forward/response.go
@@ -13,7 +13,7 @@
 	"birchlink.dev/birchlink/boottime"
 	"birchlink.dev/birchlink/call"
 	"birchlink.dev/birchlink/endpoint"
-	"birchlink.dev/birchlink/exchange"
+	"birchlink.dev/birchlink/httpconn"
 	"birchlink.dev/birchlink/recovery"
 	"birchlink.dev/birchlink/sse"
 )
@@ -25,7 +25,7 @@
 var errCallerWrite = errors.New("the caller does not read")
 
 // readResponse reads a response and passes it to the sink if it is usable.
-func (r *run) readResponse(resp *exchange.Response, n *balance.Attempt, w *watchdog, sent time.Time) attemptResult {
+func (r *run) readResponse(resp *httpconn.Response, n *balance.Attempt, w *watchdog, sent time.Time) attemptResult {
 	o := r.f.Codec.Outcome(resp.Status, resp.Header)
 	r.handleOutcome(o)
 	n.BackOff(o.BackOff, boottime.Now())
@@ -114,7 +114,7 @@
 // recordSurvival reports to the quarantine that the endpoint ran the request without crashing. An
 // error response does not show that, since the endpoint may not have begun to run the request,
 // nor does a response that ends with its connection, since the endpoint may have crashed.
-func (r *run) recordSurvival(resp *exchange.Response) {
+func (r *run) recordSurvival(resp *httpconn.Response) {
 	if resp.Status < http.StatusInternalServerError && resp.Framed() {
 		r.f.Quarantine.RecordAnswer(r.trace.Content, boottime.Now())
 	}
@@ -123,7 +123,7 @@
 // keepErrorResponse stores an endpoint's error response, which is returned if no other attempt
 // succeeds. Status 503 tells the caller that the request did not run, which is not known here, so
 // it is not kept.
-func (r *run) keepErrorResponse(resp *exchange.Response, b []byte) {
+func (r *run) keepErrorResponse(resp *httpconn.Response, b []byte) {
 	if resp.Status == http.StatusServiceUnavailable {
 		return
 	}
@@ -132,7 +132,7 @@
 
 // forwardEvents passes complete events to the sink as they arrive. The caller gets the head of
 // the first response that has an event.
-func (r *run) forwardEvents(resp *exchange.Response, n *balance.Attempt, w *watchdog) attemptResult {
+func (r *run) forwardEvents(resp *httpconn.Response, n *balance.Attempt, w *watchdog) attemptResult {
 	rd := sse.NewReader(resp.Body)
 	out := attemptResult{interruption: recovery.Gone}
 	for {
--- a/exchange/conn.go
+++ b/httpconn/conn.go
@@ -1,7 +1,7 @@
-// Package exchange is a minimal HTTP/1.1 client for calls to endpoints. It sends each request once,
+// Package httpconn is a minimal HTTP/1.1 client for calls to endpoints. It sends each request once,
 // on one connection, and never retries: unlike net/http, it lets the caller decide what may run
 // twice. Idle connections are kept in a pool.
-package exchange
+package httpconn
 
 import (
 	"bufio"
--- a/exchange/exchange.go
+++ b/httpconn/exchange.go
@@ -1,4 +1,4 @@
-package exchange
+package httpconn
 
 import (
 	"bytes"
--- a/exchange/exchange_test.go
+++ b/httpconn/exchange_test.go
@@ -1,4 +1,4 @@
-package exchange_test
+package httpconn_test
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"birchlink.dev/birchlink/exchange"
+	"birchlink.dev/birchlink/httpconn"
 )
 
 // listen returns a listener that passes its first connection to f.
@@ -32,8 +32,8 @@
 	return l
 }
 
-func request(l net.Listener) exchange.Request {
-	return exchange.Request{
+func request(l net.Listener) httpconn.Request {
+	return httpconn.Request{
 		Address: l.Addr().String(), Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Body: []byte("body"),
 		Matches: func(http.Header) bool { return true },
 	}
@@ -54,7 +54,7 @@
 		}
 		end <- err
 	})
-	p := &exchange.Pool{DialTimeout: time.Minute}
+	p := &httpconn.Pool{DialTimeout: time.Minute}
 	_, err := p.Do(c, request(l))
 	require.ErrorIs(t, err, context.Canceled)
 	require.ErrorIs(t, <-end, syscall.ECONNRESET)
@@ -73,7 +73,7 @@
 		}
 		end <- err
 	})
-	p := &exchange.Pool{DialTimeout: time.Minute}
+	p := &httpconn.Pool{DialTimeout: time.Minute}
 	a, err := p.Do(t.Context(), request(l))
 	require.NoError(t, err)
 	a.Close()
@@ -88,11 +88,11 @@
 			_, _ = io.WriteString(n, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
-	p := &exchange.Pool{DialTimeout: time.Minute}
+	p := &httpconn.Pool{DialTimeout: time.Minute}
 	q := request(l)
 	q.ShouldSend = func() bool { return false }
 	_, err := p.Do(t.Context(), q)
-	require.ErrorIs(t, err, exchange.ErrNotSent)
+	require.ErrorIs(t, err, httpconn.ErrNotSent)
 	require.Equal(t, 1, p.CountIdle())
 	q.ShouldSend, q.MaxIdle = func() bool { return true }, time.Minute
 	a, err := p.Do(t.Context(), q)
@@ -107,7 +107,7 @@
 	hold := make(chan struct{})
 	defer close(hold)
 	l := listen(t, func(net.Conn) { <-hold })
-	p := &exchange.Pool{DialTimeout: time.Minute}
+	p := &httpconn.Pool{DialTimeout: time.Minute}
 	require.False(t, p.RefusesConnections(t.Context(), l.Addr().String()))
 	require.Equal(t, 1, p.CountIdle())
 	gone, err := net.Listen("tcp", "127.0.0.1:0")
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -25,9 +25,9 @@
 	"birchlink.dev/birchlink/catalog"
 	"birchlink.dev/birchlink/demand"
 	"birchlink.dev/birchlink/endpoint"
-	"birchlink.dev/birchlink/exchange"
 	"birchlink.dev/birchlink/fleetstate"
 	"birchlink.dev/birchlink/forward"
+	"birchlink.dev/birchlink/httpconn"
 	"birchlink.dev/birchlink/ingress"
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/quarantine"
@@ -130,7 +130,7 @@
 		},
 	}, b.store, zerolog.Nop())
 	f := &forward.Forwarder{
-		Roster: &b.known.Roster, Balancer: &balance.Balancer{}, Pool: &exchange.Pool{DialTimeout: time.Second},
+		Roster: &b.known.Roster, Balancer: &balance.Balancer{}, Pool: &httpconn.Pool{DialTimeout: time.Second},
 		Meter: &demand.Meter{}, Quarantine: &quarantine.Quarantine{},
 		Rollouts: &rollout.Gate{},
 		Budget:   budget.New(budget.Limits{Window: time.Minute}), Codec: codec{}, OnStart: func(string, time.Time) {},
