--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -19,10 +19,10 @@
 	"birchlink.dev/birchlink/balance"
 	"birchlink.dev/birchlink/boottime"
 	"birchlink.dev/birchlink/budget"
-	"birchlink.dev/birchlink/daytime"
 	"birchlink.dev/birchlink/demand"
 	"birchlink.dev/birchlink/election"
 	"birchlink.dev/birchlink/endpoint"
+	"birchlink.dev/birchlink/fleetclock"
 	"birchlink.dev/birchlink/fleetstate"
 	"birchlink.dev/birchlink/forward"
 	"birchlink.dev/birchlink/gossip"
@@ -112,7 +112,7 @@
 	quota    *quota.Quota
 	meter    *demand.Meter
 	tally    *usage.Tally
-	clock    *daytime.Clock
+	clock    *fleetclock.Clock
 	known    *fleetstate.Service
 	gossip   *gossip.Gossip
 	hints    *hint.Service
@@ -142,7 +142,7 @@
 			Rand: rand.Float64,
 		}, meter: &demand.Meter{},
 		budget: budget.New(budget.Limits{Ratio: s.RetryRatio, Slack: s.RetrySlack, Window: s.RetryWindow}),
-		tally:  &usage.Tally{Window: s.ReportWindow}, clock: daytime.New(time.Now),
+		tally:  &usage.Tally{Window: s.ReportWindow}, clock: fleetclock.New(time.Now),
 		gossip: gossip.New(log), incarnation: uuid.NewString()[:8],
 	}
 	p.known = fleetstate.New(fleetstate.Source{
--- a/daytime/daytime.go
+++ b/fleetclock/daytime.go
@@ -1,7 +1,7 @@
-// Package daytime provides a wall time that does not jump when a box's system clock is stepped.
+// Package fleetclock provides a wall time that does not jump when a box's system clock is stepped.
 // The boxes synchronize their clocks, so that all boxes assign the same moment to the same time
 // window.
-package daytime
+package fleetclock
 
 import (
 	"slices"
--- a/daytime/daytime_test.go
+++ b/fleetclock/daytime_test.go
@@ -1,4 +1,4 @@
-package daytime_test
+package fleetclock_test
 
 import (
 	"fmt"
@@ -9,18 +9,18 @@
 	"github.com/stretchr/testify/require"
 
 	"birchlink.dev/birchlink/boottime"
-	"birchlink.dev/birchlink/daytime"
+	"birchlink.dev/birchlink/fleetclock"
 )
 
 // box is a process whose system clock can be stepped.
 type box struct {
-	*daytime.Clock
+	*fleetclock.Clock
 	step time.Duration
 }
 
 func startBox(step time.Duration) *box {
 	b := &box{step: step}
-	b.Clock = daytime.New(func() time.Time { return time.Now().Add(b.step) })
+	b.Clock = fleetclock.New(func() time.Time { return time.Now().Add(b.step) })
 	return b
 }
 
@@ -86,7 +86,7 @@
 }
 
 func ExampleClock_At() {
-	c := daytime.New(func() time.Time { return time.Unix(1000, 0) })
+	c := fleetclock.New(func() time.Time { return time.Unix(1000, 0) })
 	at := c.At(boottime.Now().Add(time.Minute))
 	fmt.Println(at.Unix())
 	// Output: 1060
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -12,9 +12,9 @@
 	"github.com/rs/zerolog"
 
 	"birchlink.dev/birchlink/boottime"
-	"birchlink.dev/birchlink/daytime"
 	"birchlink.dev/birchlink/endpointlimit"
 	"birchlink.dev/birchlink/estimate"
+	"birchlink.dev/birchlink/fleetclock"
 	"birchlink.dev/birchlink/fleetstate"
 	"birchlink.dev/birchlink/kernel"
 	"birchlink.dev/birchlink/mirror"
@@ -108,7 +108,7 @@
 	// UsedEndpoints returns the endpoints for which this box needs load reports; none means all.
 	UsedEndpoints func() []string
 
-	Clock                *daytime.Clock
+	Clock                *fleetclock.Clock
 	Leaving              func() bool // reports whether this box is stopping; may be nil
 	EndpointStats        func() map[string]estimate.Stats
 	RestoreEndpointStats func(map[string]estimate.Stats)
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -19,9 +19,9 @@
 
 	"birchlink.dev/birchlink/balance"
 	"birchlink.dev/birchlink/catalog"
-	"birchlink.dev/birchlink/daytime"
 	"birchlink.dev/birchlink/endpoint"
 	"birchlink.dev/birchlink/estimate"
+	"birchlink.dev/birchlink/fleetclock"
 	"birchlink.dev/birchlink/fleetstate"
 	"birchlink.dev/birchlink/gossip"
 	"birchlink.dev/birchlink/kernel"
@@ -98,7 +98,7 @@
 	}, s, zerolog.Nop())
 	b.known.DeferWatch = true
 	b.Gossip = gossip.New(zerolog.Nop())
-	b.Clock = daytime.New(time.Now)
+	b.Clock = fleetclock.New(time.Now)
 	b.Quota = &quota.Quota{
 		Self: quota.Arbiter{Box: name, DataCentre: dc, Address: address}, Started: time.Now(),
 		Incarnation: fmt.Sprint("life", processCount.Add(1)), Rand: rand.Float64,
