--- a/autoscaler/autoscaler.go
+++ b/autoscaler/autoscaler.go
@@ -92,7 +92,7 @@
 	Capacity func(service string, slots int, pause time.Duration) scaling.Capacity
 
 	log    zerolog.Logger
-	known  *fleetstate.Service
+	state  *fleetstate.Service
 	cancel context.CancelFunc
 	group  sync.WaitGroup
 
@@ -149,7 +149,7 @@
 
 // Start binds the services that the autoscaler needs from k and begins to scale the fleet.
 func (a *Autoscaler) Start(_ context.Context, k *kernel.Kernel) error {
-	if err := kernel.Bind(k, fleetstate.Name, &a.known); err != nil {
+	if err := kernel.Bind(k, fleetstate.Name, &a.state); err != nil {
 		return err
 	}
 	c, cancel := context.WithCancel(context.Background())
@@ -168,9 +168,9 @@
 func (a *Autoscaler) run(c context.Context) {
 	for c.Err() == nil {
 		wait.For(c, pollInterval)
-		t := a.known.Table()
+		t := a.state.Table()
 		fence, ok := a.Election.UseFence()
-		if !ok || t == nil || !a.known.Ready() {
+		if !ok || t == nil || !a.state.Ready() {
 			continue
 		}
 		if fence != a.fence {
@@ -188,9 +188,9 @@
 // scaleService computes the counts of one service and orders those that differ.
 func (a *Autoscaler) scaleService(c context.Context, s *catalog.Service) {
 	now := boottime.Now()
-	all := a.known.Roster.All()
+	all := a.state.Roster.All()
 	load := a.Demand(s.Name)
-	serving := a.known.Roster.Serving(s.Name)
+	serving := a.state.Roster.Serving(s.Name)
 	limited := slices.DeleteFunc(slices.Clone(serving), func(e endpoint.Endpoint) bool { return !a.Limited(e) })
 	dcs := scaling.DataCentres(s.Scaling)
 	sites := make([]scaling.Site, 0, len(dcs))
@@ -224,7 +224,7 @@
 			sites[i].Demand = scaling.Demand{}
 		}
 	}
-	capacity := a.Capacity(s.Name, minSlots(all, s), estimate.PauseTarget(a.known.Table().Document, s.Name))
+	capacity := a.Capacity(s.Name, minSlots(all, s), estimate.PauseTarget(a.state.Table().Document, s.Name))
 	plan := policy.Plan(s.Scaling, sites, capacity)
 	for _, site := range sites {
 		if partitioned[site.DataCentre] {
--- a/autoscaler/autoscaler_test.go
+++ b/autoscaler/autoscaler_test.go
@@ -50,68 +50,68 @@
 	outOfSupply bool // no reclaimable endpoints are available
 }
 
-func (l *cloud) Report(context.Context, cloudapi.Lease, int64, map[string]int) error { return nil }
+func (c *cloud) Report(context.Context, cloudapi.Lease, int64, map[string]int) error { return nil }
 
-func (l *cloud) Order(_ context.Context, _ cloudapi.Lease, o cloudapi.Order) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (c *cloud) Order(_ context.Context, _ cloudapi.Lease, o cloudapi.Order) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	k := kind{o.DataCentre, o.Reclaimable}
-	for len(l.have[k]) > o.Count {
-		l.drain(k)
+	for len(c.have[k]) > o.Count {
+		c.drain(k)
 	}
-	more := o.Count - len(l.have[k]) - l.starting[k]
-	if more > 0 && l.outOfSupply && o.Reclaimable {
+	more := o.Count - len(c.have[k]) - c.starting[k]
+	if more > 0 && c.outOfSupply && o.Reclaimable {
 		return cloudapi.ErrFenced
 	}
 	for range max(more, 0) {
-		l.starting[k]++
+		c.starting[k]++
 		time.AfterFunc(startDelay, func() {
-			l.mu.Lock()
-			defer l.mu.Unlock()
-			l.starting[k]--
-			l.add(k)
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			c.starting[k]--
+			c.add(k)
 		})
 	}
 	return nil
 }
 
-func (l *cloud) add(k kind) {
-	l.next++
-	id := fmt.Sprint("i", l.next)
-	l.put(id, k, false)
-	l.have[k] = append(l.have[k], id)
+func (c *cloud) add(k kind) {
+	c.next++
+	id := fmt.Sprint("i", c.next)
+	c.put(id, k, false)
+	c.have[k] = append(c.have[k], id)
 }
 
-func (l *cloud) put(id string, k kind, draining bool) {
+func (c *cloud) put(id string, k kind, draining bool) {
 	b, _ := json.Marshal(endpoint.Endpoint{ID: id, Service: "s", DataCentre: k.dataCentre, Reclaimable: k.reclaimable, Draining: draining})
-	l.store.Set("e/"+id, string(b))
+	c.store.Set("e/"+id, string(b))
 }
 
-func (l *cloud) drain(k kind) {
-	id := l.have[k][0]
-	l.have[k] = l.have[k][1:]
-	l.put(id, k, true)
+func (c *cloud) drain(k kind) {
+	id := c.have[k][0]
+	c.have[k] = c.have[k][1:]
+	c.put(id, k, true)
 }
 
 // reclaim reclaims all reclaimable endpoints of a data centre. Their records only say that
 // they drain.
-func (l *cloud) reclaim(dc string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.outOfSupply = true
-	for k := (kind{dc, true}); len(l.have[k]) > 0; {
-		l.drain(k)
+func (c *cloud) reclaim(dc string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.outOfSupply = true
+	for k := (kind{dc, true}); len(c.have[k]) > 0; {
+		c.drain(k)
 	}
 }
 
 // count returns how many endpoints of a kind serve or are starting.
-func (l *cloud) count(reclaimable bool) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (c *cloud) count(reclaimable bool) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n := 0
 	for _, dc := range dataCentres {
 		k := kind{dc, reclaimable}
-		n += len(l.have[k]) + l.starting[k]
+		n += len(c.have[k]) + c.starting[k]
 	}
 	return n
 }
--- a/backoff/backoff.go
+++ b/backoff/backoff.go
@@ -46,41 +46,41 @@
 
 // Extend records that an endpoint asked this box to back off for the time d. It does nothing if d is
 // not positive, and does not shorten a period that ends later.
-func (r *BackOffs) Extend(name string, d time.Duration, now time.Time) {
+func (b *BackOffs) Extend(name string, d time.Duration, now time.Time) {
 	if d <= 0 {
 		return
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.until == nil {
-		r.until = map[string]time.Time{}
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.until == nil {
+		b.until = map[string]time.Time{}
 	}
-	maps.DeleteFunc(r.until, func(_ string, at time.Time) bool { return !now.Before(at) })
+	maps.DeleteFunc(b.until, func(_ string, at time.Time) bool { return !now.Before(at) })
 	end := now.Add(d)
-	if end.After(r.until[name]) {
-		r.until[name] = end
+	if end.After(b.until[name]) {
+		b.until[name] = end
 	}
-	if end.After(r.lastEnd) {
-		r.lastEnd = end
+	if end.After(b.lastEnd) {
+		b.lastEnd = end
 	}
 }
 
 // IsEmpty reports whether no endpoint backs off, without looking at each.
-func (r *BackOffs) IsEmpty(now time.Time) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return !now.Before(r.lastEnd)
+func (b *BackOffs) IsEmpty(now time.Time) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return !now.Before(b.lastEnd)
 }
 
 // Remaining returns how long an endpoint still backs off. It returns 0 if it accepts calls.
-func (r *BackOffs) Remaining(name string, now time.Time) time.Duration {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.remaining(name, now)
+func (b *BackOffs) Remaining(name string, now time.Time) time.Duration {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.remaining(name, now)
 }
 
-func (r *BackOffs) remaining(name string, now time.Time) time.Duration {
-	return max(r.until[name].Sub(now), 0)
+func (b *BackOffs) remaining(name string, now time.Time) time.Duration {
+	return max(b.until[name].Sub(now), 0)
 }
 
 // MinRemaining returns how long until the first of the endpoints accepts calls. It returns 0 if one
@@ -102,11 +102,11 @@
 }
 
 // Len returns the number of endpoints that back off.
-func (r *BackOffs) Len(now time.Time) int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (b *BackOffs) Len(now time.Time) int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	n := 0
-	for _, at := range r.until {
+	for _, at := range b.until {
 		if now.Before(at) {
 			n++
 		}
--- a/balance/avoid.go
+++ b/balance/avoid.go
@@ -43,10 +43,10 @@
 
 // RecordCrash records a report that an endpoint crashed. Anything that the endpoint sends this box
 // later revokes the report.
-func (b *Balancer) RecordCrash(endpoint string, now time.Time) {
+func (b *Balancer) RecordCrash(id string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.state(endpoint).avoidedUntil = now.Add(crashAvoid)
+	b.state(id).avoidedUntil = now.Add(crashAvoid)
 }
 
 func (b *Balancer) dataCentre(dc string) *dataCentreState {
--- a/balance/failing_test.go
+++ b/balance/failing_test.go
@@ -59,44 +59,44 @@
 )
 
 // send sends an attempt of a request.
-func (c *simulation) send(b *balance.Balancer, tried map[string]bool, counted bool, now time.Time) {
-	ch, ok := b.Choose(c.candidates, balance.Query{DataCentre: "dc0", Skip: tried, EndpointLost: len(tried) > 0 && c.failAfter > healthyLatency}, now)
+func (s *simulation) send(b *balance.Balancer, tried map[string]bool, counted bool, now time.Time) {
+	ch, ok := b.Choose(s.candidates, balance.Query{DataCentre: "dc0", Skip: tried, EndpointLost: len(tried) > 0 && s.failAfter > healthyLatency}, now)
 	if !ok {
 		return
 	}
 	tried[ch.Endpoint.Incarnation()] = true
 	x := inFlight{end: now.Add(healthyLatency), attempt: b.Begin(ch.Endpoint, ch, now), tried: tried, balancer: b, counted: counted}
-	if indexOf(c.candidates, ch.Endpoint.ID) < c.failing && c.rng.IntN(100) < c.failPercent {
-		x.failed, x.end = true, now.Add(c.failAfter)
+	if indexOf(s.candidates, ch.Endpoint.ID) < s.failing && s.rng.IntN(100) < s.failPercent {
+		x.failed, x.end = true, now.Add(s.failAfter)
 	}
-	c.attempts = append(c.attempts, x)
+	s.attempts = append(s.attempts, x)
 }
 
 // finish ends an attempt. A failed one is retried at another endpoint if an attempt is left.
-func (c *simulation) finish(x inFlight, now time.Time) {
+func (s *simulation) finish(x inFlight, now time.Time) {
 	if !x.failed {
 		x.attempt.RecordProgress(now)
 		x.attempt.RecordAnswer()
 		x.attempt.End(false, now)
 		if x.counted {
-			c.served++
+			s.served++
 		}
 		return
 	}
 	x.attempt.RecordRefusal(now)
 	x.attempt.End(true, now)
 	if len(x.tried) < maxAttempts {
-		c.send(x.balancer, x.tried, x.counted, now)
+		s.send(x.balancer, x.tried, x.counted, now)
 	}
 }
 
 // exchange makes all boxes, which are in one data centre, exchange their failure reports.
-func (c *simulation) exchange(now time.Time) {
-	reports := make([]map[string]balance.CallCounts, len(c.balancers))
-	for i, b := range c.balancers {
+func (s *simulation) exchange(now time.Time) {
+	reports := make([]map[string]balance.CallCounts, len(s.balancers))
+	for i, b := range s.balancers {
 		reports[i] = b.FailureReport(now)
 	}
-	for i, b := range c.balancers {
+	for i, b := range s.balancers {
 		others := map[string]balance.CallCounts{}
 		for j, report := range reports {
 			for id, x := range report {
@@ -105,39 +105,39 @@
 				}
 			}
 		}
-		b.SetRemoteLoad(nil, len(c.balancers)-1, now)
-		b.SetPeers(len(c.balancers)-1, 0)
+		b.SetRemoteLoad(nil, len(s.balancers)-1, now)
+		b.SetPeers(len(s.balancers)-1, 0)
 		b.SetRemoteFailures(others, now)
 	}
 }
 
 // run returns how many of 1,000 requests were answered.
-func (c *simulation) run() int {
+func (s *simulation) run() int {
 	for n := 0; n < int(simDuration/simStep); n++ {
 		now := epoch.Add(time.Duration(n) * simStep)
 		if n%exchangeSteps == 0 {
-			c.exchange(now)
+			s.exchange(now)
 		}
-		pending := c.attempts
-		c.attempts = nil
+		pending := s.attempts
+		s.attempts = nil
 		for _, x := range pending {
 			if now.Before(x.end) {
-				c.attempts = append(c.attempts, x)
+				s.attempts = append(s.attempts, x)
 				continue
 			}
-			c.finish(x, now)
+			s.finish(x, now)
 		}
 		if n%arrivalSteps != 0 {
 			continue
 		}
 		counted := now.Sub(epoch) >= learningTime
 		if counted {
-			c.counted++
+			s.counted++
 		}
-		c.arrived++
-		c.send(c.balancers[c.arrived%len(c.balancers)], map[string]bool{}, counted, now)
+		s.arrived++
+		s.send(s.balancers[s.arrived%len(s.balancers)], map[string]bool{}, counted, now)
 	}
-	return c.served * 1000 / (c.counted - len(c.attempts))
+	return s.served * 1000 / (s.counted - len(s.attempts))
 }
 
 // Where some endpoints fail a part of their calls, faster or slower than they answer, the requests
--- a/balance/hints.go
+++ b/balance/hints.go
@@ -63,18 +63,18 @@
 // longShareHalfLife is the half-life of the counts. It covers some dozens of requests at each box.
 const longShareHalfLife = 10 * time.Second
 
-func (s *longShare) add(tokens float64, long bool, now time.Time) {
-	decay := math.Exp2(-float64(now.Sub(s.at)) / float64(longShareHalfLife))
-	s.total, s.long, s.at = s.total*decay+tokens, s.long*decay, now
+func (l *longShare) add(tokens float64, long bool, now time.Time) {
+	decay := math.Exp2(-float64(now.Sub(l.at)) / float64(longShareHalfLife))
+	l.total, l.long, l.at = l.total*decay+tokens, l.long*decay, now
 	if long {
-		s.long += tokens
+		l.long += tokens
 	}
 }
 
 // fraction returns 0 before anything was sent.
-func (s *longShare) fraction() float64 {
-	if s.total <= 0 {
+func (l *longShare) fraction() float64 {
+	if l.total <= 0 {
 		return 0
 	}
-	return s.long / s.total
+	return l.long / l.total
 }
--- a/claims/committer.go
+++ b/claims/committer.go
@@ -59,15 +59,15 @@
 }
 
 // submit queues a claim and waits for the claim in force. The commit continues if c ends first.
-func (m *committer) submit(c context.Context, claim ledger.Claim, spawn func(func())) (ledger.Claim, error) {
+func (cm *committer) submit(c context.Context, claim ledger.Claim, spawn func(func())) (ledger.Claim, error) {
 	w := pending{claim: claim, done: make(chan result, 1)}
-	m.mu.Lock()
-	m.waiting = append(m.waiting, w)
-	if !m.running {
-		m.running = true
-		spawn(m.commitLoop)
+	cm.mu.Lock()
+	cm.waiting = append(cm.waiting, w)
+	if !cm.running {
+		cm.running = true
+		spawn(cm.commitLoop)
 	}
-	m.mu.Unlock()
+	cm.mu.Unlock()
 	select {
 	case r := <-w.done:
 		return r.claim, r.err
@@ -77,30 +77,30 @@
 }
 
 // commitLoop commits the queued claims in groups until the queue is empty.
-func (m *committer) commitLoop() {
+func (cm *committer) commitLoop() {
 	for {
-		m.mu.Lock()
-		ws := m.waiting
-		m.waiting = nil
+		cm.mu.Lock()
+		ws := cm.waiting
+		cm.waiting = nil
 		if len(ws) == 0 {
-			m.running = false
-			m.mu.Unlock()
+			cm.running = false
+			cm.mu.Unlock()
 			return
 		}
-		m.mu.Unlock()
-		m.commit(ws)
-		time.Sleep(m.interval)
+		cm.mu.Unlock()
+		cm.commit(ws)
+		time.Sleep(cm.interval)
 	}
 }
 
-func (m *committer) commit(ws []pending) {
+func (cm *committer) commit(ws []pending) {
 	c, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
 	var rs []result
 	var err error
 	unknown := false
 	for n := 0; n < maxCommitTries && c.Err() == nil; n++ {
-		if rs, err = m.tryCommit(c, ws); err == nil {
+		if rs, err = cm.tryCommit(c, ws); err == nil {
 			deliver(ws, rs)
 			return
 		}
@@ -126,15 +126,15 @@
 
 // tryCommit adds the claims to the page as this box knows it, and swaps the page once. No swap is
 // needed if all keys are claimed already.
-func (m *committer) tryCommit(c context.Context, ws []pending) ([]result, error) {
-	if err := m.load(c); err != nil {
+func (cm *committer) tryCommit(c context.Context, ws []pending) ([]result, error) {
+	if err := cm.load(c); err != nil {
 		return nil, err
 	}
-	m.page.Expire(time.Now(), m.ttl)
+	cm.page.Expire(time.Now(), cm.ttl)
 	rs := make([]result, len(ws))
 	added := 0
 	for i, w := range ws {
-		current, fresh := m.page.Add(w.claim)
+		current, fresh := cm.page.Add(w.claim)
 		rs[i] = result{claim: current}
 		if fresh {
 			added++
@@ -143,53 +143,53 @@
 	if added == 0 {
 		return rs, nil
 	}
-	return rs, m.swap(c)
+	return rs, cm.swap(c)
 }
 
 // load reads the page unless it is known.
-func (m *committer) load(c context.Context) error {
-	if m.page != nil {
+func (cm *committer) load(c context.Context) error {
+	if cm.page != nil {
 		return nil
 	}
-	e, err := m.store.Get(c, m.key)
+	e, err := cm.store.Get(c, cm.key)
 	if err != nil {
 		return err
 	}
-	return m.setPage(e)
+	return cm.setPage(e)
 }
 
-func (m *committer) setPage(e kv.Entry) error {
+func (cm *committer) setPage(e kv.Entry) error {
 	p, err := ledger.Parse(e.Value)
 	if err != nil {
 		return err
 	}
-	m.page, m.rev = p, e.Rev
+	cm.page, cm.rev = p, e.Rev
 	return nil
 }
 
 // swap writes the page. After a failure the page's content is unknown: it is taken from the
 // conflict's answer or read again.
-func (m *committer) swap(c context.Context) error {
-	b, err := m.page.Bytes()
+func (cm *committer) swap(c context.Context) error {
+	b, err := cm.page.Bytes()
 	if err == nil && len(b) > maxPageBytes {
 		err = errkind.New(errkind.ClaimUnavailable, "the page of claims is full").WithRetryAfter(fullRetryAfter)
 	}
 	if err != nil {
-		m.page = nil
+		cm.page = nil
 		return err
 	}
-	e, err := m.store.Swap(c, kv.Entry{Key: m.key, Rev: m.rev, Value: b})
+	e, err := cm.store.Swap(c, kv.Entry{Key: cm.key, Rev: cm.rev, Value: b})
 	switch {
 	case err == nil:
-		m.rev = e.Rev
+		cm.rev = e.Rev
 		return nil
 	case errors.Is(err, kv.ErrConflict):
-		if k := m.setPage(e); k != nil {
+		if k := cm.setPage(e); k != nil {
 			return fmt.Errorf("%w: %w", err, k)
 		}
 		return err
 	default:
-		m.page = nil
+		cm.page = nil
 		return err
 	}
 }
--- a/configsync/follower.go
+++ b/configsync/follower.go
@@ -56,7 +56,7 @@
 type store interface {
 	Get(c context.Context, key string) (kv.Entry, error)
 	Swap(c context.Context, e kv.Entry) (kv.Entry, error)
-	Watch(c context.Context, key string, after uint64, wait time.Duration) (kv.Entry, error)
+	Watch(c context.Context, key string, after uint64, timeout time.Duration) (kv.Entry, error)
 }
 
 // Follower is the kernel service that follows the configuration.
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -179,8 +179,8 @@
 			got := &txtar.Archive{Comment: golden.Comment}
 			for _, r := range golden.Files {
 				if n, ok := strings.CutSuffix(r.Name, ".request"); ok {
-					decisions, answer := b.runSession(t, string(r.Data))
-					got.Files = append(got.Files, r, txtar.File{Name: n + ".decisions", Data: decisions}, txtar.File{Name: n + ".answer", Data: answer})
+					recorded, response := b.runSession(t, string(r.Data))
+					got.Files = append(got.Files, r, txtar.File{Name: n + ".decisions", Data: recorded}, txtar.File{Name: n + ".answer", Data: response})
 				}
 			}
 			if *update {
@@ -193,7 +193,7 @@
 
 // runSession sends a request, given as HTTP text, and returns the recorded decisions and the answer.
 // Values that differ between runs are removed or replaced.
-func (b *box) runSession(t *testing.T, request string) (decisions, answer []byte) {
+func (b *box) runSession(t *testing.T, request string) (recorded, response []byte) {
 	head, body, _ := strings.Cut(request, "\n\n")
 	raw := fmt.Sprintf("%s\r\nHost: x\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", strings.ReplaceAll(head, "\n", "\r\n"), len(body), body)
 	c, err := net.Dial("tcp", b.daemon.Front.Addr())
--- a/daemon/gossip.go
+++ b/daemon/gossip.go
@@ -21,10 +21,10 @@
 func (p *platformComponents) connectGossip() {
 	g, s := p.gossip, p.settings
 	g.Box, g.DataCentre, g.Address, g.Prefix, g.Seeds, g.Store = s.Box, s.DataCentre, s.Peers, relaysPrefix, s.Seeds, p.store
-	g.FirstStart, g.LinkMbps, g.UsedEndpoints = s.FirstStart, s.LinkMbps, p.known.Roster.UsedEndpoints
+	g.FirstStart, g.LinkMbps, g.UsedEndpoints = s.FirstStart, s.LinkMbps, p.state.Roster.UsedEndpoints
 	g.LocalStatus = func() gossip.Status {
 		now := boottime.Now()
-		v, _ := p.known.RawConfig()
+		v, _ := p.state.RawConfig()
 		d := map[string]map[string]demand.Stats{}
 		for n, f := range p.meter.Snapshot(now) {
 			d[n] = map[string]demand.Stats{s.DataCentre: f}
@@ -41,7 +41,7 @@
 	g.RestoreEndpointStats = func(s map[string]estimate.Stats) { p.balancer.Restore(s, boottime.Now()) }
 	g.EndpointStats = func() map[string]estimate.Stats { return p.balancer.Stats(boottime.Now()) }
 	g.Snapshot = func(boxes int) quota.Before {
-		t := p.known.Table()
+		t := p.state.Table()
 		if t == nil {
 			return quota.Before{Boxes: boxes}
 		}
@@ -55,9 +55,9 @@
 	p.reachableBoxes.Store(int64(others.Boxes + 1))
 	p.budget.SetBoxes(p.quota.MaxBoxes())
 	p.updateHintPeers()
-	p.balancer.Forget(func(id string) bool { _, ok := p.known.Roster.Get(id); return ok })
+	p.balancer.Forget(func(id string) bool { _, ok := p.state.Roster.Get(id); return ok })
 	p.balancer.Availability.Rates.Forget(func(incarnation string) bool {
-		e, ok := p.known.Roster.Get(endpoint.IDOf(incarnation))
+		e, ok := p.state.Roster.Get(endpoint.IDOf(incarnation))
 		return ok && e.Incarnation() == incarnation
 	}, now)
 	if p.reporter != nil {
@@ -82,7 +82,7 @@
 // another process has started under the endpoint's ID since.
 func (p *platformComponents) recordCrash(incarnation string) {
 	id := endpoint.IDOf(incarnation)
-	if e, ok := p.known.Roster.Get(id); ok && e.Incarnation() == incarnation {
+	if e, ok := p.state.Roster.Get(id); ok && e.Incarnation() == incarnation {
 		p.balancer.RecordCrash(id, boottime.Now())
 	}
 }
@@ -108,7 +108,7 @@
 
 // receiveHint adds a hint from another box to the load of an endpoint.
 func (p *platformComponents) receiveHint(h hint.Hint) {
-	if e, ok := p.known.Roster.Get(h.Endpoint); ok {
+	if e, ok := p.state.Roster.Get(h.Endpoint); ok {
 		p.balancer.AddHint(e, h.Tokens, boottime.Now())
 	}
 }
@@ -155,4 +155,4 @@
 
 // writesUsage reports whether this box writes its counts of requests to the store itself: as a
 // relay, or while no relay represents it.
-func (p *platformComponents) writesUsage() bool { return p.gossip.IsRelay() || p.known.IsWatching() }
+func (p *platformComponents) writesUsage() bool { return p.gossip.IsRelay() || p.state.IsWatching() }
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -113,7 +113,7 @@
 	meter    *demand.Meter
 	tally    *usage.Tally
 	clock    *fleetclock.Clock
-	known    *fleetstate.Service
+	state    *fleetstate.Service
 	gossip   *gossip.Gossip
 	hints    *hint.Service
 	reporter *reporter.Reporter // nil unless usage is reported
@@ -145,14 +145,14 @@
 		tally:  &usage.Tally{Window: s.ReportWindow}, clock: fleetclock.New(time.Now),
 		gossip: gossip.New(log), incarnation: uuid.NewString()[:8],
 	}
-	p.known = fleetstate.New(fleetstate.Source{
+	p.state = fleetstate.New(fleetstate.Source{
 		ConfigKey: platform.ConfigKey, OperatorPrefix: platform.OperatorPrefix, EndpointsPrefix: platform.ServersPrefix,
 		DecodeConfig: platform.DecodeDocument, DecodeEndpoint: platform.DecodeEndpoint, DecodeOrder: platform.DecodeOrder,
 	}, st, log)
-	p.known.OnOrders = p.gossip.BroadcastOrders
+	p.state.OnOrders = p.gossip.BroadcastOrders
 	p.gossip.Rollouts.Rand = rand.Float64
-	p.known.DeferWatch = true
-	p.known.Roster.Box, p.known.Roster.DataCentre = s.Box, s.DataCentre
+	p.state.DeferWatch = true
+	p.state.Roster.Box, p.state.Roster.DataCentre = s.Box, s.DataCentre
 	p.quota.Incarnation = p.incarnation
 	p.budget.Rand = rand.Float64
 	p.budget.SetBoxes(p.quota.MaxBoxes())
@@ -160,7 +160,7 @@
 	q.Log = log
 	p.gossip.OnCrash = p.recordCrash
 	p.gossip.Rates = &p.balancer.Availability.Rates
-	p.known.Roster.OnUnavailable(func(e endpoint.Endpoint) {
+	p.state.Roster.OnUnavailable(func(e endpoint.Endpoint) {
 		if !e.Draining {
 			q.RecordCrash(e.Incarnation(), "its record was deleted", boottime.Now())
 		}
@@ -175,15 +175,15 @@
 	p := newPlatformComponents(s, log)
 	limits := ratelimit.New(p.quota, &p.balancer.Availability.Rates, m, log)
 	f := &forward.Forwarder{
-		DataCentre: s.DataCentre, Roster: &p.known.Roster, Balancer: p.balancer, Budget: p.budget, Meter: p.meter,
+		DataCentre: s.DataCentre, Roster: &p.state.Roster, Balancer: p.balancer, Budget: p.budget, Meter: p.meter,
 		Quarantine: p.gossip.Quarantine, Rollouts: p.gossip.Rollouts,
 		Pool: &httpconn.Pool{DialTimeout: endpointDialTimeout}, Codec: platform.HeaderCodec{}, OnStart: p.countRequest, Metrics: m, Log: log,
 		OnSend: p.sendHint, OnCrash: func(e endpoint.Endpoint) { p.gossip.BroadcastCrash(e.Incarnation()) },
 		OnDraining:    func(e endpoint.Endpoint) { p.gossip.BroadcastDraining(e.Incarnation()) },
 		OnLimitChange: p.gossip.BroadcastRate, RequestPermit: limits.Permit,
 	}
-	p.known.Roster.OnReplaced(f.CancelReplaced)
-	p.known.OnInvalidRecord = func(r endpoint.Reason) {
+	p.state.Roster.OnReplaced(f.CancelReplaced)
+	p.state.OnInvalidRecord = func(r endpoint.Reason) {
 		metrics.GetOrRegisterCounter("endpoints.foreign."+string(r), m).Inc(1)
 	}
 	p.hints = hint.New(log)
@@ -195,7 +195,7 @@
 	ss := []kernel.Service{
 		storesession.New(p.store, log),
 		peer.NewNode(s.Peers, s.Peers, peerSecret, m),
-		p.known,
+		p.state,
 		p.gossip,
 		p.hints,
 		limits,
@@ -210,9 +210,9 @@
 // state registered.
 func (p *platformComponents) newMetricsServer(in *ingress.Ingress, f *forward.Forwarder, m metrics.Registry, log zerolog.Logger) *metricshttp.Server {
 	s := metricshttp.New(p.settings.Metrics, m, log)
-	s.RegisterGauge("configuration.version", func() int64 { v, _ := p.known.RawConfig(); return int64(v) })
-	s.RegisterGauge("endpoints.known", func() int64 { return int64(p.known.Roster.Len()) })
-	s.RegisterGauge("endpoints.leaving", func() int64 { return int64(p.known.Roster.CountDraining()) })
+	s.RegisterGauge("configuration.version", func() int64 { v, _ := p.state.RawConfig(); return int64(v) })
+	s.RegisterGauge("endpoints.known", func() int64 { return int64(p.state.Roster.Len()) })
+	s.RegisterGauge("endpoints.leaving", func() int64 { return int64(p.state.Roster.CountDraining()) })
 	s.RegisterGauge("endpoints.resting", func() int64 { return int64(p.balancer.Availability.CountBackingOff(boottime.Now())) })
 	s.RegisterGauge("endpoints.limited", func() int64 { return int64(p.balancer.Availability.Rates.Len()) })
 	s.RegisterGauge("boxes.known", func() int64 { return p.reachableBoxes.Load() })
--- a/daemon/platform_test.go
+++ b/daemon/platform_test.go
@@ -133,9 +133,9 @@
 }
 
 // call sends a request to a box and returns the status and the body of the answer.
-func (b *entryBox) call(t *testing.T, id, body string) (int, string) {
+func (e *entryBox) call(t *testing.T, id, body string) (int, string) {
 	t.Helper()
-	q, err := standin.NewRequest(b.callersAddress, "/again/x", id, 10*time.Second)
+	q, err := standin.NewRequest(e.callersAddress, "/again/x", id, 10*time.Second)
 	require.NoError(t, err)
 	q.Body, q.ContentLength, q.GetBody = io.NopCloser(strings.NewReader(body)), int64(len(body)), nil
 	a, err := http.DefaultClient.Do(q)
@@ -147,9 +147,9 @@
 }
 
 // hasMetric reports whether a metric of the box has the given value.
-func (b *entryBox) hasMetric(t *testing.T, name string, value int) bool {
+func (e *entryBox) hasMetric(t *testing.T, name string, value int) bool {
 	t.Helper()
-	a, err := http.Get("http://" + b.metricsAddress + "/metrics")
+	a, err := http.Get("http://" + e.metricsAddress + "/metrics")
 	require.NoError(t, err)
 	defer a.Body.Close()
 	text, err := io.ReadAll(a.Body)
@@ -196,9 +196,9 @@
 }
 
 // isReady reports whether the readiness check of the box succeeds.
-func (b *entryBox) isReady(t *testing.T) bool {
+func (e *entryBox) isReady(t *testing.T) bool {
 	t.Helper()
-	a, err := http.Get("http://" + b.readyAddress + standin.ReadyPath)
+	a, err := http.Get("http://" + e.readyAddress + standin.ReadyPath)
 	require.NoError(t, err)
 	require.NoError(t, a.Body.Close())
 	return a.StatusCode == http.StatusOK
--- a/daemon/rates_test.go
+++ b/daemon/rates_test.go
@@ -18,10 +18,10 @@
 }
 
 // callUntil calls a box until done returns true.
-func (b *entryBox) callUntil(t *testing.T, idPrefix string, done func() bool) {
+func (e *entryBox) callUntil(t *testing.T, idPrefix string, done func() bool) {
 	t.Helper()
 	for i := 0; !done(); i++ {
-		status, text := b.call(t, fmt.Sprint(idPrefix, i), "body")
+		status, text := e.call(t, fmt.Sprint(idPrefix, i), "body")
 		require.Equal(t, http.StatusOK, status, text)
 	}
 }
--- a/endpoint/draining_test.go
+++ b/endpoint/draining_test.go
@@ -117,19 +117,19 @@
 
 const endpointCount = 12
 
-func (m *fleetModel) start(n *node) {
-	*n = node{index: n.index, partition: n.partition, knownSums: map[int]uint64{}, lastFault: m.now}
+func (f *fleetModel) start(n *node) {
+	*n = node{index: n.index, partition: n.partition, knownSums: map[int]uint64{}, lastFault: f.now}
 	fill(&n.Roster, endpointCount)
 }
 
-func (m *fleetModel) canReach(a, b *node) bool {
-	return !a.down && !b.down && !a.frozen && !b.frozen && (!m.partitioned || a.partition == b.partition)
+func (f *fleetModel) canReach(a, b *node) bool {
+	return !a.down && !b.down && !a.frozen && !b.frozen && (!f.partitioned || a.partition == b.partition)
 }
 
 // relayOf returns the first reachable relay, in an order that starts at the member's own.
-func (m *fleetModel) relayOf(n *node) *node {
-	for i := range m.relays {
-		if r := m.nodes[(n.index+i)%m.relays]; m.canReach(n, r) {
+func (f *fleetModel) relayOf(n *node) *node {
+	for i := range f.relays {
+		if r := f.nodes[(n.index+i)%f.relays]; f.canReach(n, r) {
 			return r
 		}
 	}
@@ -137,10 +137,10 @@
 }
 
 // send delivers a set after hopDelay, and calls then with the names that were unknown, if any.
-func (m *fleetModel) send(from, to *node, l endpoint.DrainingSet, then func(added []string)) {
-	m.namesSent += len(l.Incarnations)
-	m.pending[m.now+hopDelay] = append(m.pending[m.now+hopDelay], func() {
-		if !m.canReach(from, to) {
+func (f *fleetModel) send(from, to *node, l endpoint.DrainingSet, then func(added []string)) {
+	f.namesSent += len(l.Incarnations)
+	f.pending[f.now+hopDelay] = append(f.pending[f.now+hopDelay], func() {
+		if !f.canReach(from, to) {
 			return
 		}
 		if added := to.Merge(l); len(added) > 0 {
@@ -151,33 +151,33 @@
 
 // broadcast forwards new names at once: a member to its relay, a relay to all other relays and to its
 // members.
-func (m *fleetModel) broadcast(n *node, added []string) {
+func (f *fleetModel) broadcast(n *node, added []string) {
 	l := endpoint.DrainingSet{Incarnations: added}
-	if n.index >= m.relays {
-		if r := m.relayOf(n); r != nil {
-			m.send(n, r, l, func(added []string) { m.broadcast(r, added) })
+	if n.index >= f.relays {
+		if r := f.relayOf(n); r != nil {
+			f.send(n, r, l, func(added []string) { f.broadcast(r, added) })
 		}
 		return
 	}
-	for _, r := range m.nodes[:m.relays] {
+	for _, r := range f.nodes[:f.relays] {
 		if r != n {
-			m.send(n, r, l, func(added []string) { m.broadcastToMembers(r, added) })
+			f.send(n, r, l, func(added []string) { f.broadcastToMembers(r, added) })
 		}
 	}
-	m.broadcastToMembers(n, added)
+	f.broadcastToMembers(n, added)
 }
 
-func (m *fleetModel) broadcastToMembers(r *node, added []string) {
-	for _, n := range m.nodes[m.relays:] {
-		if m.relayOf(n) == r {
-			m.send(r, n, endpoint.DrainingSet{Incarnations: added}, func([]string) {})
+func (f *fleetModel) broadcastToMembers(r *node, added []string) {
+	for _, n := range f.nodes[f.relays:] {
+		if f.relayOf(n) == r {
+			f.send(r, n, endpoint.DrainingSet{Incarnations: added}, func([]string) {})
 		}
 	}
 }
 
 // exchange is one call between two boxes that swaps their sets.
-func (m *fleetModel) exchange(a, b *node) {
-	if !m.canReach(a, b) {
+func (f *fleetModel) exchange(a, b *node) {
+	if !f.canReach(a, b) {
 		return
 	}
 	l := a.DrainingSet(a.knownSums[b.index])
@@ -186,45 +186,45 @@
 	l2 := b.DrainingSet(l.Sum)
 	a.knownSums[b.index] = l2.Sum
 	a.Merge(l2)
-	m.namesSent += len(l.Incarnations) + len(l2.Incarnations)
+	f.namesSent += len(l.Incarnations) + len(l2.Incarnations)
 }
 
-func (m *fleetModel) exchangeAll() {
-	for _, n := range m.nodes {
-		if n.index >= m.relays {
-			if r := m.relayOf(n); r != nil {
-				m.exchange(n, r)
+func (f *fleetModel) exchangeAll() {
+	for _, n := range f.nodes {
+		if n.index >= f.relays {
+			if r := f.relayOf(n); r != nil {
+				f.exchange(n, r)
 			}
 			continue
 		}
-		for _, r := range m.nodes[:n.index] {
-			m.exchange(n, r)
+		for _, r := range f.nodes[:n.index] {
+			f.exchange(n, r)
 		}
 	}
 }
 
 // injectFault starts or ends a random fault.
-func (m *fleetModel) injectFault() {
-	n := m.nodes[m.rnd.IntN(len(m.nodes))]
-	switch m.rnd.IntN(5) {
+func (f *fleetModel) injectFault() {
+	n := f.nodes[f.rnd.IntN(len(f.nodes))]
+	switch f.rnd.IntN(5) {
 	case 0:
 		n.down = true
 	case 1:
 		n.frozen = true
 	case 2, 3:
-		m.recover(n)
+		f.recover(n)
 	case 4:
-		m.partitioned = !m.partitioned
-		m.partitionEnd = m.now
+		f.partitioned = !f.partitioned
+		f.partitionEnd = f.now
 	}
 }
 
-func (m *fleetModel) recover(n *node) {
+func (f *fleetModel) recover(n *node) {
 	switch {
 	case n.down:
-		m.start(n)
+		f.start(n)
 	case n.frozen:
-		n.frozen, n.lastFault = false, m.now
+		n.frozen, n.lastFault = false, f.now
 	}
 }
 
@@ -301,17 +301,17 @@
 // checkPropagation requires that every box without a fault since before an announcement has received
 // it after convergenceTime. Announcements made while all relays were unavailable are skipped: members
 // take over the relay slots only seconds later, which the simulation does not model.
-func (m *fleetModel) checkPropagation(t *testing.T, seed uint64, announced map[string]int, receiver map[string]*node) {
+func (f *fleetModel) checkPropagation(t *testing.T, seed uint64, announced map[string]int, receiver map[string]*node) {
 	for e, at := range announced {
 		healthy := func(n *node) bool { return !n.down && !n.frozen && n.lastFault+convergenceTime <= at }
-		if m.now != at+convergenceTime || m.partitioned || m.partitionEnd+convergenceTime > at ||
-			m.lastWithoutRelay+convergenceTime > at || !healthy(receiver[e]) {
+		if f.now != at+convergenceTime || f.partitioned || f.partitionEnd+convergenceTime > at ||
+			f.lastWithoutRelay+convergenceTime > at || !healthy(receiver[e]) {
 			continue
 		}
-		for _, n := range m.nodes {
+		for _, n := range f.nodes {
 			if healthy(n) {
 				got, ok := n.Get(e)
-				require.True(t, ok && got.Draining, "seed %d: box %d of %d does not know of %s", seed, n.index, len(m.nodes), e)
+				require.True(t, ok && got.Draining, "seed %d: box %d of %d does not know of %s", seed, n.index, len(f.nodes), e)
 			}
 		}
 	}
--- a/endpoint/pool.go
+++ b/endpoint/pool.go
@@ -39,11 +39,11 @@
 // in other ones. Zero accepts any weight.
 type thresholds struct{ local, remote uint64 }
 
-func (w thresholds) forMember(m member) uint64 {
+func (t thresholds) forMember(m member) uint64 {
 	if m.local {
-		return w.local
+		return t.local
 	}
-	return w.remote
+	return t.remote
 }
 
 // put adds an endpoint, or invalidates the lists that hold it if it is a member already.
@@ -130,35 +130,35 @@
 	weight uint64
 }
 
-func (h *topMembers) add(id string, weight uint64) {
-	if len(h.entries) == subsetSize {
-		if weight <= h.entries[subsetSize-1].weight {
+func (t *topMembers) add(id string, weight uint64) {
+	if len(t.entries) == subsetSize {
+		if weight <= t.entries[subsetSize-1].weight {
 			return
 		}
-		h.entries = h.entries[:subsetSize-1]
+		t.entries = t.entries[:subsetSize-1]
 	}
-	i, _ := slices.BinarySearchFunc(h.entries, weight, func(r weightedMember, w uint64) int {
+	i, _ := slices.BinarySearchFunc(t.entries, weight, func(r weightedMember, w uint64) int {
 		if r.weight > w {
 			return -1
 		}
 		return 1
 	})
-	h.entries = slices.Insert(h.entries, i, weightedMember{id, weight})
+	t.entries = slices.Insert(t.entries, i, weightedMember{id, weight})
 }
 
-func (h *topMembers) truncate(n int) { h.entries = h.entries[:min(n, len(h.entries))] }
+func (t *topMembers) truncate(n int) { t.entries = t.entries[:min(n, len(t.entries))] }
 
 // minWeight returns the lowest weight, or zero if there are no members.
-func (h *topMembers) minWeight() uint64 {
-	if len(h.entries) == 0 {
+func (t *topMembers) minWeight() uint64 {
+	if len(t.entries) == 0 {
 		return 0
 	}
-	return h.entries[len(h.entries)-1].weight
+	return t.entries[len(t.entries)-1].weight
 }
 
-func (h *topMembers) ids() []string {
-	out := make([]string, len(h.entries))
-	for i, r := range h.entries {
+func (t *topMembers) ids() []string {
+	out := make([]string, len(t.entries))
+	for i, r := range t.entries {
 		out[i] = r.id
 	}
 	return out
--- a/estimate/model_test.go
+++ b/estimate/model_test.go
@@ -115,10 +115,10 @@
 	return [2]int{bits.Len(uint(l.Prefill)), bits.Len(uint(l.LocalQueued / 1000))}
 }
 
-func (t medianTable) predictFirstEvent(l estimate.Load) time.Duration {
-	observed := t[bucketOf(l)]
+func (m medianTable) predictFirstEvent(l estimate.Load) time.Duration {
+	observed := m[bucketOf(l)]
 	if len(observed) == 0 {
-		for _, v := range t {
+		for _, v := range m {
 			observed = append(observed, v...)
 		}
 	}
--- a/fleetstate/records.go
+++ b/fleetstate/records.go
@@ -128,41 +128,41 @@
 }
 
 // Revision returns the store revision up to which the records are known.
-func (k *Service) Revision() uint64 {
-	k.records.mu.Lock()
-	defer k.records.mu.Unlock()
-	return k.records.revision
+func (s *Service) Revision() uint64 {
+	s.records.mu.Lock()
+	defer s.records.mu.Unlock()
+	return s.records.revision
 }
 
 // ChangesSince returns the changes after a revision for a box that missed them. It returns all
 // records if revision is zero or too old.
-func (k *Service) ChangesSince(revision uint64) Records { return k.records.changesSince(revision) }
+func (s *Service) ChangesSince(revision uint64) Records { return s.records.changesSince(revision) }
 
 // Merge applies records that another box has read from the store. It returns false
 // if this box lacks the changes before r.From; the caller must fetch them first.
-func (k *Service) Merge(r Records) bool {
-	at := k.Revision()
+func (s *Service) Merge(r Records) bool {
+	at := s.Revision()
 	switch {
 	case r.To <= at:
 		return true
 	case !r.Whole && r.From > at:
 		return false
 	}
-	k.applyRecords(r)
+	s.applyRecords(r)
 	return true
 }
 
 // OnRecords registers a function that is called with each change of the records.
-func (k *Service) OnRecords(f func(Records)) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.recordCallbacks = append(k.recordCallbacks, f)
+func (s *Service) OnRecords(f func(Records)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.recordCallbacks = append(s.recordCallbacks, f)
 }
 
-func (k *Service) notifyRecords(r Records) {
-	k.mu.Lock()
-	fs := k.recordCallbacks
-	k.mu.Unlock()
+func (s *Service) notifyRecords(r Records) {
+	s.mu.Lock()
+	fs := s.recordCallbacks
+	s.mu.Unlock()
 	for _, f := range fs {
 		f(r)
 	}
--- a/fleetstate/records_test.go
+++ b/fleetstate/records_test.go
@@ -22,38 +22,38 @@
 	boxes    []*recordSet
 }
 
-func (c *simulation) key() string { return fmt.Sprint("e/", c.rng.IntN(30)) }
+func (s *simulation) key() string { return fmt.Sprint("e/", s.rng.IntN(30)) }
 
 // mutate writes or deletes a random key.
-func (c *simulation) mutate() {
-	c.revision++
-	i := store.Item{Key: c.key(), Revision: c.revision, Deleted: c.rng.IntN(3) == 0}
+func (s *simulation) mutate() {
+	s.revision++
+	i := store.Item{Key: s.key(), Revision: s.revision, Deleted: s.rng.IntN(3) == 0}
 	if i.Deleted {
-		delete(c.current, i.Key)
+		delete(s.current, i.Key)
 	} else {
-		c.current[i.Key] = i
+		s.current[i.Key] = i
 	}
-	c.events = append(c.events, i)
+	s.events = append(s.events, i)
 }
 
 // deliverWatch gives b the changes in the store since b's revision.
-func (c *simulation) deliverWatch(b *recordSet) {
+func (s *simulation) deliverWatch(b *recordSet) {
 	var items []store.Item
-	for _, i := range c.events {
+	for _, i := range s.events {
 		if i.Revision > b.revision {
 			items = append(items, i)
 		}
 	}
-	b.apply(Records{Items: items, From: b.revision, To: c.revision})
+	b.apply(Records{Items: items, From: b.revision, To: s.revision})
 }
 
 // deliverAll gives b all records in the store.
-func (c *simulation) deliverAll(b *recordSet) {
-	b.apply(Records{Items: slices.Collect(maps.Values(c.current)), Whole: true, To: c.revision})
+func (s *simulation) deliverAll(b *recordSet) {
+	b.apply(Records{Items: slices.Collect(maps.Values(s.current)), Whole: true, To: s.revision})
 }
 
 // fetchFrom gives b the changes that b lacks and source has.
-func (c *simulation) fetchFrom(b, source *recordSet) {
+func (s *simulation) fetchFrom(b, source *recordSet) {
 	if r := source.changesSince(b.revision); r.To > b.revision {
 		b.apply(r)
 	}
--- a/fleetstate/service.go
+++ b/fleetstate/service.go
@@ -97,161 +97,161 @@
 }
 
 // Name returns the service's name.
-func (k *Service) Name() string { return Name }
+func (s *Service) Name() string { return Name }
 
 // Start begins to watch the store, unless DeferWatch is set.
-func (k *Service) Start(_ context.Context, n *kernel.Kernel) error {
-	if err := kernel.Bind(n, storesession.Name, &k.session); err != nil {
+func (s *Service) Start(_ context.Context, n *kernel.Kernel) error {
+	if err := kernel.Bind(n, storesession.Name, &s.session); err != nil {
 		return err
 	}
-	k.mirrors = []*mirror.Mirror{
-		{Store: k.Store, Prefix: k.operatorPrefix(), Wait: watchTimeout, Apply: k.applyConfig, Log: k.log, StoreUnreachable: k.session.StoreUnreachable},
+	s.mirrors = []*mirror.Mirror{
+		{Store: s.Store, Prefix: s.operatorPrefix(), Wait: watchTimeout, Apply: s.applyConfig, Log: s.log, StoreUnreachable: s.session.StoreUnreachable},
 		{
-			Store: k.Store, Prefix: k.EndpointsPrefix, Wait: watchTimeout, Apply: k.applyEndpoints, StartRevision: k.Revision,
-			Log: k.log, StoreUnreachable: k.session.StoreUnreachable,
+			Store: s.Store, Prefix: s.EndpointsPrefix, Wait: watchTimeout, Apply: s.applyEndpoints, StartRevision: s.Revision,
+			Log: s.log, StoreUnreachable: s.session.StoreUnreachable,
 		},
 	}
-	for _, m := range k.mirrors {
-		k.session.OnReconnect(m.Restart)
+	for _, m := range s.mirrors {
+		s.session.OnReconnect(m.Restart)
 	}
-	k.ctx, k.cancel = context.WithCancel(context.Background())
-	k.SetWatching(!k.DeferWatch)
+	s.ctx, s.cancel = context.WithCancel(context.Background())
+	s.SetWatching(!s.DeferWatch)
 	return nil
 }
 
 // SetWatching starts or stops watching the store. A box that doesn't watch gets the
 // changes from a box that does.
-func (k *Service) SetWatching(on bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if on == (k.stopWatch != nil) || k.ctx.Err() != nil {
+func (s *Service) SetWatching(on bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if on == (s.stopWatch != nil) || s.ctx.Err() != nil {
 		return
 	}
 	if !on {
-		k.stopWatch()
-		k.stopWatch = nil
+		s.stopWatch()
+		s.stopWatch = nil
 		return
 	}
-	c, stop := context.WithCancel(k.ctx)
-	k.stopWatch = stop
-	for _, m := range k.mirrors {
-		k.group.Go(func() { m.Run(c) })
+	c, stop := context.WithCancel(s.ctx)
+	s.stopWatch = stop
+	for _, m := range s.mirrors {
+		s.group.Go(func() { m.Run(c) })
 	}
 }
 
 // IsWatching reports whether this box watches the store itself.
-func (k *Service) IsWatching() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.stopWatch != nil
+func (s *Service) IsWatching() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.stopWatch != nil
 }
 
 // Stop stops watching the store and waits for running callbacks.
-func (k *Service) Stop(context.Context) error {
-	k.cancel()
-	k.group.Wait()
+func (s *Service) Stop(context.Context) error {
+	s.cancel()
+	s.group.Wait()
 	return nil
 }
 
 // Table returns the configuration in force, or nil if none is known.
-func (k *Service) Table() *catalog.Table { return k.table.Load() }
+func (s *Service) Table() *catalog.Table { return s.table.Load() }
 
 // Ready reports whether the configuration and the endpoints are known.
-func (k *Service) Ready() bool { return k.table.Load() != nil && k.endpointsRead.Load() }
+func (s *Service) Ready() bool { return s.table.Load() != nil && s.endpointsRead.Load() }
 
 // OnRawConfig registers a function that is called, on a goroutine of its own, with the
 // encoded form of each configuration installed from now on.
-func (k *Service) OnRawConfig(f func([]byte)) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.configCallbacks = append(k.configCallbacks, f)
+func (s *Service) OnRawConfig(f func([]byte)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.configCallbacks = append(s.configCallbacks, f)
 }
 
 // RawConfig returns the version of the configuration in force and its encoded form,
 // or zero values if none is known.
-func (k *Service) RawConfig() (uint64, []byte) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if t := k.table.Load(); t != nil {
-		return t.Document.Version, k.rawConfig
+func (s *Service) RawConfig() (uint64, []byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if t := s.table.Load(); t != nil {
+		return t.Document.Version, s.rawConfig
 	}
 	return 0, nil
 }
 
 // Install decodes a configuration and puts it in force if its version is newer than
 // the current one. From names the source in errors and logs.
-func (k *Service) Install(raw []byte, from string) error {
-	d, err := k.DecodeConfig(raw)
+func (s *Service) Install(raw []byte, from string) error {
+	d, err := s.DecodeConfig(raw)
 	if err != nil {
 		return fmt.Errorf("configuration from %s: %w", from, err)
 	}
 	t := catalog.NewTable(d)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	old := k.table.Load()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	old := s.table.Load()
 	if old != nil && d.Version <= old.Document.Version {
 		return nil
 	}
-	k.table.Store(t)
-	k.rawConfig = raw
-	for _, f := range k.configCallbacks {
-		k.group.Go(func() { f(raw) })
+	s.table.Store(t)
+	s.rawConfig = raw
+	for _, f := range s.configCallbacks {
+		s.group.Go(func() { f(raw) })
 	}
-	k.log.Info().Str("event", "configuration").Uint64("version", d.Version).Str("from", from).
+	s.log.Info().Str("event", "configuration").Uint64("version", d.Version).Str("from", from).
 		Int("routes", len(d.Routes)).Int("accounts", len(d.Accounts)).Msg("in force")
 	return nil
 }
 
 // operatorPrefix returns the common prefix of the keys that operators write.
-func (k *Service) operatorPrefix() string {
-	if k.OperatorPrefix == "" {
-		return k.ConfigKey
+func (s *Service) operatorPrefix() string {
+	if s.OperatorPrefix == "" {
+		return s.ConfigKey
 	}
-	return k.OperatorPrefix
+	return s.OperatorPrefix
 }
 
-func (k *Service) applyConfig(items []store.Item, whole bool, revision uint64) {
-	if k.DecodeOrder != nil && k.OnOrders != nil {
-		k.applyOrders(items, whole, revision)
+func (s *Service) applyConfig(items []store.Item, whole bool, revision uint64) {
+	if s.DecodeOrder != nil && s.OnOrders != nil {
+		s.applyOrders(items, whole, revision)
 	}
 	for _, i := range items {
-		if i.Deleted || i.Key != k.ConfigKey {
+		if i.Deleted || i.Key != s.ConfigKey {
 			continue
 		}
-		if err := k.Install(i.Value, "store"); err != nil {
-			k.log.Error().Str("event", "configuration").Uint64("revision", i.Revision).Err(err).Msg("not taken; the configuration in force is kept")
+		if err := s.Install(i.Value, "store"); err != nil {
+			s.log.Error().Str("event", "configuration").Uint64("revision", i.Revision).Err(err).Msg("not taken; the configuration in force is kept")
 		}
 	}
 }
 
-func (k *Service) applyEndpoints(items []store.Item, whole bool, revision uint64) {
-	k.applyRecords(Records{Items: items, Whole: whole, To: revision})
+func (s *Service) applyEndpoints(items []store.Item, whole bool, revision uint64) {
+	s.applyRecords(Records{Items: items, Whole: whole, To: revision})
 }
 
 // applyRecords applies a change to the records and then to the roster. Changes from the store and
 // from other boxes may arrive concurrently, so an item is applied to the roster only if it is
 // still the latest one for its key.
-func (k *Service) applyRecords(c Records) {
-	t := k.records.apply(c)
-	es := k.decode(t.items)
+func (s *Service) applyRecords(c Records) {
+	t := s.records.apply(c)
+	es := s.decode(t.items)
 	bulk := len(t.items) > maxLoggedRecords
 	for _, i := range t.items {
-		k.rosterMu.Lock()
-		if k.records.isCurrent(i) {
-			k.applyRecord(i, es[i.Key], bulk)
+		s.rosterMu.Lock()
+		if s.records.isCurrent(i) {
+			s.applyRecord(i, es[i.Key], bulk)
 		}
-		k.rosterMu.Unlock()
+		s.rosterMu.Unlock()
 	}
 	if bulk {
-		k.log.Info().Str("event", "endpoints").Int("records", len(t.items)).Bool("whole", c.Whole).Uint64("revision", c.To).
-			Int("known", k.Roster.Len()).Msg("applied many records")
+		s.log.Info().Str("event", "endpoints").Int("records", len(t.items)).Bool("whole", c.Whole).Uint64("revision", c.To).
+			Int("known", s.Roster.Len()).Msg("applied many records")
 	}
 	if c.Whole {
-		k.endpointsRead.Store(true)
+		s.endpointsRead.Store(true)
 	}
 	if t.advanced {
 		c.From = t.from
-		k.notifyRecords(c)
+		s.notifyRecords(c)
 	}
 }
 
@@ -262,11 +262,11 @@
 }
 
 // decode decodes the records of a change, by key. Deleted items are left out.
-func (k *Service) decode(items []store.Item) map[string]decoded {
+func (s *Service) decode(items []store.Item) map[string]decoded {
 	out := make(map[string]decoded, len(items))
 	for _, i := range items {
 		if !i.Deleted {
-			e, err := k.DecodeEndpoint(i.Key, i.Value)
+			e, err := s.DecodeEndpoint(i.Key, i.Value)
 			out[i.Key] = decoded{e, err}
 		}
 	}
@@ -279,16 +279,16 @@
 
 // applyRecord applies one record to the roster. In a bulk change, new endpoints that aren't
 // draining are not logged.
-func (k *Service) applyRecord(i store.Item, d decoded, bulk bool) {
+func (s *Service) applyRecord(i store.Item, d decoded, bulk bool) {
 	switch {
 	case i.Deleted:
-		k.removeOrDelay(strings.TrimPrefix(i.Key, k.EndpointsPrefix), i.Revision)
+		s.removeOrDelay(strings.TrimPrefix(i.Key, s.EndpointsPrefix), i.Revision)
 	case d.err != nil:
-		k.removeInvalid(i, d.err)
-	case k.lacksStartTime(d.endpoint):
-		k.removeInvalid(i, endpoint.NewRecordError(endpoint.Missing, "born"))
+		s.removeInvalid(i, d.err)
+	case s.lacksStartTime(d.endpoint):
+		s.removeInvalid(i, endpoint.NewRecordError(endpoint.Missing, "born"))
 	default:
-		k.putEndpoint(d.endpoint, i.Revision, bulk)
+		s.putEndpoint(d.endpoint, i.Revision, bulk)
 	}
 }
 
@@ -296,51 +296,51 @@
 // endpoint had one. Endpoints that report a start time always do, so another program wrote the
 // record. Accepting it would look like a new process and discard the state kept for the running
 // one. If no endpoint reports a start time, all records pass.
-func (k *Service) lacksStartTime(e endpoint.Endpoint) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (s *Service) lacksStartTime(e endpoint.Endpoint) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if e.StartMillis != 0 {
-		k.withStartTime[e.ID] = true
+		s.withStartTime[e.ID] = true
 	}
-	return e.StartMillis == 0 && k.withStartTime[e.ID]
+	return e.StartMillis == 0 && s.withStartTime[e.ID]
 }
 
 // removeInvalid removes the endpoint whose record was overwritten by another program, so that it
 // gets no new work. Running calls continue. A live endpoint rewrites its record and is added again.
-func (k *Service) removeInvalid(i store.Item, err error) {
-	id := strings.TrimPrefix(i.Key, k.EndpointsPrefix)
-	k.mu.Lock()
-	if t := k.pendingRemovals[id]; t != nil {
+func (s *Service) removeInvalid(i store.Item, err error) {
+	id := strings.TrimPrefix(i.Key, s.EndpointsPrefix)
+	s.mu.Lock()
+	if t := s.pendingRemovals[id]; t != nil {
 		t.Stop()
-		delete(k.pendingRemovals, id)
+		delete(s.pendingRemovals, id)
 	}
-	k.mu.Unlock()
-	k.Roster.Remove(id)
+	s.mu.Unlock()
+	s.Roster.Remove(id)
 	reason := endpoint.Unreadable
 	var f *endpoint.RecordError
 	if errors.As(err, &f) {
 		reason = f.Reason
 	}
-	k.log.Warn().Str("event", "endpoint").Str("endpoint", id).Uint64("revision", i.Revision).Err(err).Msg("invalid record; endpoint removed")
-	if k.OnInvalidRecord != nil {
-		k.OnInvalidRecord(reason)
+	s.log.Warn().Str("event", "endpoint").Str("endpoint", id).Uint64("revision", i.Revision).Err(err).Msg("invalid record; endpoint removed")
+	if s.OnInvalidRecord != nil {
+		s.OnInvalidRecord(reason)
 	}
 }
 
 // putEndpoint adds or updates an endpoint and cancels its pending removal.
-func (k *Service) putEndpoint(e endpoint.Endpoint, revision uint64, bulk bool) {
-	k.mu.Lock()
-	if t := k.pendingRemovals[e.ID]; t != nil {
+func (s *Service) putEndpoint(e endpoint.Endpoint, revision uint64, bulk bool) {
+	s.mu.Lock()
+	if t := s.pendingRemovals[e.ID]; t != nil {
 		t.Stop()
-		delete(k.pendingRemovals, e.ID)
+		delete(s.pendingRemovals, e.ID)
 	}
-	k.mu.Unlock()
-	old, had := k.Roster.Get(e.ID)
-	k.Roster.Put(e)
+	s.mu.Unlock()
+	old, had := s.Roster.Get(e.ID)
+	s.Roster.Put(e)
 	if had && (old.Draining || !e.Draining) && old.StartMillis == e.StartMillis || bulk && !had && !e.Draining {
 		return
 	}
-	k.log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.StartMillis).Str("service", e.Service).Str("address", e.Address).
+	s.log.Info().Str("event", "endpoint").Str("endpoint", e.ID).Int64("born", e.StartMillis).Str("service", e.Service).Str("address", e.Address).
 		Str("data_centre", e.DataCentre).Bool("draining", e.Draining).Bool("reclaimable", e.Reclaimable).
 		Dur("leaves", e.DrainPeriod).Uint64("revision", revision).Msg("known")
 }
@@ -348,30 +348,30 @@
 // removeOrDelay removes an endpoint whose record was deleted. During an outage of the
 // store and for reappearWindow after it, only draining endpoints are removed at once;
 // the others may be written again.
-func (k *Service) removeOrDelay(id string, revision uint64) {
-	e, had := k.Roster.Get(id)
+func (s *Service) removeOrDelay(id string, revision uint64) {
+	e, had := s.Roster.Get(id)
 	if !had {
-		k.mu.Lock()
-		delete(k.withStartTime, id)
-		k.mu.Unlock()
+		s.mu.Lock()
+		delete(s.withStartTime, id)
+		s.mu.Unlock()
 		return
 	}
-	if delay := k.session.OutageGrace(reappearWindow); delay > 0 && !e.Draining {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		if k.pendingRemovals[id] == nil {
-			k.pendingRemovals[id] = time.AfterFunc(delay, func() { k.remove(id, revision) })
+	if delay := s.session.OutageGrace(reappearWindow); delay > 0 && !e.Draining {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		if s.pendingRemovals[id] == nil {
+			s.pendingRemovals[id] = time.AfterFunc(delay, func() { s.remove(id, revision) })
 		}
 		return
 	}
-	k.remove(id, revision)
+	s.remove(id, revision)
 }
 
-func (k *Service) remove(id string, revision uint64) {
-	k.mu.Lock()
-	delete(k.pendingRemovals, id)
-	delete(k.withStartTime, id)
-	k.mu.Unlock()
-	k.Roster.Remove(id)
-	k.log.Info().Str("event", "endpoint").Str("endpoint", id).Uint64("revision", revision).Msg("gone")
+func (s *Service) remove(id string, revision uint64) {
+	s.mu.Lock()
+	delete(s.pendingRemovals, id)
+	delete(s.withStartTime, id)
+	s.mu.Unlock()
+	s.Roster.Remove(id)
+	s.log.Info().Str("event", "endpoint").Str("endpoint", id).Uint64("revision", revision).Msg("gone")
 }
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -66,8 +66,8 @@
 // soleLeases holds the leases of a single box, granted at the given time.
 type soleLeases time.Time
 
-func (a soleLeases) Accrued(_ string, now time.Time) (seconds, share float64) {
-	return now.Sub(time.Time(a)).Seconds(), 1
+func (s soleLeases) Accrued(_ string, now time.Time) (seconds, share float64) {
+	return now.Sub(time.Time(s)).Seconds(), 1
 }
 
 // recorder is a sink that records the response.
@@ -77,27 +77,27 @@
 	heads  int // calls of Head and Response
 }
 
-func (a *recorder) Head(status int, _ http.Header) error {
-	a.status = status
-	a.heads++
+func (r *recorder) Head(status int, _ http.Header) error {
+	r.status = status
+	r.heads++
 	return nil
 }
 
-func (a *recorder) Event(raw []byte) error {
-	a.body += string(raw)
+func (r *recorder) Event(raw []byte) error {
+	r.body += string(raw)
 	return nil
 }
 
-func (a *recorder) Response(status int, _ http.Header, body []byte) error {
-	a.status, a.body = status, string(body)
-	a.heads++
+func (r *recorder) Response(status int, _ http.Header, body []byte) error {
+	r.status, r.body = status, string(body)
+	r.heads++
 	return nil
 }
 
 // events returns the IDs of the events received.
-func (a *recorder) events() string {
+func (r *recorder) events() string {
 	var out []string
-	for l := range strings.SplitSeq(a.body, "\n") {
+	for l := range strings.SplitSeq(r.body, "\n") {
 		if id, ok := strings.CutPrefix(l, "id: "); ok {
 			out = append(out, id)
 		}
--- a/forward/run.go
+++ b/forward/run.go
@@ -88,21 +88,21 @@
 }
 
 // recordEvent records an event.
-func (e *attemptResult) recordEvent(now time.Time) {
-	if e.eventCount == 0 {
-		e.firstEventAt = now
+func (r *attemptResult) recordEvent(now time.Time) {
+	if r.eventCount == 0 {
+		r.firstEventAt = now
 	}
-	e.lastEventAt = now
-	e.eventCount++
+	r.lastEventAt = now
+	r.eventCount++
 }
 
 // interruptionName returns the name of the interruption in logs and metrics. An endpoint that
 // answered with an error is not gone, although recovery treats both alike.
-func (e attemptResult) interruptionName() string {
-	if e.answered {
+func (r attemptResult) interruptionName() string {
+	if r.answered {
 		return "failed"
 	}
-	return e.interruption.String()
+	return r.interruption.String()
 }
 
 // step makes one attempt. It reports whether the sink has received the complete response. An error
--- a/front/chat.go
+++ b/front/chat.go
@@ -154,35 +154,35 @@
 
 // writeToken adds the token with index i to the response. Any other index than the next one is an
 // error, so that the text has no gaps.
-func (o *writer) writeToken(i int, t string) error {
-	if i != o.nextIndex {
-		return errkind.New(errkind.AnswerCut, "token %d came in place of %d", i, o.nextIndex)
+func (w *writer) writeToken(i int, t string) error {
+	if i != w.nextIndex {
+		return errkind.New(errkind.AnswerCut, "token %d came in place of %d", i, w.nextIndex)
 	}
-	o.nextIndex++
-	if !o.stream {
-		o.text.WriteString(t)
+	w.nextIndex++
+	if !w.stream {
+		w.text.WriteString(t)
 		return nil
 	}
 	d := &openai.Delta{Content: t}
-	if !o.started {
+	if !w.started {
 		d.Role = "assistant"
 	}
-	return o.writeEvent(strconv.Itoa(i), o.newCompletion("chat.completion.chunk", openai.Choice{Delta: d}))
+	return w.writeEvent(strconv.Itoa(i), w.newCompletion("chat.completion.chunk", openai.Choice{Delta: d}))
 }
 
-func (o *writer) newCompletion(object string, cs ...openai.Choice) openai.Completion {
+func (w *writer) newCompletion(object string, cs ...openai.Choice) openai.Completion {
 	if cs == nil {
 		cs = []openai.Choice{}
 	}
-	return openai.Completion{ID: o.id, Object: object, Created: time.Now().Unix(), Model: o.model, Choices: cs}
+	return openai.Completion{ID: w.id, Object: object, Created: time.Now().Unix(), Model: w.model, Choices: cs}
 }
 
 // writeEvent writes one server-sent event and flushes it. The id of a token's event is the token's
 // index.
-func (o *writer) writeEvent(id string, v any) error {
-	if !o.started {
-		o.started = true
-		h := o.s.w.Header()
+func (w *writer) writeEvent(id string, v any) error {
+	if !w.started {
+		w.started = true
+		h := w.s.w.Header()
 		h.Set("Content-Type", "text/event-stream")
 		h.Set("Cache-Control", "no-store")
 		h.Set(RunHeader, string(errkind.Ran))
@@ -191,69 +191,69 @@
 	if err != nil {
 		return fmt.Errorf("encode event: %w", err)
 	}
-	_ = o.controller.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_ = w.controller.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if id != "" {
-		fmt.Fprintf(o.s.w, "id: %s\n", id)
+		fmt.Fprintf(w.s.w, "id: %s\n", id)
 	}
-	if _, err := fmt.Fprintf(o.s.w, "data: %s\n\n", b); err != nil {
+	if _, err := fmt.Fprintf(w.s.w, "data: %s\n\n", b); err != nil {
 		return errkind.New(errkind.CallerGone, "the caller left: %w", err)
 	}
-	return o.controller.Flush()
+	return w.controller.Flush()
 }
 
-func (o *writer) tokenUsage() *openai.Usage {
-	return &openai.Usage{PromptTokens: o.promptTokens, CompletionTokens: o.nextIndex, TotalTokens: o.promptTokens + o.nextIndex}
+func (w *writer) tokenUsage() *openai.Usage {
+	return &openai.Usage{PromptTokens: w.promptTokens, CompletionTokens: w.nextIndex, TotalTokens: w.promptTokens + w.nextIndex}
 }
 
 // finish completes the response. An error after the first event is sent as an event, because the
 // status has already been sent.
-func (o *writer) finish(err error) error {
-	if err != nil && !o.started {
-		return o.movedError(err)
+func (w *writer) finish(err error) error {
+	if err != nil && !w.started {
+		return w.movedError(err)
 	}
 	if err != nil {
-		e := o.movedError(err)
-		return o.writeEvent("", errorBody(o.id, errkind.Of(e), o.resumePath(e)))
+		e := w.movedError(err)
+		return w.writeEvent("", errorBody(w.id, errkind.Of(e), w.resumePath(e)))
 	}
 	finishReason := "stop"
-	if !o.stream {
-		o.s.w.Header().Set(RunHeader, string(errkind.Ran))
-		m := &openai.Delta{Role: "assistant", Content: o.text.String()}
-		completion := o.newCompletion("chat.completion", openai.Choice{Message: m, FinishReason: &finishReason})
-		completion.Usage = o.tokenUsage()
-		jsonhttp.Write(o.s.w, http.StatusOK, completion)
+	if !w.stream {
+		w.s.w.Header().Set(RunHeader, string(errkind.Ran))
+		m := &openai.Delta{Role: "assistant", Content: w.text.String()}
+		completion := w.newCompletion("chat.completion", openai.Choice{Message: m, FinishReason: &finishReason})
+		completion.Usage = w.tokenUsage()
+		jsonhttp.Write(w.s.w, http.StatusOK, completion)
 		return nil
 	}
-	if err := o.writeEvent("", o.newCompletion("chat.completion.chunk", openai.Choice{Delta: &openai.Delta{}, FinishReason: &finishReason})); err != nil {
+	if err := w.writeEvent("", w.newCompletion("chat.completion.chunk", openai.Choice{Delta: &openai.Delta{}, FinishReason: &finishReason})); err != nil {
 		return err
 	}
-	if o.includeUsage {
-		u := o.newCompletion("chat.completion.chunk")
-		u.Usage = o.tokenUsage()
-		if err := o.writeEvent("", u); err != nil {
+	if w.includeUsage {
+		u := w.newCompletion("chat.completion.chunk")
+		u.Usage = w.tokenUsage()
+		if err := w.writeEvent("", u); err != nil {
 			return err
 		}
 	}
-	if _, err := fmt.Fprint(o.s.w, "data: [DONE]\n\n"); err != nil {
+	if _, err := fmt.Fprint(w.s.w, "data: [DONE]\n\n"); err != nil {
 		return errkind.New(errkind.CallerGone, "the caller left: %w", err)
 	}
-	return o.controller.Flush()
+	return w.controller.Flush()
 }
 
 // movedError returns the error that asks the caller to resume the stream if another box continues
 // it, or otherwise err.
-func (o *writer) movedError(err error) error {
+func (w *writer) movedError(err error) error {
 	var m *stream.MovedError
 	if errors.As(err, &m) || errors.Is(err, errClosing) {
-		return errkind.New(errkind.Moved, "another box goes on; resume at token %d", o.nextIndex).WithRetryAfter(time.Second)
+		return errkind.New(errkind.Moved, "another box goes on; resume at token %d", w.nextIndex).WithRetryAfter(time.Second)
 	}
 	return err
 }
 
 // resumePath returns the path from which the stream can be resumed if err is of kind Moved.
-func (o *writer) resumePath(err error) string {
+func (w *writer) resumePath(err error) string {
 	if !errkind.Is(err, errkind.Moved) {
 		return ""
 	}
-	return fmt.Sprintf("/v1/requests/%s?from=%d", o.id, o.nextIndex)
+	return fmt.Sprintf("/v1/requests/%s?from=%d", w.id, w.nextIndex)
 }
--- a/gossip/draining_test.go
+++ b/gossip/draining_test.go
@@ -9,7 +9,7 @@
 )
 
 func (b *box) isDraining(id string) bool {
-	e, ok := b.known.Roster.Get(id)
+	e, ok := b.state.Roster.Get(id)
 	return ok && e.Draining
 }
 
@@ -32,13 +32,13 @@
 	m.Set("e/z", "ready")
 	bs := startSevenBoxes(t, m)
 	waitUntil(t, func() bool {
-		return countBoxes(bs, func(b *box) bool { return len(b.known.Roster.IDs()) == 3 && b.othersTotal().Boxes == 6 }) == 7
+		return countBoxes(bs, func(b *box) bool { return len(b.state.Roster.IDs()) == 3 && b.othersTotal().Boxes == 6 }) == 7
 	})
 	b := anyMember(bs)
-	require.True(t, b.known.Roster.MarkDraining("x"))
+	require.True(t, b.state.Roster.MarkDraining("x"))
 	b.BroadcastDraining("x")
 	waitUntil(t, func() bool { return countBoxes(bs, func(b *box) bool { return b.isDraining("x") }) == 7 })
-	require.True(t, b.known.Roster.MarkDraining("y"))
+	require.True(t, b.state.Roster.MarkDraining("y"))
 	waitUntil(t, func() bool { return countBoxes(bs, func(b *box) bool { return b.isDraining("y") }) == 7 })
 	bs = append(bs, startBox(t, m, "late", "dc1"))
 	waitUntil(t, func() bool { return bs[7].isDraining("x") && bs[7].isDraining("y") })
--- a/gossip/fetch.go
+++ b/gossip/fetch.go
@@ -29,10 +29,10 @@
 // the rounds: within the time limit of a round, no member received its records when all asked at
 // once, and their relay sent them repeatedly.
 func (g *Gossip) catchUp(from string, version, revision uint64) {
-	if v, _ := g.known.RawConfig(); version > v {
+	if v, _ := g.state.RawConfig(); version > v {
 		g.startFetch(&g.configFetch, from, g.fetchConfiguration)
 	}
-	if revision > g.known.Revision() {
+	if revision > g.state.Revision() {
 		g.startFetch(&g.recordsFetch, from, g.fetchRecords)
 	}
 }
@@ -78,7 +78,7 @@
 
 // fetchConfiguration fetches a configuration newer than this box's.
 func (g *Gossip) fetchConfiguration(c context.Context, from string) {
-	v, _ := g.known.RawConfig()
+	v, _ := g.state.RawConfig()
 	var raw []byte
 	if err := g.node.Bulk.Call(c, from, "gossip.configuration", v, &raw); err != nil || len(raw) == 0 {
 		g.log.Debug().Str("event", "configuration").Str("from", from).Err(err).Msg("not fetched; retried in the next round")
@@ -90,7 +90,7 @@
 // fetchRecords fetches the endpoint records that this box lacks.
 func (g *Gossip) fetchRecords(c context.Context, from string) {
 	var zip []byte
-	if err := g.node.Bulk.Call(c, from, "gossip.records", g.known.Revision(), &zip); err != nil {
+	if err := g.node.Bulk.Call(c, from, "gossip.records", g.state.Revision(), &zip); err != nil {
 		g.log.Debug().Str("event", "endpoints").Str("from", from).Err(err).Msg("not fetched; retried in the next round")
 		return
 	}
@@ -99,14 +99,14 @@
 		g.log.Error().Str("event", "endpoints").Str("from", from).Err(err).Msg("records not taken; retried in the next round")
 		return
 	}
-	g.known.Merge(r)
+	g.state.Merge(r)
 }
 
 // catchUpFromRelays fetches from a relay with a newer configuration or newer records, since its
 // push of the change may have been lost.
 func (g *Gossip) catchUpFromRelays() {
-	v, _ := g.known.RawConfig()
-	at := g.known.Revision()
+	v, _ := g.state.RawConfig()
+	at := g.state.Revision()
 	var from Status
 	g.mu.Lock()
 	for _, h := range g.otherRelays {
--- a/gossip/fetch_test.go
+++ b/gossip/fetch_test.go
@@ -83,7 +83,7 @@
 	address := unusedAddress(t)
 	link, linkAddress := newSlowLink(t, address, 24<<10)
 	a := startBoxWith(t, m, "a", "dc0", address, func(b *box) { b.Address = linkAddress })
-	waitUntil(t, func() bool { return a.IsRelay() && len(a.known.Roster.IDs()) == 3000 })
+	waitUntil(t, func() bool { return a.IsRelay() && len(a.state.Roster.IDs()) == 3000 })
 	waitUntil(t, func() bool { return len(slotsInStore(t, m)) == 1 })
 	readOnlyStore := &faultyStore{Store: m}
 	readOnlyStore.readOnly.Store(true) // it can't claim a relay slot
@@ -92,10 +92,10 @@
 	before := b.roundCount()
 	waitUntil(t, func() bool { return b.roundCount() > before+5 })
 	require.Equal(t, 1, b.othersTotal().Boxes)
-	require.Zero(t, b.known.Roster.Len())
+	require.Zero(t, b.state.Roster.Len())
 	require.LessOrEqual(t, link.conns.Load(), int64(3), "one for the rounds, and those opened by the two fetches")
 	close(link.released)
-	waitUntil(t, func() bool { return len(b.known.Roster.IDs()) == 3000 })
+	waitUntil(t, func() bool { return len(b.state.Roster.IDs()) == 3000 })
 }
 
 // A fetch can stall until its timeout when a partition blocks its connection. A box that has switched
@@ -110,16 +110,16 @@
 	_, linkAddress := newSlowLink(t, address, 24<<10)
 	first := &faultyStore{Store: m}
 	a := startBoxWith(t, first, "a", "dc0", address, func(b *box) { b.Address = linkAddress })
-	waitUntil(t, func() bool { return a.IsRelay() && a.known.Roster.Len() == 3000 })
+	waitUntil(t, func() bool { return a.IsRelay() && a.state.Roster.Len() == 3000 })
 	readOnlyStore := &faultyStore{Store: m}
 	readOnlyStore.readOnly.Store(true) // it can't claim a relay slot
 	b := startBox(t, readOnlyStore, "b", "dc0")
 	waitUntil(t, func() bool { return b.othersTotal().Boxes == 1 })
 	before := b.roundCount()
 	waitUntil(t, func() bool { return b.roundCount() > before+3 })
-	require.Zero(t, b.known.Roster.Len())
+	require.Zero(t, b.state.Roster.Len())
 	c := startBox(t, m, "c", "dc0")
-	waitUntil(t, func() bool { return c.IsRelay() && c.known.Roster.Len() == 3000 })
+	waitUntil(t, func() bool { return c.IsRelay() && c.state.Roster.Len() == 3000 })
 	first.silent.Store(true) // the store doesn't answer this relay, so its member switches
-	waitUntil(t, func() bool { return b.known.Roster.Len() == 3000 })
+	waitUntil(t, func() bool { return b.state.Roster.Len() == 3000 })
 }
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -114,7 +114,7 @@
 	RestoreEndpointStats func(map[string]estimate.Stats)
 
 	log           zerolog.Logger
-	known         *fleetstate.Service
+	state         *fleetstate.Service
 	session       *storesession.Session
 	node          *peer.Node
 	ctx           context.Context
@@ -169,7 +169,7 @@
 // Start registers the handlers for calls of other boxes and starts the rounds.
 func (g *Gossip) Start(_ context.Context, k *kernel.Kernel) error {
 	err := errors.Join(
-		kernel.Bind(k, fleetstate.Name, &g.known), kernel.Bind(k, peer.Name, &g.node), kernel.Bind(k, storesession.Name, &g.session),
+		kernel.Bind(k, fleetstate.Name, &g.state), kernel.Bind(k, peer.Name, &g.node), kernel.Bind(k, storesession.Name, &g.session),
 	)
 	if err != nil {
 		return err
@@ -180,11 +180,11 @@
 	peer.Handle(g.node.Server, "gossip.relay", g.handleRelay)
 	peer.Handle(g.node.Server, "gossip.update", g.handleUpdate)
 	peer.Handle(g.node.Server, "gossip.configuration", func(context.Context, uint64) ([]byte, error) {
-		_, raw := g.known.RawConfig()
+		_, raw := g.state.RawConfig()
 		return g.packedConfig.pack(raw)
 	})
 	peer.Handle(g.node.Server, "gossip.records", func(_ context.Context, since uint64) ([]byte, error) {
-		return g.packedRecords.pack(g.known, since)
+		return g.packedRecords.pack(g.state, since)
 	})
 	g.node.Server.LimitConcurrency("gossip.configuration", maxConcurrentSends)
 	g.node.Server.LimitConcurrency("gossip.records", maxConcurrentSends)
@@ -198,8 +198,8 @@
 		StoreUnreachable: g.session.StoreUnreachable,
 	}
 	g.session.OnReconnect(g.slotWatch.Restart)
-	g.known.OnRecords(func(r fleetstate.Records) { g.pushRecords(c, r) })
-	g.known.OnRawConfig(func(raw []byte) {
+	g.state.OnRecords(func(r fleetstate.Records) { g.pushRecords(c, r) })
+	g.state.OnRawConfig(func(raw []byte) {
 		g.updateQuota() // makes new accounts known before their first request
 		g.pushConfiguration(c, raw)
 	})
@@ -304,7 +304,7 @@
 	g.takeOverSlot(c)
 	g.setSlotWatch(c, true)
 	g.exchangeWithRelays(c)
-	g.known.SetWatching(g.isWatcher())
+	g.state.SetWatching(g.isWatcher())
 	if g.session.Lease() != 0 && g.needsSlotLookup() {
 		g.claimSlot(c)
 	}
@@ -381,7 +381,7 @@
 func (g *Gossip) installConfiguration(zip []byte, from string) {
 	raw, err := unpack(zip)
 	if err == nil {
-		err = g.known.Install(raw, from)
+		err = g.state.Install(raw, from)
 	}
 	if err != nil {
 		g.log.Error().Str("event", "configuration").Str("from", from).Err(err).Msg("not taken; the current configuration stays in force")
--- a/gossip/gossip_test.go
+++ b/gossip/gossip_test.go
@@ -36,7 +36,7 @@
 type box struct {
 	*gossip.Gossip
 	t       *testing.T
-	known   *fleetstate.Service
+	state   *fleetstate.Service
 	session *storesession.Session
 	node    *peer.Node
 	stopped bool
@@ -86,7 +86,7 @@
 func startBoxWith(t *testing.T, s store.Store, name, dc, address string, set func(*box)) *box {
 	t.Helper()
 	b := &box{t: t, session: storesession.New(s, zerolog.Nop()), node: peer.NewNode(address, address, "secret", metrics.NewRegistry())}
-	b.known = fleetstate.New(fleetstate.Source{
+	b.state = fleetstate.New(fleetstate.Source{
 		ConfigKey: "config", EndpointsPrefix: "e/",
 		DecodeConfig: func(v []byte) (*catalog.Document, error) {
 			var d catalog.Document
@@ -96,7 +96,7 @@
 			return endpoint.Endpoint{ID: strings.TrimPrefix(k, "e/"), Service: "s"}, nil
 		},
 	}, s, zerolog.Nop())
-	b.known.DeferWatch = true
+	b.state.DeferWatch = true
 	b.Gossip = gossip.New(zerolog.Nop())
 	b.Clock = fleetclock.New(time.Now)
 	b.Quota = &quota.Quota{
@@ -105,7 +105,7 @@
 	}
 	b.Box, b.DataCentre, b.Address, b.Prefix, b.Store = name, dc, address, "relays/", s
 	b.LocalStatus = func() gossip.Status {
-		v, _ := b.known.RawConfig()
+		v, _ := b.state.RawConfig()
 		return gossip.Status{
 			Box: name, DataCentre: dc, Address: address, Version: v,
 			Speeds: map[string]estimate.Stats{"s": {Moments: [5]float64{1}}}, Load: map[string]balance.Load{"x": {Running: 1, Tokens: 10}},
@@ -143,7 +143,7 @@
 	}
 	set(b)
 	k := &kernel.Kernel{}
-	for _, s := range []kernel.Service{b.session, b.node, b.known, b.Gossip} {
+	for _, s := range []kernel.Service{b.session, b.node, b.state, b.Gossip} {
 		require.NoError(t, k.Add(s))
 		require.NoError(t, s.Start(t.Context(), k))
 	}
@@ -157,7 +157,7 @@
 	}
 	b.stopped = true
 	_ = b.Stop(context.Background())
-	_ = b.known.Stop(context.Background())
+	_ = b.state.Stop(context.Background())
 	_ = b.node.Stop(context.Background())
 	_ = b.session.Stop(context.Background())
 }
@@ -182,7 +182,7 @@
 }
 
 func (b *box) version() uint64 {
-	v, _ := b.known.RawConfig()
+	v, _ := b.state.RawConfig()
 	return v
 }
 
@@ -261,7 +261,7 @@
 	m.Set("config", `{"Version":5}`)
 	m.Set("e/y", "ready")
 	waitUntil(t, func() bool {
-		return countBoxes(bs, func(b *box) bool { return b.version() == 5 && len(b.known.Roster.IDs()) == 2 }) == 7
+		return countBoxes(bs, func(b *box) bool { return b.version() == 5 && len(b.state.Roster.IDs()) == 2 }) == 7
 	})
 }
 
@@ -312,7 +312,7 @@
 	a := startBox(t, m, "a", "dc0")
 	waitUntil(t, func() bool { return a.version() == 3 })
 	b := startBox(t, unavailableStore{m}, "b", "dc1", a.Address)
-	waitUntil(t, func() bool { return b.version() == 3 && len(b.known.Roster.IDs()) == 1 })
+	waitUntil(t, func() bool { return b.version() == 3 && len(b.state.Roster.IDs()) == 1 })
 	m.Set("config", `{"Version":4}`)
 	waitUntil(t, func() bool { return b.version() == 4 })
 }
@@ -323,25 +323,25 @@
 	readOnly, silent atomic.Bool
 }
 
-func (p *faultyStore) Commit(c context.Context, x store.Change) (uint64, error) {
-	if p.readOnly.Load() {
+func (f *faultyStore) Commit(c context.Context, x store.Change) (uint64, error) {
+	if f.readOnly.Load() {
 		return 0, store.ErrUnavailable
 	}
-	return p.Store.Commit(c, x)
+	return f.Store.Commit(c, x)
 }
 
-func (p *faultyStore) Renew(c context.Context, l store.Lease) error {
-	if p.silent.Load() {
+func (f *faultyStore) Renew(c context.Context, l store.Lease) error {
+	if f.silent.Load() {
 		return store.ErrUnavailable
 	}
-	return p.Store.Renew(c, l)
+	return f.Store.Renew(c, l)
 }
 
-func (p *faultyStore) Revoke(c context.Context, l store.Lease) error {
-	if p.silent.Load() {
+func (f *faultyStore) Revoke(c context.Context, l store.Lease) error {
+	if f.silent.Load() {
 		return store.ErrUnavailable
 	}
-	return p.Store.Revoke(c, l)
+	return f.Store.Revoke(c, l)
 }
 
 // startFourBoxes starts two relays of a data centre with a store each, a member of the same data
--- a/gossip/gzip.go
+++ b/gossip/gzip.go
@@ -21,17 +21,17 @@
 }
 
 // pack returns the packed text. It packs once per text.
-func (p *configCache) pack(text []byte) ([]byte, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.zip != nil && bytes.Equal(text, p.text) {
-		return p.zip, nil
+func (c *configCache) pack(text []byte) ([]byte, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.zip != nil && bytes.Equal(text, c.text) {
+		return c.zip, nil
 	}
 	zip, err := pack(text)
 	if err != nil {
 		return nil, err
 	}
-	p.text, p.zip = text, zip
+	c.text, c.zip = text, zip
 	return zip, nil
 }
 
--- a/gossip/member.go
+++ b/gossip/member.go
@@ -26,7 +26,7 @@
 	}
 	switch {
 	case fresh:
-		g.known.SetWatching(false)
+		g.state.SetWatching(false)
 		if g.slotVacant {
 			g.claimSlot(c)
 		}
@@ -34,7 +34,7 @@
 	case g.inStartupGrace() && !g.session.StoreUnreachable():
 		g.claimSlot(c)
 	case g.storeAnswers(c):
-		g.known.SetWatching(true)
+		g.state.SetWatching(true)
 		g.claimSlot(c)
 	}
 	if !answered && g.session.StoreUnresponsiveFor() > askAnyAfter {
@@ -129,7 +129,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s.Knows, s.Judged = g.reply.Peers.Sum, g.reply.Judged
-	s.Leavers = g.known.Roster.DrainingSet(g.reply.Leavers.Sum)
+	s.Leavers = g.state.Roster.DrainingSet(g.reply.Leavers.Sum)
 	s.Rates = g.Rates.Report(g.reply.Rates.Sum, boottime.Now())
 	if s.Works.Sum == g.reply.Works {
 		s.Works.IDs = nil
--- a/gossip/notifications.go
+++ b/gossip/notifications.go
@@ -59,7 +59,7 @@
 
 // mergeDraining merges draining endpoints reported by another box, and returns those that are new.
 func (g *Gossip) mergeDraining(l endpoint.DrainingSet) []string {
-	fresh := g.known.Roster.Merge(l)
+	fresh := g.state.Roster.Merge(l)
 	for _, e := range fresh {
 		g.log.Info().Str("event", "endpoint").Str("endpoint", e).Str("seen", "another box was told").Msg("leaves")
 	}
--- a/gossip/quota.go
+++ b/gossip/quota.go
@@ -10,7 +10,7 @@
 
 // updateQuota passes this box's view of the fleet to the quotas of the accounts.
 func (g *Gossip) updateQuota() {
-	t := g.known.Table()
+	t := g.state.Table()
 	if t == nil {
 		return
 	}
--- a/gossip/records.go
+++ b/gossip/records.go
@@ -46,17 +46,17 @@
 }
 
 // pack returns the packed records that changed since a revision. It packs once per pair of revisions.
-func (p *recordsCache) pack(k *fleetstate.Service, since uint64) ([]byte, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if zip, ok := p.zipsByStart[since]; ok && p.revision == k.Revision() {
+func (rc *recordsCache) pack(state *fleetstate.Service, since uint64) ([]byte, error) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	if zip, ok := rc.zipsByStart[since]; ok && rc.revision == state.Revision() {
 		return zip, nil
 	}
-	r := k.ChangesSince(since)
-	if p.zipsByStart == nil || p.revision != r.To {
-		p.revision, p.zipsByStart = r.To, map[uint64][]byte{}
+	r := state.ChangesSince(since)
+	if rc.zipsByStart == nil || rc.revision != r.To {
+		rc.revision, rc.zipsByStart = r.To, map[uint64][]byte{}
 	}
-	zip, ok := p.zipsByStart[0]
+	zip, ok := rc.zipsByStart[0]
 	if !ok || !r.Whole {
 		var err error
 		if zip, err = packRecords(r); err != nil {
@@ -64,9 +64,9 @@
 		}
 	}
 	if r.Whole {
-		p.zipsByStart[0] = zip
+		rc.zipsByStart[0] = zip
 	}
-	p.zipsByStart[since] = zip
+	rc.zipsByStart[since] = zip
 	return zip, nil
 }
 
--- a/gossip/relay.go
+++ b/gossip/relay.go
@@ -28,7 +28,7 @@
 	s.add(self)
 	s.Words = rollout.MergeProgress(nil, self.Words, 0)
 	s.Leaving = g.isLeaving()
-	s.Revision, s.Silent = g.known.Revision(), g.session.StoreUnresponsiveFor()
+	s.Revision, s.Silent = g.state.Revision(), g.session.StoreUnresponsiveFor()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, h := range g.members {
@@ -99,7 +99,7 @@
 	}
 	w := MemberReply{
 		Relay: isRelay, Vacant: isRelay && g.countLocalRelays() < relaysPerDataCentre,
-		Revision: g.known.Revision(), Silent: g.session.StoreUnresponsiveFor(), Now: g.Clock.Now(),
+		Revision: g.state.Revision(), Silent: g.session.StoreUnresponsiveFor(), Now: g.Clock.Now(),
 	}
 	if isRelay {
 		g.fillReply(&w, in)
@@ -116,10 +116,10 @@
 	if w.Judged = quarantine.Sum(verdicts); w.Judged != in.Judged {
 		w.Verdicts = verdicts
 	}
-	w.Leavers = g.known.Roster.DrainingSet(in.Leavers.Sum)
+	w.Leavers = g.state.Roster.DrainingSet(in.Leavers.Sum)
 	w.Rates = g.Rates.Report(in.Rates.Sum, now)
 	w.Orders = g.Rollouts.Orders()
-	w.Others.Version, _ = g.known.RawConfig()
+	w.Others.Version, _ = g.state.RawConfig()
 	w.Others.Usage = nil
 	if !hasStats {
 		w.Others.Speeds = nil
@@ -132,7 +132,7 @@
 	g.mergeRelayStatus(in)
 	s := g.relayStatus()
 	s.Limits, s.Now = g.Quota.IssueLease(in.Box, boottime.Now()), g.Clock.Now()
-	s.Leavers = g.known.Roster.DrainingSet(in.Leavers.Sum)
+	s.Leavers = g.state.Roster.DrainingSet(in.Leavers.Sum)
 	s.Rates = g.Rates.Report(in.Rates.Sum, boottime.Now())
 	return s, nil
 }
@@ -165,7 +165,7 @@
 		in.Records = &r
 	}
 	if in.Records != nil {
-		return g.known.Merge(*in.Records), nil
+		return g.state.Merge(*in.Records), nil
 	}
 	return true, nil
 }
@@ -185,7 +185,7 @@
 			out := status
 			out.Limits, out.Now = g.Quota.IssueLease(s.box, boottime.Now()), g.Clock.Now()
 			last := g.lastRelayStatus(s.box)
-			out.Leavers = g.known.Roster.DrainingSet(last.Leavers.Sum)
+			out.Leavers = g.state.Roster.DrainingSet(last.Leavers.Sum)
 			out.Rates = g.Rates.Report(last.Rates.Sum, boottime.Now())
 			if err := g.call(c, s.address, "gossip.relay", out, &in); err == nil {
 				g.mergeRelayStatus(in)
@@ -229,7 +229,7 @@
 		return
 	}
 	to := g.reachableMembers()
-	if g.known.IsWatching() {
+	if g.state.IsWatching() {
 		to = append(to, g.reachableRelays()...)
 	}
 	g.broadcast(c, to, "gossip.update", u)
--- a/gossip/startup_test.go
+++ b/gossip/startup_test.go
@@ -20,17 +20,17 @@
 	reads map[string]int
 }
 
-func (s *rangeCounter) Range(c context.Context, prefix string) ([]store.Item, uint64, error) {
-	s.mu.Lock()
-	s.reads[prefix]++
-	s.mu.Unlock()
-	return s.Store.Range(c, prefix)
+func (r *rangeCounter) Range(c context.Context, prefix string) ([]store.Item, uint64, error) {
+	r.mu.Lock()
+	r.reads[prefix]++
+	r.mu.Unlock()
+	return r.Store.Range(c, prefix)
 }
 
-func (s *rangeCounter) rangesOf(prefix string) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.reads[prefix]
+func (r *rangeCounter) rangesOf(prefix string) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.reads[prefix]
 }
 
 // getCounter is a store that counts the reads of each key.
@@ -77,7 +77,7 @@
 	}
 	waitUntil(t, func() bool {
 		return countBoxes(bs, func(b *box) bool {
-			return b.version() == 3 && len(b.known.Roster.IDs()) == 50 && b.othersTotal().Boxes == 29
+			return b.version() == 3 && len(b.state.Roster.IDs()) == 50 && b.othersTotal().Boxes == 29
 		}) == 30
 	})
 	require.LessOrEqual(t, s.rangesOf("e/"), 8)
--- a/gossip/watchers_test.go
+++ b/gossip/watchers_test.go
@@ -18,7 +18,7 @@
 func watcherDataCentres(bs []*box) []string {
 	var dcs []string
 	for _, b := range bs {
-		if !b.stopped && b.known.IsWatching() {
+		if !b.stopped && b.state.IsWatching() {
 			dcs = append(dcs, b.DataCentre)
 		}
 	}
@@ -32,18 +32,18 @@
 	closed atomic.Bool
 }
 
-func (g *closableStore) Renew(c context.Context, l store.Lease) error {
-	if g.closed.Load() {
+func (cs *closableStore) Renew(c context.Context, l store.Lease) error {
+	if cs.closed.Load() {
 		return store.ErrUnavailable
 	}
-	return g.Store.Renew(c, l)
+	return cs.Store.Renew(c, l)
 }
 
-func (g *closableStore) Watch(c context.Context, prefix string, since uint64, wait time.Duration) ([]store.Item, uint64, error) {
-	if g.closed.Load() {
+func (cs *closableStore) Watch(c context.Context, prefix string, since uint64, wait time.Duration) ([]store.Item, uint64, error) {
+	if cs.closed.Load() {
 		return nil, 0, store.ErrUnavailable
 	}
-	return g.Store.Watch(c, prefix, since, wait)
+	return cs.Store.Watch(c, prefix, since, wait)
 }
 
 // Two relays of different data centres watch the store. When one stops, or gets no more answers from
@@ -60,7 +60,7 @@
 	version := 1
 	caughtUp := func() bool {
 		return !slices.ContainsFunc(bs, func(b *box) bool {
-			return !b.stopped && (b.version() != uint64(version) || len(b.known.Roster.IDs()) != version-1)
+			return !b.stopped && (b.version() != uint64(version) || len(b.state.Roster.IDs()) != version-1)
 		})
 	}
 	settled := func() bool {
@@ -76,15 +76,15 @@
 	waitUntil(t, func() bool { return countBoxes(bs, (*box).IsRelay) == 6 })
 	waitUntil(t, settled)
 	change()
-	first := slices.IndexFunc(bs, func(b *box) bool { return b.known.IsWatching() })
+	first := slices.IndexFunc(bs, func(b *box) bool { return b.state.IsWatching() })
 	bs[first].stop()
 	change()
 	waitUntil(t, settled)
-	next := slices.IndexFunc(bs, func(b *box) bool { return !b.stopped && b.known.IsWatching() })
+	next := slices.IndexFunc(bs, func(b *box) bool { return !b.stopped && b.state.IsWatching() })
 	stores[next].closed.Store(true)
 	change()
 	waitUntil(t, func() bool {
-		return len(watcherDataCentres(bs)) >= 2 && !bs[next].known.IsWatching()
+		return len(watcherDataCentres(bs)) >= 2 && !bs[next].state.IsWatching()
 	})
 	change()
 }
@@ -148,5 +148,5 @@
 	for i := range 200 {
 		m.Set(fmt.Sprint("e/", i), "ready")
 	}
-	waitUntil(t, func() bool { return countBoxes(bs, func(b *box) bool { return len(b.known.Roster.IDs()) == 200 }) == 7 })
+	waitUntil(t, func() bool { return countBoxes(bs, func(b *box) bool { return len(b.state.Roster.IDs()) == 200 }) == 7 })
 }
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -77,7 +77,7 @@
 	Limiter RateLimiter
 
 	forwarder *forward.Forwarder
-	known     *fleetstate.Service
+	state     *fleetstate.Service
 	session   *storesession.Session
 	metrics   metrics.Registry
 	log       zerolog.Logger
@@ -104,7 +104,7 @@
 
 // Start begins to accept requests and readiness checks.
 func (i *Ingress) Start(_ context.Context, k *kernel.Kernel) error {
-	err := errors.Join(kernel.Bind(k, fleetstate.Name, &i.known), kernel.Bind(k, storesession.Name, &i.session))
+	err := errors.Join(kernel.Bind(k, fleetstate.Name, &i.state), kernel.Bind(k, storesession.Name, &i.session))
 	if err != nil {
 		return err
 	}
@@ -145,7 +145,7 @@
 	switch {
 	case i.stopping.Load():
 		http.Error(w, "this box stops", http.StatusServiceUnavailable)
-	case !i.known.Ready():
+	case !i.state.Ready():
 		http.Error(w, "no configuration yet", http.StatusServiceUnavailable)
 	default:
 		w.WriteHeader(http.StatusOK)
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -43,9 +43,9 @@
 // localLimiter is the rate limiter of a box that is the only one.
 type localLimiter struct{ *quota.Quota }
 
-func (b localLimiter) Take(_ context.Context, x quota.Question) (quota.Answer, quota.Arbiter) {
-	b.Update(soleBoxView, document.Accounts, time.Now())
-	return b.Ask(x, time.Now()), b.Self
+func (l localLimiter) Take(_ context.Context, x quota.Question) (quota.Answer, quota.Arbiter) {
+	l.Update(soleBoxView, document.Accounts, time.Now())
+	return l.Ask(x, time.Now()), l.Self
 }
 
 // newLimiter returns the rate limiter of a box that has run for a minute.
@@ -99,7 +99,7 @@
 	t            *testing.T
 	store        *memstore.Store
 	session      *storesession.Session
-	known        *fleetstate.Service
+	state        *fleetstate.Service
 	address      string
 	readyAddress string
 	release      chan struct{} // when closed, the endpoint responds to /a/hold
@@ -119,7 +119,7 @@
 		b.store.Set("e/one", strings.TrimPrefix(e.URL, "http://"))
 	}
 	b.session = storesession.New(b.store, zerolog.Nop())
-	b.known = fleetstate.New(fleetstate.Source{
+	b.state = fleetstate.New(fleetstate.Source{
 		ConfigKey: "config", EndpointsPrefix: "e/",
 		DecodeConfig: func(v []byte) (*catalog.Document, error) {
 			var d catalog.Document
@@ -130,7 +130,7 @@
 		},
 	}, b.store, zerolog.Nop())
 	f := &forward.Forwarder{
-		Roster: &b.known.Roster, Balancer: &balance.Balancer{}, Pool: &httpconn.Pool{DialTimeout: time.Second},
+		Roster: &b.state.Roster, Balancer: &balance.Balancer{}, Pool: &httpconn.Pool{DialTimeout: time.Second},
 		Meter: &demand.Meter{}, Quarantine: &quarantine.Quarantine{},
 		Rollouts: &rollout.Gate{},
 		Budget:   budget.New(budget.Limits{Window: time.Minute}), Codec: codec{}, OnStart: func(string, time.Time) {},
@@ -143,7 +143,7 @@
 	}
 	b.Ingress = ingress.New(o, codec{}, f, newLimiter(), metrics.NewRegistry(), zerolog.Nop())
 	k := &kernel.Kernel{}
-	for _, s := range []kernel.Service{b.session, b.known, b.Ingress} {
+	for _, s := range []kernel.Service{b.session, b.state, b.Ingress} {
 		require.NoError(t, k.Add(s))
 		require.NoError(t, s.Start(t.Context(), k))
 	}
@@ -159,7 +159,7 @@
 		close(b.release)
 	}
 	_ = b.Stop(context.Background())
-	_ = b.known.Stop(context.Background())
+	_ = b.state.Stop(context.Background())
 	_ = b.session.Stop(context.Background())
 }
 
--- a/ingress/serve.go
+++ b/ingress/serve.go
@@ -89,8 +89,8 @@
 // resolve looks up the route, the account and the service of a call.
 func (i *Ingress) resolve(c *call.Call) (forward.Request, error) {
 	q := forward.Request{Call: c}
-	t := i.known.Table()
-	if t == nil || !i.known.Ready() {
+	t := i.state.Table()
+	if t == nil || !i.state.Ready() {
 		return q, errkind.New(errkind.NotReady, "no configuration yet").WithRetryAfter(time.Second / 2)
 	}
 	stale := i.session.StoreUnresponsiveFor() > staleAfter
@@ -149,7 +149,7 @@
 // readBody reads the request body into c.
 func (i *Ingress) readBody(w http.ResponseWriter, r *http.Request, c *call.Call) error {
 	limit := int64(maxBodyBytes)
-	if n := i.known.Table().Document.Limits.BodyBytes; n > 0 {
+	if n := i.state.Table().Document.Limits.BodyBytes; n > 0 {
 		limit = int64(n)
 	}
 	if r.ContentLength > limit {
--- a/ingress/sink.go
+++ b/ingress/sink.go
@@ -73,7 +73,7 @@
 	if q.Route != nil {
 		l = l.Str("route", q.Route.Name)
 	}
-	if t := i.known.Table(); t != nil {
+	if t := i.state.Table(); t != nil {
 		l = l.Uint64("configuration", t.Document.Version)
 	}
 	return withAccount(l, q)
--- a/load/client.go
+++ b/load/client.go
@@ -192,27 +192,27 @@
 	return p
 }
 
-func (p *reply) decodeBody(a *http.Response, b []byte, s Spec) {
-	p.firstAt = time.Now()
+func (re *reply) decodeBody(a *http.Response, b []byte, s Spec) {
+	re.firstAt = time.Now()
 	var e openai.Error
 	var v openai.Completion
 	switch {
 	case a.StatusCode != http.StatusOK:
 		if json.Unmarshal(b, &e) != nil {
-			p.sendErr = fmt.Errorf("status %d without an error body", a.StatusCode)
+			re.sendErr = fmt.Errorf("status %d without an error body", a.StatusCode)
 		}
-		p.apiError = e.Error
+		re.apiError = e.Error
 	case s.Service != "":
-		p.text, p.complete = string(b), true
+		re.text, re.complete = string(b), true
 	case json.Unmarshal(b, &v) != nil || len(v.Choices) != 1:
-		p.sendErr = errors.New("body is not a completion")
+		re.sendErr = errors.New("body is not a completion")
 	default:
-		p.text, p.complete = v.Choices[0].Message.Content, true
+		re.text, re.complete = v.Choices[0].Message.Content, true
 	}
 }
 
 // readEvents reads a stream of server-sent events, one token each.
-func (p *reply) readEvents(r io.Reader) {
+func (re *reply) readEvents(r io.Reader) {
 	sc := bufio.NewScanner(r)
 	for sc.Scan() {
 		d, ok := strings.CutPrefix(sc.Text(), "data: ")
@@ -220,27 +220,27 @@
 			continue
 		}
 		if d == "[DONE]" {
-			p.complete = true
+			re.complete = true
 			return
 		}
 		var v openai.Completion
 		var e openai.Error
 		if json.Unmarshal([]byte(d), &e) == nil && e.Error.Type != "" {
-			p.apiError = e.Error
+			re.apiError = e.Error
 			return
 		}
 		if json.Unmarshal([]byte(d), &v) != nil || len(v.Choices) == 0 || v.Choices[0].Delta == nil {
 			continue
 		}
 		if t := v.Choices[0].Delta.Content; t != "" {
-			if p.firstAt.IsZero() {
-				p.firstAt = time.Now()
+			if re.firstAt.IsZero() {
+				re.firstAt = time.Now()
 			}
-			p.text += t
-			p.nextToken++
+			re.text += t
+			re.nextToken++
 		}
 	}
-	p.sendErr = errors.New("stream ended without an end event")
+	re.sendErr = errors.New("stream ended without an end event")
 }
 
 // resume reads the rest of a stream by its request ID, starting with token p.nextToken.
--- a/member/service_test.go
+++ b/member/service_test.go
@@ -28,17 +28,17 @@
 	from string
 }
 
-func (e transport) lookup(to string) *Service {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.down[e.from] || e.down[to] {
+func (t transport) lookup(to string) *Service {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.down[t.from] || t.down[to] {
 		return nil
 	}
-	return e.boxes[to]
+	return t.boxes[to]
 }
 
-func (e transport) Call(c context.Context, address, method string, in, out any) error {
-	s := e.lookup(address)
+func (t transport) Call(c context.Context, address, method string, in, out any) error {
+	s := t.lookup(address)
 	if s == nil {
 		return context.DeadlineExceeded
 	}
@@ -64,9 +64,9 @@
 		return err
 	}
 	v, err := msgpack.Marshal(a)
-	e.mu.Lock()
-	e.bytes += len(b) + len(v)
-	e.mu.Unlock()
+	t.mu.Lock()
+	t.bytes += len(b) + len(v)
+	t.mu.Unlock()
 	if err != nil {
 		return err
 	}
--- a/peer/client.go
+++ b/peer/client.go
@@ -210,28 +210,28 @@
 	ready  chan struct{}
 }
 
-func (b *inbox) put(m frame.Message) {
-	b.mu.Lock()
-	b.frames = append(b.frames, m)
-	b.mu.Unlock()
+func (i *inbox) put(m frame.Message) {
+	i.mu.Lock()
+	i.frames = append(i.frames, m)
+	i.mu.Unlock()
 	select {
-	case b.ready <- struct{}{}:
+	case i.ready <- struct{}{}:
 	default:
 	}
 }
 
-func (b *inbox) drain() []frame.Message {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	ms := b.frames
-	b.frames = nil
+func (i *inbox) drain() []frame.Message {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	ms := i.frames
+	i.frames = nil
 	return ms
 }
 
-func (b *inbox) isEmpty() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.frames) == 0
+func (i *inbox) isEmpty() bool {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return len(i.frames) == 0
 }
 
 func (l *link) openCall() (uint64, *inbox) {
--- a/quota/division.go
+++ b/quota/division.go
@@ -49,31 +49,31 @@
 }
 
 // add appends a division that is newer than all known ones and ignores any other.
-func (s *divisionHistory) add(d Division, now time.Time) {
-	if len(d.Boxes) == 0 || d.Version <= s.version() {
+func (h *divisionHistory) add(d Division, now time.Time) {
+	if len(d.Boxes) == 0 || d.Version <= h.version() {
 		return
 	}
-	if n := len(s.entries); n > 0 {
-		s.entries[n-1].replacedAt = now
+	if n := len(h.entries); n > 0 {
+		h.entries[n-1].replacedAt = now
 	}
-	s.entries = append(s.entries, divisionEntry{Division: d})
+	h.entries = append(h.entries, divisionEntry{Division: d})
 }
 
 // dropReplaced drops all divisions but the newest, once no box uses an older one.
-func (s *divisionHistory) dropReplaced() {
-	s.entries = s.entries[max(len(s.entries)-1, 0):]
+func (h *divisionHistory) dropReplaced() {
+	h.entries = h.entries[max(len(h.entries)-1, 0):]
 }
 
 // newest returns the division in force, or nil if none is known.
-func (s *divisionHistory) newest() *Division {
-	if len(s.entries) == 0 {
+func (h *divisionHistory) newest() *Division {
+	if len(h.entries) == 0 {
 		return nil
 	}
-	return &s.entries[len(s.entries)-1].Division
+	return &h.entries[len(h.entries)-1].Division
 }
 
-func (s *divisionHistory) version() uint64 {
-	if d := s.newest(); d != nil {
+func (h *divisionHistory) version() uint64 {
+	if d := h.newest(); d != nil {
 		return d.Version
 	}
 	return 0
@@ -83,13 +83,13 @@
 // have together. reachable is how many boxes were reachable there. The result is the
 // smallest share by any division that an unreachable box may still use, so that all shares
 // together never exceed the whole.
-func (s *divisionHistory) share(account, dc string, boxes, reachable int, now time.Time) float64 {
-	s.entries = slices.DeleteFunc(s.entries, func(t divisionEntry) bool { return !t.replacedAt.IsZero() && now.Sub(t.replacedAt) > retainFor })
-	if len(s.entries) == 0 {
+func (h *divisionHistory) share(account, dc string, boxes, reachable int, now time.Time) float64 {
+	h.entries = slices.DeleteFunc(h.entries, func(t divisionEntry) bool { return !t.replacedAt.IsZero() && now.Sub(t.replacedAt) > retainFor })
+	if len(h.entries) == 0 {
 		return float64(boxes) / assumedBoxes
 	}
 	least := 1.0
-	for _, t := range s.entries {
+	for _, t := range h.entries {
 		n := max(t.Boxes[dc], reachable, boxes, 1)
 		least = min(least, t.weight(account, dc)*float64(boxes)/float64(n))
 	}
@@ -98,8 +98,8 @@
 
 // evenShare returns the share of an evenly divided rate that the given number of boxes of a
 // data centre have together.
-func (s *divisionHistory) evenShare(dc string, boxes, reachable int, now time.Time) float64 {
-	return s.share(evenlyDivided, dc, boxes, reachable, now)
+func (h *divisionHistory) evenShare(dc string, boxes, reachable int, now time.Time) float64 {
+	return h.share(evenlyDivided, dc, boxes, reachable, now)
 }
 
 // evenlyDivided is the key for all rates that are divided evenly. No account has this name.
--- a/ratelimit/permit.go
+++ b/ratelimit/permit.go
@@ -15,14 +15,14 @@
 // Permit asks the arbiters of an endpoint's rate in turn whether one more request may be sent to
 // the endpoint. If all refuse, it returns the refusal with the shortest After among the arbiters
 // that hold a share of the rate.
-func (l *Service) Permit(c context.Context, x throttle.Question) throttle.Answer {
+func (s *Service) Permit(c context.Context, x throttle.Question) throttle.Answer {
 	soonest := throttle.Answer{After: noAnswerDelay}
-	for _, a := range l.Quota.Arbiters(x.Endpoint, boottime.Now()) {
+	for _, a := range s.Quota.Arbiters(x.Endpoint, boottime.Now()) {
 		var v throttle.Answer
 		switch {
-		case a.Box == l.Quota.Self.Box:
-			v = l.answerPermit(x)
-		case l.coolingDown(a.Box) || !l.call(c, a, methodPermit, x, &v, askTimeout):
+		case a.Box == s.Quota.Self.Box:
+			v = s.answerPermit(x)
+		case s.coolingDown(a.Box) || !s.call(c, a, methodPermit, x, &v, askTimeout):
 			continue
 		}
 		if v.OK {
@@ -37,13 +37,13 @@
 
 // answerPermit answers from the share of an endpoint's rate that is leased to this box. It uses
 // the rate that the endpoint stated last, which may be newer than the one in the question.
-func (l *Service) answerPermit(x throttle.Question) throttle.Answer {
+func (s *Service) answerPermit(x throttle.Question) throttle.Answer {
 	now := boottime.Now()
-	l.Rates.Merge([]endpointlimit.Statement{{Incarnation: x.Endpoint, Limited: true, PerSecond: x.PerSecond, Age: x.Age}}, now)
-	latest, _ := l.Rates.Limit(x.Endpoint, now)
+	s.Rates.Merge([]endpointlimit.Statement{{Incarnation: x.Endpoint, Limited: true, PerSecond: x.PerSecond, Age: x.Age}}, now)
+	latest, _ := s.Rates.Limit(x.Endpoint, now)
 	if !latest.Limited {
 		return throttle.Answer{OK: true}
 	}
 	x.PerSecond = latest.PerSecond
-	return l.Throttle.Ask(x, now)
+	return s.Throttle.Ask(x, now)
 }
--- a/ratelimit/service.go
+++ b/ratelimit/service.go
@@ -68,91 +68,91 @@
 }
 
 // Name returns the service's name.
-func (l *Service) Name() string { return Name }
+func (s *Service) Name() string { return Name }
 
 // Start registers the handlers for calls from other boxes.
-func (l *Service) Start(_ context.Context, k *kernel.Kernel) error {
-	if err := kernel.Bind(k, peer.Name, &l.node); err != nil {
+func (s *Service) Start(_ context.Context, k *kernel.Kernel) error {
+	if err := kernel.Bind(k, peer.Name, &s.node); err != nil {
 		return err
 	}
-	peer.Handle(l.node.Server, methodAsk, func(_ context.Context, x quota.Question) (quota.Answer, error) {
-		return l.Quota.Ask(x, boottime.Now()), nil
+	peer.Handle(s.node.Server, methodAsk, func(_ context.Context, x quota.Question) (quota.Answer, error) {
+		return s.Quota.Ask(x, boottime.Now()), nil
 	})
-	peer.Handle(l.node.Server, methodPermit, func(_ context.Context, x throttle.Question) (throttle.Answer, error) {
-		return l.answerPermit(x), nil
+	peer.Handle(s.node.Server, methodPermit, func(_ context.Context, x throttle.Question) (throttle.Answer, error) {
+		return s.answerPermit(x), nil
 	})
 	return nil
 }
 
 // Stop does nothing. Calls end when the peer node stops.
-func (l *Service) Stop(context.Context) error { return nil }
+func (s *Service) Stop(context.Context) error { return nil }
 
 // Take asks the arbiters of an account whether a request may be admitted. It returns the answer
 // and the arbiter that gave it, or the zero Arbiter if none answered.
-func (l *Service) Take(c context.Context, x quota.Question) (quota.Answer, quota.Arbiter) {
+func (s *Service) Take(c context.Context, x quota.Question) (quota.Answer, quota.Arbiter) {
 	began := boottime.Now()
-	v, by := l.Quota.Take(x, began, func(a quota.Arbiter, x quota.Question) (quota.Answer, bool) {
-		if l.coolingDown(a.Box) {
+	v, by := s.Quota.Take(x, began, func(a quota.Arbiter, x quota.Question) (quota.Answer, bool) {
+		if s.coolingDown(a.Box) {
 			return quota.Answer{}, false
 		}
-		return l.ask(c, a, x, askTimeout)
+		return s.ask(c, a, x, askTimeout)
 	})
 	if by.Box == "" {
-		v, by = l.Quota.Take(x, began, func(a quota.Arbiter, x quota.Question) (quota.Answer, bool) {
-			return l.ask(c, a, x, finalAskTimeout)
+		v, by = s.Quota.Take(x, began, func(a quota.Arbiter, x quota.Question) (quota.Answer, bool) {
+			return s.ask(c, a, x, finalAskTimeout)
 		})
 	}
-	metrics.GetOrRegisterTimer("limit.asked", l.metrics).UpdateSince(began)
+	metrics.GetOrRegisterTimer("limit.asked", s.metrics).UpdateSince(began)
 	return v, by
 }
 
 // ask asks one arbiter, which may be this box. It reports false if there is no answer.
-func (l *Service) ask(c context.Context, a quota.Arbiter, x quota.Question, timeout time.Duration) (quota.Answer, bool) {
-	if a.Box == l.Quota.Self.Box {
-		return l.Quota.Ask(x, boottime.Now()), true
+func (s *Service) ask(c context.Context, a quota.Arbiter, x quota.Question, timeout time.Duration) (quota.Answer, bool) {
+	if a.Box == s.Quota.Self.Box {
+		return s.Quota.Ask(x, boottime.Now()), true
 	}
 	var v quota.Answer
-	ok := l.call(c, a, methodAsk, x, &v, timeout)
+	ok := s.call(c, a, methodAsk, x, &v, timeout)
 	return v, ok
 }
 
 // call calls another box. If the box does not answer in time, call marks it unresponsive and
 // reports false. A call cancelled by the caller says nothing about the box and is not counted.
-func (l *Service) call(c context.Context, a quota.Arbiter, method string, in, out any, timeout time.Duration) bool {
+func (s *Service) call(c context.Context, a quota.Arbiter, method string, in, out any, timeout time.Duration) bool {
 	t, cancel := context.WithTimeout(c, timeout)
 	defer cancel()
-	err := l.node.Client.Call(t, a.Address, method, in, out)
+	err := s.node.Client.Call(t, a.Address, method, in, out)
 	if err == nil {
-		l.markResponsive(a.Box)
+		s.markResponsive(a.Box)
 		return true
 	}
 	if c.Err() != nil {
 		return false
 	}
-	metrics.GetOrRegisterCounter("limit.unanswered", l.metrics).Inc(1)
-	l.log.Info().Str("event", "limit").Str("other", a.Box).Interface("question", in).Dur("limit", timeout).Err(err).
+	metrics.GetOrRegisterCounter("limit.unanswered", s.metrics).Inc(1)
+	s.log.Info().Str("event", "limit").Str("other", a.Box).Interface("question", in).Dur("limit", timeout).Err(err).
 		Msg("did not answer; others are asked for a while")
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.unresponsive[a.Box] = boottime.Now()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.unresponsive[a.Box] = boottime.Now()
 	return false
 }
 
 // coolingDown reports whether a box is to be skipped because it did not answer recently. Once
 // per cooldown it returns false, so that one request probes the box.
-func (l *Service) coolingDown(box string) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	at, ok := l.unresponsive[box]
-	if ok && boottime.Since(at) >= l.Cooldown {
-		l.unresponsive[box] = boottime.Now()
+func (s *Service) coolingDown(box string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	at, ok := s.unresponsive[box]
+	if ok && boottime.Since(at) >= s.Cooldown {
+		s.unresponsive[box] = boottime.Now()
 		return false
 	}
 	return ok
 }
 
-func (l *Service) markResponsive(box string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.unresponsive, box)
+func (s *Service) markResponsive(box string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.unresponsive, box)
 }
--- a/recovery/decide.go
+++ b/recovery/decide.go
@@ -19,8 +19,8 @@
 )
 
 // String returns the name of the interruption in logs and metrics.
-func (b Interruption) String() string {
-	return [...]string{"refused", "unreachable", "cut", "stalled", "restarted", "never_seen", "gone", "halted"}[b]
+func (i Interruption) String() string {
+	return [...]string{"refused", "unreachable", "cut", "stalled", "restarted", "never_seen", "gone", "halted"}[i]
 }
 
 // Step is what a request does next.
--- a/reporter/reporter_test.go
+++ b/reporter/reporter_test.go
@@ -37,22 +37,22 @@
 	refused         int
 }
 
-func (l *fakeCloud) Order(context.Context, cloudapi.Lease, cloudapi.Order) error { return nil }
+func (c *fakeCloud) Order(context.Context, cloudapi.Lease, cloudapi.Order) error { return nil }
 
-func (l *fakeCloud) Report(_ context.Context, d cloudapi.Lease, w int64, counts map[string]int) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if d.Fence < l.highest {
-		l.refused++
+func (c *fakeCloud) Report(_ context.Context, d cloudapi.Lease, w int64, counts map[string]int) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if d.Fence < c.highest {
+		c.refused++
 		return cloudapi.ErrFenced
 	}
-	l.highest = d.Fence
-	l.reports[w] = append(l.reports[w], maps.Clone(counts))
-	if l.reportedAt[w].IsZero() {
-		l.reportedAt[w] = time.Now()
+	c.highest = d.Fence
+	c.reports[w] = append(c.reports[w], maps.Clone(counts))
+	if c.reportedAt[w].IsZero() {
+		c.reportedAt[w] = time.Now()
 	}
-	if l.responsesToDrop > 0 {
-		l.responsesToDrop--
+	if c.responsesToDrop > 0 {
+		c.responsesToDrop--
 		return cloudapi.ErrUnknown
 	}
 	return nil
@@ -113,13 +113,13 @@
 }
 
 // requireReported requires that a window was reported in time, and always with these counts.
-func (l *fakeCloud) requireReported(t *testing.T, w int64, end time.Time, counts map[string]int) {
+func (c *fakeCloud) requireReported(t *testing.T, w int64, end time.Time, counts map[string]int) {
 	t.Helper()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	require.NotEmpty(t, l.reports[w])
-	require.LessOrEqual(t, l.reportedAt[w].Sub(end), due)
-	for _, r := range l.reports[w] {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	require.NotEmpty(t, c.reports[w])
+	require.LessOrEqual(t, c.reportedAt[w].Sub(end), due)
+	for _, r := range c.reports[w] {
 		require.Equal(t, counts, r)
 	}
 }
--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -51,12 +51,12 @@
 }
 
 // Allows reports whether the request may go to endpoints of a version.
-func (f VersionFilter) Allows(version string) bool {
-	return (f.Only == "" || version == f.Only) && (f.Except == "" || version != f.Except)
+func (v VersionFilter) Allows(version string) bool {
+	return (v.Only == "" || version == v.Only) && (v.Except == "" || version != v.Except)
 }
 
 // AllowsAny reports whether the request may go to all versions.
-func (f VersionFilter) AllowsAny() bool { return f == VersionFilter{} }
+func (v VersionFilter) AllowsAny() bool { return v == VersionFilter{} }
 
 // service returns the state of a service, which it creates if necessary. The caller holds g.mu.
 func (g *Gate) service(name string) *service {
--- a/scaling/plan.go
+++ b/scaling/plan.go
@@ -106,15 +106,15 @@
 }
 
 // unlimited returns how many serving endpoints accept any rate of requests.
-func (d *Site) unlimited() Count {
-	return Count{d.Have.OnDemand - d.Limited.OnDemand, d.Have.Reclaimable - d.Limited.Reclaimable}
+func (s *Site) unlimited() Count {
+	return Count{s.Have.OnDemand - s.Limited.OnDemand, s.Have.Reclaimable - s.Limited.Reclaimable}
 }
 
 // usableReclaimable returns how many reclaimable endpoints carry load. Starting is how many
 // there will be soon; it counts instead if it is larger and they are available.
-func (d *Site) usableReclaimable(starting int) int {
-	n := d.unlimited().Reclaimable
-	if d.OutOfSupply {
+func (s *Site) usableReclaimable(starting int) int {
+	n := s.unlimited().Reclaimable
+	if s.OutOfSupply {
 		return n
 	}
 	return max(n, starting)
--- a/scenario/call_test.go
+++ b/scenario/call_test.go
@@ -53,42 +53,42 @@
 }
 
 // newRequest builds the request and sets the expected answer.
-func (k *call) newRequest(ts *testscript.TestScript, w *environment) *http.Request {
-	p, err := w.Get(k.fields["box"])
+func (c *call) newRequest(ts *testscript.TestScript, w *environment) *http.Request {
+	p, err := w.Get(c.fields["box"])
 	ts.Check(err)
 	method, url, body := http.MethodPost, "http://"+p.Address+"/v1/chat/completions", ""
-	if s := k.fields["service"]; s != "" {
-		method, body = valueOr(k.fields, "method", http.MethodGet), k.fields["body"]
-		url = "http://" + p.Address + "/services/" + s + k.fields["path"]
-		k.want = answer.Service(s, method, k.fields["path"], body)
+	if s := c.fields["service"]; s != "" {
+		method, body = valueOr(c.fields, "method", http.MethodGet), c.fields["body"]
+		url = "http://" + p.Address + "/services/" + s + c.fields["path"]
+		c.want = answer.Service(s, method, c.fields["path"], body)
 	} else {
-		body = k.chatBody(ts, w)
+		body = c.chatBody(ts, w)
 	}
 	r, err := http.NewRequestWithContext(w.c, method, url, strings.NewReader(body))
 	ts.Check(err)
-	k.setHeaders(w, r)
+	c.setHeaders(w, r)
 	return r
 }
 
-func (k *call) chatBody(ts *testscript.TestScript, w *environment) string {
-	n := parseInt(ts, valueOr(k.fields, "tokens", "16"))
-	q := openai.ChatRequest{Model: k.fields["chat"], MaxTokens: n, Stream: true, Messages: []openai.Message{
-		{Role: "user", Content: openai.Content(valueOr(k.fields, "prompt", k.name))},
+func (c *call) chatBody(ts *testscript.TestScript, w *environment) string {
+	n := parseInt(ts, valueOr(c.fields, "tokens", "16"))
+	q := openai.ChatRequest{Model: c.fields["chat"], MaxTokens: n, Stream: true, Messages: []openai.Message{
+		{Role: "user", Content: openai.Content(valueOr(c.fields, "prompt", c.name))},
 	}}
 	f, _ := w.document.Resolve(q.Model)
-	k.want = answer.Text(f, q.Prompt(), n)
+	c.want = answer.Text(f, q.Prompt(), n)
 	b, err := json.Marshal(q)
 	ts.Check(err)
 	return string(b)
 }
 
-func (k *call) setHeaders(w *environment, r *http.Request) {
-	r.Header.Set("Authorization", "Bearer "+valueOr(k.fields, "account", w.document.Accounts[0].Key))
+func (c *call) setHeaders(w *environment, r *http.Request) {
+	r.Header.Set("Authorization", "Bearer "+valueOr(c.fields, "account", w.document.Accounts[0].Key))
 	for f, h := range map[string]string{
 		"key": front.KeyHeader, "ticket": front.TicketHeader, "repeatable": front.RepeatableHeader,
 		"deadline": front.DeadlineHeader, "kind": front.KindHeader,
 	} {
-		if v := k.fields[f]; v != "" {
+		if v := c.fields[f]; v != "" {
 			r.Header.Set(h, v)
 		}
 	}
@@ -96,67 +96,67 @@
 
 // run sends the request. With retries=yes it follows Retry-After for as long as the request is refused
 // as not run.
-func (k *call) run(r *http.Request) {
-	defer close(k.done)
+func (c *call) run(r *http.Request) {
+	defer close(c.done)
 	for {
-		k.sendOnce(r)
-		n, err := strconv.Atoi(k.retryAfter)
-		if k.fields["retries"] != "yes" || err != nil || k.failure.Run != "not_run" {
+		c.sendOnce(r)
+		n, err := strconv.Atoi(c.retryAfter)
+		if c.fields["retries"] != "yes" || err != nil || c.failure.Run != "not_run" {
 			return
 		}
 		<-time.After(time.Duration(n) * time.Second)
 		r = r.Clone(r.Context())
 		r.Body, _ = r.GetBody()
-		k.update(func() { k.id, k.retryAfter, k.failure = "", "", openai.ErrorBody{} })
+		c.update(func() { c.id, c.retryAfter, c.failure = "", "", openai.ErrorBody{} })
 	}
 }
 
 // sendOnce sends the request and reads its answer.
-func (k *call) sendOnce(r *http.Request) {
+func (c *call) sendOnce(r *http.Request) {
 	a, err := httpClient.Do(r)
 	if err != nil {
-		k.update(func() { k.transportErr = err })
+		c.update(func() { c.transportErr = err })
 		return
 	}
 	defer a.Body.Close()
-	k.update(func() {
-		k.status, k.retryAfter = a.StatusCode, a.Header.Get("Retry-After")
-		if k.id == "" {
-			k.id = a.Header.Get(front.RequestIDHeader)
+	c.update(func() {
+		c.status, c.retryAfter = a.StatusCode, a.Header.Get("Retry-After")
+		if c.id == "" {
+			c.id = a.Header.Get(front.RequestIDHeader)
 		}
 	})
 	if strings.HasPrefix(a.Header.Get("Content-Type"), "text/event-stream") {
-		k.readEvents(a.Body)
+		c.readEvents(a.Body)
 		return
 	}
 	b, err := io.ReadAll(a.Body)
-	k.update(func() { k.setAnswer(a, b, err) })
+	c.update(func() { c.setAnswer(a, b, err) })
 }
 
 // update calls f with the lock held.
-func (k *call) update(f func()) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (c *call) update(f func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	f()
 }
 
 // setAnswer records an answer that is not an event stream.
-func (k *call) setAnswer(a *http.Response, b []byte, err error) {
+func (c *call) setAnswer(a *http.Response, b []byte, err error) {
 	var e openai.Error
 	switch {
 	case err != nil:
-		k.transportErr = err
+		c.transportErr = err
 	case a.StatusCode == http.StatusOK:
-		k.text, k.complete = string(b), true
+		c.text, c.complete = string(b), true
 	case json.NewDecoder(bytes.NewReader(b)).Decode(&e) != nil:
-		k.transportErr = fmt.Errorf("status %d: %s", a.StatusCode, b)
+		c.transportErr = fmt.Errorf("status %d: %s", a.StatusCode, b)
 	default:
-		k.failure = e.Error
+		c.failure = e.Error
 	}
 }
 
 // readEvents records the tokens and the end of an event stream.
-func (k *call) readEvents(r io.Reader) {
+func (c *call) readEvents(r io.Reader) {
 	s := bufio.NewScanner(r)
 	for s.Scan() {
 		d, ok := strings.CutPrefix(s.Text(), "data: ")
@@ -165,29 +165,29 @@
 		}
 		var e openai.Error
 		var v openai.Completion
-		k.update(func() {
+		c.update(func() {
 			switch {
 			case d == "[DONE]":
-				k.complete = true
+				c.complete = true
 			case json.Unmarshal([]byte(d), &e) == nil && e.Error.Type != "":
-				k.failure = e.Error
+				c.failure = e.Error
 			case json.Unmarshal([]byte(d), &v) == nil && len(v.Choices) > 0 && v.Choices[0].Delta.Content != "":
-				k.text += v.Choices[0].Delta.Content
-				k.received++
+				c.text += v.Choices[0].Delta.Content
+				c.received++
 			}
 		})
 	}
-	k.update(func() {
-		if !k.complete && k.failure.Type == "" {
-			k.transportErr = io.ErrUnexpectedEOF
+	c.update(func() {
+		if !c.complete && c.failure.Type == "" {
+			c.transportErr = io.ErrUnexpectedEOF
 		}
 	})
 }
 
-func (k *call) tokenCount() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.received
+func (c *call) tokenCount() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.received
 }
 
 func callOf(ts *testscript.TestScript, name string) *call {
@@ -215,14 +215,14 @@
 }
 
 // outcome returns the outcome of the call in the words of the end command.
-func (k *call) outcome() string {
+func (c *call) outcome() string {
 	switch {
-	case k.complete:
+	case c.complete:
 		return "answered"
-	case k.failure.Type != "":
-		return k.failure.Type + " " + k.failure.Run
-	case k.transportErr != nil:
-		return "cut: " + k.transportErr.Error()
+	case c.failure.Type != "":
+		return c.failure.Type + " " + c.failure.Run
+	case c.transportErr != nil:
+		return "cut: " + c.transportErr.Error()
 	default:
 		return "nothing"
 	}
--- a/scenario/environment_test.go
+++ b/scenario/environment_test.go
@@ -194,8 +194,8 @@
 	}()
 }
 
-func (w *environment) addresses(role string) []string {
-	ps := w.Processes(role)
+func (env *environment) addresses(role string) []string {
+	ps := env.Processes(role)
 	as := make([]string, len(ps))
 	for i, p := range ps {
 		as[i] = p.Address
@@ -203,15 +203,15 @@
 	return as
 }
 
-func (w *environment) readAudit() load.Audit {
-	return load.ReadAudit(w.c, w.Audits("engine"), w.Audits("service"))
+func (env *environment) readAudit() load.Audit {
+	return load.ReadAudit(env.c, env.Audits("engine"), env.Audits("service"))
 }
 
-func (w *environment) stopLoad(ts *testscript.TestScript) {
-	w.load.stop()
-	<-w.load.done
-	w.load.report.Print(ts.Stdout())
-	ts.Check(load.PrintVerdict(ts.Stdout(), &w.load.report, w.readAudit()))
+func (env *environment) stopLoad(ts *testscript.TestScript) {
+	env.load.stop()
+	<-env.load.done
+	env.load.report.Print(ts.Stdout())
+	ts.Check(load.PrintVerdict(ts.Stdout(), &env.load.report, env.readAudit()))
 }
 
 // waitUntil polls f until it returns true, and fails the script after 30 seconds.
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -119,10 +119,10 @@
 
 // completeAudit reads the audits of all stand-ins. It retries until none is unreadable: a box that is
 // being reclaimed writes its audit to a file on exit.
-func (w *environment) completeAudit(ts *testscript.TestScript) load.Audit {
+func (env *environment) completeAudit(ts *testscript.TestScript) load.Audit {
 	var a load.Audit
 	waitUntil(ts, "every audit", func() bool {
-		a = w.readAudit()
+		a = env.readAudit()
 		return len(a.Unread) == 0
 	})
 	return a
@@ -218,7 +218,7 @@
 }
 
 // awaitStatus waits for a condition on a box's status.
-func (w *environment) awaitStatus(ts *testscript.TestScript, args []string) {
+func (env *environment) awaitStatus(ts *testscript.TestScript, args []string) {
 	var ok func(operator.Status) bool
 	switch args[0] {
 	case "version":
@@ -246,7 +246,7 @@
 	default:
 		ts.Fatalf("unknown condition for await: %v", args)
 	}
-	if err := w.AwaitStatus(w.c, args[1], ok); err != nil {
+	if err := env.AwaitStatus(env.c, args[1], ok); err != nil {
 		ts.Fatalf("%s: %v", strings.Join(args, " "), err)
 	}
 }
--- a/stand/faults/injector.go
+++ b/stand/faults/injector.go
@@ -31,24 +31,24 @@
 }
 
 // Set activates a fault, or removes it if f.Remaining is zero.
-func (s *Injector) Set(f Fault) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.active == nil {
-		s.active = make(map[string]Fault)
+func (i *Injector) Set(f Fault) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if i.active == nil {
+		i.active = make(map[string]Fault)
 	}
 	if f.Remaining == 0 {
-		delete(s.active, f.Name)
+		delete(i.active, f.Name)
 		return
 	}
-	s.active[f.Name] = f
+	i.active[f.Name] = f
 }
 
 // Consume returns the fault with a name if it is active, and decrements its remaining calls.
-func (s *Injector) Consume(name string) (Fault, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	f, ok := s.active[name]
+func (i *Injector) Consume(name string) (Fault, bool) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	f, ok := i.active[name]
 	if !ok {
 		return Fault{}, false
 	}
@@ -56,18 +56,18 @@
 		f.Remaining--
 	}
 	if f.Remaining == 0 {
-		delete(s.active, name)
+		delete(i.active, name)
 	} else {
-		s.active[name] = f
+		i.active[name] = f
 	}
 	return f, true
 }
 
 // Lookup returns the fault with a name if it is active, without decrementing its remaining calls.
-func (s *Injector) Lookup(name string) (Fault, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	f, ok := s.active[name]
+func (i *Injector) Lookup(name string) (Fault, bool) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	f, ok := i.active[name]
 	return f, ok
 }
 
@@ -91,10 +91,10 @@
 var exitMu sync.Mutex
 
 // ServeHTTP sets the fault in the request body.
-func (s *Injector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (i *Injector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var f Fault
 	if jsonhttp.Read(w, r, &f) {
-		s.Set(f)
+		i.Set(f)
 		jsonhttp.Write(w, http.StatusOK, f)
 	}
 }
--- a/stand/lab/link.go
+++ b/stand/lab/link.go
@@ -27,7 +27,7 @@
 	return k, nil
 }
 
-func (k *link) address() string { return k.listener.Addr().String() }
+func (l *link) address() string { return l.listener.Addr().String() }
 
 func remoteIP(c net.Conn) string {
 	h, _, _ := net.SplitHostPort(c.RemoteAddr().String())
@@ -35,33 +35,33 @@
 }
 
 // register adds a connection to k.conns and returns true, unless its source is blocked.
-func (k *link) register(c net.Conn) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.blocked[remoteIP(c)] {
+func (l *link) register(c net.Conn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.blocked[remoteIP(c)] {
 		return false
 	}
-	k.conns[c] = remoteIP(c)
+	l.conns[c] = remoteIP(c)
 	return true
 }
 
-func (k *link) accept() {
+func (l *link) accept() {
 	for {
-		c, err := k.listener.Accept()
+		c, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		if !k.register(c) {
+		if !l.register(c) {
 			c.Close()
 			continue
 		}
-		go k.forward(c)
+		go l.forward(c)
 	}
 }
 
-func (k *link) forward(c net.Conn) {
+func (l *link) forward(c net.Conn) {
 	defer c.Close()
-	d, err := net.Dial("tcp", k.target)
+	d, err := net.Dial("tcp", l.target)
 	if err != nil {
 		return
 	}
@@ -71,17 +71,17 @@
 		d.Close()
 	}()
 	_, _ = io.Copy(c, d)
-	k.mu.Lock()
-	delete(k.conns, c)
-	k.mu.Unlock()
+	l.mu.Lock()
+	delete(l.conns, c)
+	l.mu.Unlock()
 }
 
 // setBlocked blocks or allows connections from an IP address. Blocking also closes the open ones.
-func (k *link) setBlocked(ip string, blocked bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.blocked[ip] = blocked
-	for c, from := range k.conns {
+func (l *link) setBlocked(ip string, blocked bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.blocked[ip] = blocked
+	for c, from := range l.conns {
 		if blocked && from == ip {
 			c.Close()
 		}
--- a/stand/memstore/store.go
+++ b/stand/memstore/store.go
@@ -37,173 +37,173 @@
 }
 
 // SetDown makes all later calls fail with store.ErrUnavailable, or succeed again.
-func (m *Store) SetDown(down bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.down = down
-	m.notifyWatchers()
+func (s *Store) SetDown(down bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.down = down
+	s.notifyWatchers()
 }
 
 // SetWatchesStalled makes pending watches miss all changes, as while the history is being compacted.
-func (m *Store) SetWatchesStalled(stalled bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.watchesStalled = stalled
+func (s *Store) SetWatchesStalled(stalled bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.watchesStalled = stalled
 }
 
 // LoseAnswers makes the next n commits take effect but return store.ErrOutcomeUnknown.
-func (m *Store) LoseAnswers(n int) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.lostAnswers = n
+func (s *Store) LoseAnswers(n int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lostAnswers = n
 }
 
 // Compact drops the history, so that a watch from an earlier revision fails with
 // store.ErrCompacted.
-func (m *Store) Compact() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.compactedTo, m.events = m.revision, nil
+func (s *Store) Compact() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.compactedTo, s.events = s.revision, nil
 }
 
 // Calls returns the number of calls so far.
-func (m *Store) Calls() int {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.calls
+func (s *Store) Calls() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.calls
 }
 
 // ExpireLease ends a lease as if its TTL had passed.
-func (m *Store) ExpireLease(l store.Lease) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.endLease(l)
+func (s *Store) ExpireLease(l store.Lease) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.endLease(l)
 }
 
 // Set writes a key unconditionally and returns its revision.
-func (m *Store) Set(key, value string) uint64 {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.revision++
-	m.put(key, []byte(value), 0)
-	m.notifyWatchers()
-	return m.revision
+func (s *Store) Set(key, value string) uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.revision++
+	s.put(key, []byte(value), 0)
+	s.notifyWatchers()
+	return s.revision
 }
 
 // Delete removes a key.
-func (m *Store) Delete(key string) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.revision++
-	m.remove(key)
-	m.notifyWatchers()
+func (s *Store) Delete(key string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.revision++
+	s.remove(key)
+	s.notifyWatchers()
 }
 
-func (m *Store) notifyWatchers() {
-	if m.changed != nil {
-		close(m.changed)
+func (s *Store) notifyWatchers() {
+	if s.changed != nil {
+		close(s.changed)
 	}
-	m.changed = make(chan struct{})
+	s.changed = make(chan struct{})
 }
 
-func (m *Store) put(key string, value []byte, l store.Lease) {
-	if m.items == nil {
-		m.items, m.keyLeases = map[string]store.Item{}, map[string]store.Lease{}
+func (s *Store) put(key string, value []byte, l store.Lease) {
+	if s.items == nil {
+		s.items, s.keyLeases = map[string]store.Item{}, map[string]store.Lease{}
 	}
-	i := store.Item{Key: key, Value: value, Revision: m.revision, Created: m.revision}
-	if old, ok := m.items[key]; ok {
+	i := store.Item{Key: key, Value: value, Revision: s.revision, Created: s.revision}
+	if old, ok := s.items[key]; ok {
 		i.Created = old.Created
 	}
-	m.items[key], m.keyLeases[key] = i, l
-	m.events = append(m.events, i)
+	s.items[key], s.keyLeases[key] = i, l
+	s.events = append(s.events, i)
 }
 
-func (m *Store) remove(key string) {
-	if _, ok := m.items[key]; !ok {
+func (s *Store) remove(key string) {
+	if _, ok := s.items[key]; !ok {
 		return
 	}
-	delete(m.items, key)
-	delete(m.keyLeases, key)
-	m.events = append(m.events, store.Item{Key: key, Revision: m.revision, Deleted: true})
+	delete(s.items, key)
+	delete(s.keyLeases, key)
+	s.events = append(s.events, store.Item{Key: key, Revision: s.revision, Deleted: true})
 }
 
-func (m *Store) endLease(l store.Lease) {
-	if m.leases[l] == nil {
+func (s *Store) endLease(l store.Lease) {
+	if s.leases[l] == nil {
 		return
 	}
-	m.leases[l].timer.Stop()
-	delete(m.leases, l)
-	m.revision++
-	for _, k := range slices.Sorted(maps.Keys(m.keyLeases)) {
-		if m.keyLeases[k] == l {
-			m.remove(k)
+	s.leases[l].timer.Stop()
+	delete(s.leases, l)
+	s.revision++
+	for _, k := range slices.Sorted(maps.Keys(s.keyLeases)) {
+		if s.keyLeases[k] == l {
+			s.remove(k)
 		}
 	}
-	m.notifyWatchers()
+	s.notifyWatchers()
 }
 
 // beginCall counts a call, and returns store.ErrUnavailable if the service is down. The caller holds
 // m.mu.
-func (m *Store) beginCall() error {
-	m.calls++
-	if m.down {
+func (s *Store) beginCall() error {
+	s.calls++
+	if s.down {
 		return store.ErrUnavailable
 	}
 	return nil
 }
 
 // Get returns the item of a key. The item of a missing key has revision 0.
-func (m *Store) Get(_ context.Context, key string) (store.Item, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if err := m.beginCall(); err != nil {
+func (s *Store) Get(_ context.Context, key string) (store.Item, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.beginCall(); err != nil {
 		return store.Item{}, err
 	}
-	i := m.items[key]
+	i := s.items[key]
 	i.Key = key
 	return i, nil
 }
 
 // Range returns the items under a prefix, sorted by key, and the current revision.
-func (m *Store) Range(_ context.Context, prefix string) ([]store.Item, uint64, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if err := m.beginCall(); err != nil {
+func (s *Store) Range(_ context.Context, prefix string) ([]store.Item, uint64, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.beginCall(); err != nil {
 		return nil, 0, err
 	}
 	var out []store.Item
-	for _, i := range m.items {
+	for _, i := range s.items {
 		if strings.HasPrefix(i.Key, prefix) {
 			out = append(out, i)
 		}
 	}
 	slices.SortFunc(out, func(a, b store.Item) int { return cmp.Compare(a.Key, b.Key) })
 	// A watch cannot start from revision 0.
-	return out, max(m.revision, 1), nil
+	return out, max(s.revision, 1), nil
 }
 
 // Watch returns the changes under a prefix after a revision. If there are none, it waits up to the
 // given time for one.
-func (m *Store) Watch(c context.Context, prefix string, since uint64, wait time.Duration) ([]store.Item, uint64, error) {
+func (s *Store) Watch(c context.Context, prefix string, since uint64, wait time.Duration) ([]store.Item, uint64, error) {
 	t := time.NewTimer(wait)
 	defer t.Stop()
-	m.mu.Lock()
-	if err := m.beginCall(); err != nil {
-		m.mu.Unlock()
+	s.mu.Lock()
+	if err := s.beginCall(); err != nil {
+		s.mu.Unlock()
 		return nil, 0, err
 	}
-	if since < m.compactedTo {
-		m.mu.Unlock()
+	if since < s.compactedTo {
+		s.mu.Unlock()
 		return nil, 0, store.ErrCompacted
 	}
-	m.mu.Unlock()
+	s.mu.Unlock()
 	for {
-		m.mu.Lock()
-		out, revision, changed := m.eventsAfter(prefix, since), m.revision, m.changeSignal()
-		if m.watchesStalled {
+		s.mu.Lock()
+		out, revision, changed := s.eventsAfter(prefix, since), s.revision, s.changeSignal()
+		if s.watchesStalled {
 			out = nil
 		}
-		m.mu.Unlock()
+		s.mu.Unlock()
 		if len(out) > 0 {
 			return out, revision, nil
 		}
@@ -217,16 +217,16 @@
 	}
 }
 
-func (m *Store) changeSignal() chan struct{} {
-	if m.changed == nil {
-		m.changed = make(chan struct{})
+func (s *Store) changeSignal() chan struct{} {
+	if s.changed == nil {
+		s.changed = make(chan struct{})
 	}
-	return m.changed
+	return s.changed
 }
 
-func (m *Store) eventsAfter(prefix string, since uint64) []store.Item {
+func (s *Store) eventsAfter(prefix string, since uint64) []store.Item {
 	var out []store.Item
-	for _, i := range m.events {
+	for _, i := range s.events {
 		if i.Revision > since && strings.HasPrefix(i.Key, prefix) {
 			out = append(out, i)
 		}
@@ -235,61 +235,61 @@
 }
 
 // Commit applies a change if all its conditions hold, and returns the new revision.
-func (m *Store) Commit(_ context.Context, x store.Change) (uint64, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if err := m.beginCall(); err != nil {
+func (s *Store) Commit(_ context.Context, x store.Change) (uint64, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.beginCall(); err != nil {
 		return 0, err
 	}
 	for _, i := range x.If {
-		if m.items[i.Key].Revision != i.Revision {
+		if s.items[i.Key].Revision != i.Revision {
 			return 0, store.ErrConflict
 		}
 	}
 	for _, p := range x.Put {
-		if p.Lease != 0 && m.leases[p.Lease] == nil {
+		if p.Lease != 0 && s.leases[p.Lease] == nil {
 			return 0, store.ErrNoLease
 		}
 	}
-	m.revision++
+	s.revision++
 	for _, p := range x.Put {
-		m.put(p.Key, p.Value, p.Lease)
+		s.put(p.Key, p.Value, p.Lease)
 	}
 	for _, k := range x.Delete {
-		m.remove(k)
+		s.remove(k)
 	}
-	m.notifyWatchers()
-	if m.lostAnswers > 0 {
-		m.lostAnswers--
+	s.notifyWatchers()
+	if s.lostAnswers > 0 {
+		s.lostAnswers--
 		return 0, store.ErrOutcomeUnknown
 	}
-	return m.revision, nil
+	return s.revision, nil
 }
 
 // Grant creates a lease that expires after ttl unless it is renewed.
-func (m *Store) Grant(_ context.Context, ttl time.Duration) (store.Lease, time.Duration, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if err := m.beginCall(); err != nil {
+func (s *Store) Grant(_ context.Context, ttl time.Duration) (store.Lease, time.Duration, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.beginCall(); err != nil {
 		return 0, 0, err
 	}
-	if m.leases == nil {
-		m.leases = map[store.Lease]*lease{}
+	if s.leases == nil {
+		s.leases = map[store.Lease]*lease{}
 	}
-	m.revision++
-	l := store.Lease(m.revision)
-	m.leases[l] = &lease{ttl, time.AfterFunc(ttl, func() { m.ExpireLease(l) })}
+	s.revision++
+	l := store.Lease(s.revision)
+	s.leases[l] = &lease{ttl, time.AfterFunc(ttl, func() { s.ExpireLease(l) })}
 	return l, ttl, nil
 }
 
 // Renew restarts the TTL of a lease.
-func (m *Store) Renew(_ context.Context, l store.Lease) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if err := m.beginCall(); err != nil {
+func (s *Store) Renew(_ context.Context, l store.Lease) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.beginCall(); err != nil {
 		return err
 	}
-	x := m.leases[l]
+	x := s.leases[l]
 	if x == nil {
 		return store.ErrNoLease
 	}
@@ -298,15 +298,15 @@
 }
 
 // Revoke ends a lease and deletes its keys.
-func (m *Store) Revoke(_ context.Context, l store.Lease) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if err := m.beginCall(); err != nil {
+func (s *Store) Revoke(_ context.Context, l store.Lease) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.beginCall(); err != nil {
 		return err
 	}
-	if m.leases[l] == nil {
+	if s.leases[l] == nil {
 		return store.ErrNoLease
 	}
-	m.endLease(l)
+	s.endLease(l)
 	return nil
 }
--- a/stream/choose.go
+++ b/stream/choose.go
@@ -49,35 +49,35 @@
 
 // eligible returns the endpoints that may run a workload: usable, with the workload loaded, allowed
 // by the selectors and in this data centre.
-func (x *endpointIndex) eligible(workload string) []candidate {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	cs, known := x.byWorkload[workload]
+func (i *endpointIndex) eligible(workload string) []candidate {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	cs, known := i.byWorkload[workload]
 	if known {
 		return cs
 	}
-	for _, s := range x.snapshot.Endpoints {
-		if s.DataCentre != x.dc || !s.Usable() || !s.Serves(workload) {
+	for _, s := range i.snapshot.Endpoints {
+		if s.DataCentre != i.dc || !s.Usable() || !s.Serves(workload) {
 			continue
 		}
-		if ok, _ := x.document.Allowed(workload, s.Box); ok {
-			cs = append(cs, candidate{s, x.document.Preference(workload, s.Box)})
+		if ok, _ := i.document.Allowed(workload, s.Box); ok {
+			cs = append(cs, candidate{s, i.document.Preference(workload, s.Box)})
 		}
 	}
-	if x.byWorkload == nil {
-		x.byWorkload = make(map[string][]candidate)
+	if i.byWorkload == nil {
+		i.byWorkload = make(map[string][]candidate)
 	}
-	x.byWorkload[workload] = cs
+	i.byWorkload[workload] = cs
 	return cs
 }
 
 // currentIndex returns the index of the current snapshot and configuration.
-func (k *Service) currentIndex(d *config.Document) *endpointIndex {
-	n := k.view.Snapshot()
-	x := k.endpointIndex.Load()
+func (svc *Service) currentIndex(d *config.Document) *endpointIndex {
+	n := svc.view.Snapshot()
+	x := svc.endpointIndex.Load()
 	if x == nil || x.snapshot != n || x.document != d {
-		x = &endpointIndex{snapshot: n, document: d, dc: k.dc}
-		k.endpointIndex.Store(x)
+		x = &endpointIndex{snapshot: n, document: d, dc: svc.dc}
+		svc.endpointIndex.Store(x)
 	}
 	return x
 }
@@ -187,7 +187,7 @@
 	return nil
 }
 
-func (k *Service) logRoute(r *run, b *candidates, ch router.Choice) {
+func (svc *Service) logRoute(r *run, b *candidates, ch router.Choice) {
 	d := decisions.Decision{Subject: r.s.ID, Event: "route", Reason: ch.Reason, Attempt: r.attempt + 1, Workload: r.s.Workload}
 	for i := range b.targets {
 		if i == ch.Index {
@@ -198,14 +198,14 @@
 			d.Figures = append(d.Figures, decisions.Candidate{Box: t.Box, Score: float64(t.Busy) / float64(max(t.Slots, 1))})
 		}
 	}
-	k.decisions.Record(d)
+	svc.decisions.Record(d)
 }
 
 // destinationEndpoints returns the usable engines of this data centre by name.
-func (k *Service) destinationEndpoints() map[string]fleet.Endpoint {
+func (svc *Service) destinationEndpoints() map[string]fleet.Endpoint {
 	m := map[string]fleet.Endpoint{}
-	for _, s := range k.view.Endpoints() {
-		if s.DataCentre == k.dc && s.Usable() && s.Role == fleet.EngineRole {
+	for _, s := range svc.view.Endpoints() {
+		if s.DataCentre == svc.dc && s.Usable() && s.Role == fleet.EngineRole {
 			m[s.Name] = s.Endpoint
 		}
 	}
--- a/stream/relay.go
+++ b/stream/relay.go
@@ -63,24 +63,24 @@
 	Token string
 }
 
-func (k *Service) registerHandlers() {
-	s := k.peers.Server
-	s.Handle("stream.relay", k.serveRelay)
-	s.Handle("stream.read", k.serveRead)
-	peer.Handle(s, "stream.adopt", k.adopt)
+func (svc *Service) registerHandlers() {
+	s := svc.peers.Server
+	s.Handle("stream.relay", svc.serveRelay)
+	s.Handle("stream.read", svc.serveRead)
+	peer.Handle(s, "stream.adopt", svc.adopt)
 	peer.Handle(s, "stream.has", func(_ context.Context, id string) (bool, error) {
-		_, err := k.Find(id)
+		_, err := svc.Find(id)
 		return err == nil, nil
 	})
 }
 
 // serveRelay runs a request for another data centre, or resumes reading one.
-func (k *Service) serveRelay(c context.Context, body []byte, send func(any) error) (any, error) {
+func (svc *Service) serveRelay(c context.Context, body []byte, send func(any) error) (any, error) {
 	var q relayRequest
 	if err := msgpack.Unmarshal(body, &q); err != nil {
 		return nil, errkind.New(errkind.BadRequest, "decode relay: %w", err)
 	}
-	s, err := k.startRelayed(q)
+	s, err := svc.startRelayed(q)
 	if err != nil {
 		return nil, err
 	}
@@ -89,20 +89,20 @@
 
 // startRelayed returns the stream of a relayed request. Unless q resumes one, the request passes
 // admission and is started.
-func (k *Service) startRelayed(q relayRequest) (*Stream, error) {
+func (svc *Service) startRelayed(q relayRequest) (*Stream, error) {
 	id := relayID(q.Request.ID, q.Attempt)
 	if q.Resume {
-		return k.Find(id)
+		return svc.Find(id)
 	}
-	release, err := k.admission.Enter(q.Request.Admission())
+	release, err := svc.admission.Enter(q.Request.Admission())
 	if err != nil {
 		return nil, err
 	}
 	s := newStream(q.Request)
 	s.ID, s.tokens, s.relayed = id, q.Tokens, true
-	k.launch(s, func(c context.Context) {
+	svc.launch(s, func(c context.Context) {
 		defer release()
-		r := newRun(k, s)
+		r := newRun(svc, s)
 		r.attempt = q.Attempt * attemptsPerRelay
 		r.start(c)
 	})
@@ -112,12 +112,12 @@
 // relayID is the ID of a request at the peer that runs it for another data centre.
 func relayID(id string, attempt int) string { return fmt.Sprintf("%s.%d", id, attempt) }
 
-func (k *Service) serveRead(c context.Context, body []byte, send func(any) error) (any, error) {
+func (svc *Service) serveRead(c context.Context, body []byte, send func(any) error) (any, error) {
 	var q readRequest
 	if err := msgpack.Unmarshal(body, &q); err != nil {
 		return nil, errkind.New(errkind.BadRequest, "decode read: %w", err)
 	}
-	s, err := k.findOwned(q.ID, q.Account)
+	s, err := svc.findOwned(q.ID, q.Account)
 	if err != nil {
 		return nil, err
 	}
@@ -126,8 +126,8 @@
 
 // findOwned returns a stream of the account. The error is of kind UnknownRequest, also if the
 // stream belongs to another account.
-func (k *Service) findOwned(id, account string) (*Stream, error) {
-	s, err := k.Find(id)
+func (svc *Service) findOwned(id, account string) (*Stream, error) {
+	s, err := svc.Find(id)
 	if err == nil && s.Account != account {
 		return nil, errkind.New(errkind.UnknownRequest, "no request %s here", id)
 	}
@@ -136,16 +136,16 @@
 
 // ReadAnywhere reads the tokens of an account's request from an index on, from whichever box has the
 // stream.
-func (k *Service) ReadAnywhere(c context.Context, id, account string, from int, each func(int, string) error) error {
-	if s, err := k.findOwned(id, account); err == nil && !isHandedOver(s) {
+func (svc *Service) ReadAnywhere(c context.Context, id, account string, from int, each func(int, string) error) error {
+	if s, err := svc.findOwned(id, account); err == nil && !isHandedOver(s) {
 		return s.Read(c, from, each)
 	}
-	for _, m := range k.members.Up("") {
+	for _, m := range svc.members.Up("") {
 		var has bool
-		if m.Box == k.members.Self().Box || k.peers.Client.Call(c, m.Address, "stream.has", id, &has) != nil || !has {
+		if m.Box == svc.members.Self().Box || svc.peers.Client.Call(c, m.Address, "stream.has", id, &has) != nil || !has {
 			continue
 		}
-		return k.peers.Client.Stream(c, m.Address, "stream.read", readRequest{ID: id, Account: account, From: from}, nil, func(b []byte) error {
+		return svc.peers.Client.Stream(c, m.Address, "stream.read", readRequest{ID: id, Account: account, From: from}, nil, func(b []byte) error {
 			var i indexedToken
 			if err := msgpack.Unmarshal(b, &i); err != nil {
 				return fmt.Errorf("decode token: %w", err)
@@ -164,17 +164,17 @@
 
 // HandOver asks every live stream to continue at a peer of this data centre, and returns the number
 // of streams. It returns 0 if there is no peer.
-func (k *Service) HandOver() int {
+func (svc *Service) HandOver() int {
 	var ms []member.Member
-	for _, m := range k.members.Up(k.dc) {
-		if m.Box != k.members.Self().Box && m.State == member.Alive {
+	for _, m := range svc.members.Up(svc.dc) {
+		if m.Box != svc.members.Self().Box && m.State == member.Alive {
 			ms = append(ms, m)
 		}
 	}
 	if len(ms) == 0 {
 		return 0
 	}
-	ss := k.live()
+	ss := svc.live()
 	for i, s := range ss {
 		select {
 		case s.moveRequests <- moveRequest{peer: ms[i%len(ms)]}:
@@ -211,18 +211,18 @@
 }
 
 // adopt takes over a stream from a peer that is stopping.
-func (k *Service) adopt(_ context.Context, h handoverRequest) (struct{}, error) {
-	if k.base.Err() != nil || k.draining.Load() {
+func (svc *Service) adopt(_ context.Context, h handoverRequest) (struct{}, error) {
+	if svc.base.Err() != nil || svc.draining.Load() {
 		return struct{}{}, errkind.New(errkind.Stopping, "this box stops too")
 	}
-	endpoint := k.view.Endpoint(h.Box)
+	endpoint := svc.view.Endpoint(h.Box)
 	if endpoint == nil {
 		return struct{}{}, errkind.New(errkind.NoEndpoint, "box %s is not known here", h.Box)
 	}
 	s := newStream(h.Request)
 	s.tokens = h.Tokens
-	k.launch(s, func(c context.Context) {
-		r := newRun(k, s)
+	svc.launch(s, func(c context.Context) {
+		r := newRun(svc, s)
 		r.attempt, r.mayHaveRun = h.Attempt, h.Ran
 		r.splice.StartAttempt(h.Attempt)
 		r.setTarget(target{box: h.Box, incarnation: h.Incarnation, address: h.Address, endpoint: endpoint})
@@ -234,7 +234,7 @@
 }
 
 // Drain makes the service refuse streams that other boxes hand over.
-func (k *Service) Drain() { k.draining.Store(true) }
+func (svc *Service) Drain() { svc.draining.Store(true) }
 
 // peerExecutor runs attempts at an entry box of another data centre.
 type peerExecutor struct {
@@ -308,9 +308,9 @@
 	_ = l.send(c, n)
 }
 
-func (l *peerLineStream) send(c context.Context, n engine.Line) error {
+func (s *peerLineStream) send(c context.Context, n engine.Line) error {
 	select {
-	case l.lines <- n:
+	case s.lines <- n:
 		return nil
 	case <-c.Done():
 		return c.Err()
@@ -318,8 +318,8 @@
 }
 
 // Next returns the next line, or io.EOF.
-func (l *peerLineStream) Next() (engine.Line, error) {
-	n, ok := <-l.lines
+func (s *peerLineStream) Next() (engine.Line, error) {
+	n, ok := <-s.lines
 	if !ok {
 		return n, io.EOF
 	}
@@ -327,8 +327,8 @@
 }
 
 // Close cancels the call to the peer.
-func (l *peerLineStream) Close() error {
-	l.stop()
+func (s *peerLineStream) Close() error {
+	s.stop()
 	return nil
 }
 
@@ -348,9 +348,9 @@
 
 // WaitDrained waits until no stream is live, and reports whether that happened before the context
 // ended.
-func (k *Service) WaitDrained(c context.Context) bool {
+func (svc *Service) WaitDrained(c context.Context) bool {
 	const pollInterval = 50 * time.Millisecond
-	for k.Live() > 0 {
+	for svc.Live() > 0 {
 		if c.Err() != nil {
 			return false
 		}
--- a/stream/service.go
+++ b/stream/service.go
@@ -97,82 +97,82 @@
 }
 
 // Name returns the service's name.
-func (k *Service) Name() string { return Name }
+func (svc *Service) Name() string { return Name }
 
 // Start looks up the services that streams depend on and starts the sweep of finished streams.
-func (k *Service) Start(_ context.Context, n *kernel.Kernel) error {
+func (svc *Service) Start(_ context.Context, n *kernel.Kernel) error {
 	if err := errors.Join(
-		kernel.Bind(n, view.Name, &k.view),
-		kernel.Bind(n, member.Name, &k.members),
-		kernel.Bind(n, peer.Name, &k.peers),
-		kernel.Bind(n, decisions.Name, &k.decisions),
-		kernel.Bind(n, configsync.Name, &k.follower),
-		kernel.Bind(n, admission.Name, &k.admission),
-		kernel.Bind(n, observer.Name, &k.viewObserver),
-		kernel.Bind(n, suspects.Name, &k.suspects),
+		kernel.Bind(n, view.Name, &svc.view),
+		kernel.Bind(n, member.Name, &svc.members),
+		kernel.Bind(n, peer.Name, &svc.peers),
+		kernel.Bind(n, decisions.Name, &svc.decisions),
+		kernel.Bind(n, configsync.Name, &svc.follower),
+		kernel.Bind(n, admission.Name, &svc.admission),
+		kernel.Bind(n, observer.Name, &svc.viewObserver),
+		kernel.Bind(n, suspects.Name, &svc.suspects),
 	); err != nil {
 		return err
 	}
-	k.dc = k.members.Self().DataCentre
-	k.engines = engine.NewClient(k.members.Self().Box)
-	k.base, k.cancel = context.WithCancel(context.Background())
-	k.follower.OnChange(k.configure)
-	k.view.OnLeaving(func(box string, d time.Time) { k.group.Go(func() { k.evacuate(box, d) }) })
-	k.registerHandlers()
-	k.group.Go(k.sweepLoop)
+	svc.dc = svc.members.Self().DataCentre
+	svc.engines = engine.NewClient(svc.members.Self().Box)
+	svc.base, svc.cancel = context.WithCancel(context.Background())
+	svc.follower.OnChange(svc.configure)
+	svc.view.OnLeaving(func(box string, d time.Time) { svc.group.Go(func() { svc.evacuate(box, d) }) })
+	svc.registerHandlers()
+	svc.group.Go(svc.sweepLoop)
 	return nil
 }
 
 // Stop cancels all streams that still run. A planned shutdown hands them over first.
-func (k *Service) Stop(context.Context) error {
-	k.cancel()
-	k.group.Wait()
-	k.engines.Close()
+func (svc *Service) Stop(context.Context) error {
+	svc.cancel()
+	svc.group.Wait()
+	svc.engines.Close()
 	return nil
 }
 
-func (k *Service) configure(d *config.Document) {
-	p, err := router.New(k.PolicyName, d.Targets.LoadBound, d.Targets.RecomputeWeight)
+func (svc *Service) configure(d *config.Document) {
+	p, err := router.New(svc.PolicyName, d.Targets.LoadBound, d.Targets.RecomputeWeight)
 	if err != nil {
-		k.Log.Error().Err(err).Msg("keeping the current routing policy")
+		svc.Log.Error().Err(err).Msg("keeping the current routing policy")
 		return
 	}
-	k.currentPolicy.Store(policyHolder{p})
+	svc.currentPolicy.Store(policyHolder{p})
 }
 
-func (k *Service) policy() router.Policy { return k.currentPolicy.Load().(policyHolder).Policy }
+func (svc *Service) policy() router.Policy { return svc.currentPolicy.Load().(policyHolder).Policy }
 
-func (k *Service) allowRetry(account string) bool { return k.admission.Retry(account) }
+func (svc *Service) allowRetry(account string) bool { return svc.admission.Retry(account) }
 
 // Run starts the stream of an accepted request.
-func (k *Service) Run(q Request) *Stream {
+func (svc *Service) Run(q Request) *Stream {
 	s := newStream(q)
-	k.launch(s, func(c context.Context) { newRun(k, s).start(c) })
+	svc.launch(s, func(c context.Context) { newRun(svc, s).start(c) })
 	return s
 }
 
 // RunRemote starts the stream of a request that this data centre has no capacity for. The request
 // is run in another data centre or refused.
-func (k *Service) RunRemote(q Request) *Stream {
+func (svc *Service) RunRemote(q Request) *Stream {
 	s := newStream(q)
 	s.remoteOnly = true
-	k.launch(s, func(c context.Context) { newRun(k, s).start(c) })
+	svc.launch(s, func(c context.Context) { newRun(svc, s).start(c) })
 	return s
 }
 
 // HasRemote reports whether there are boxes in other data centres.
-func (k *Service) HasRemote() bool {
-	return slices.ContainsFunc(k.members.Up(""), func(m member.Member) bool { return m.DataCentre != k.dc })
+func (svc *Service) HasRemote() bool {
+	return slices.ContainsFunc(svc.members.Up(""), func(m member.Member) bool { return m.DataCentre != svc.dc })
 }
 
 // launch registers a stream and calls f with a context that ends at the stream's deadline.
-func (k *Service) launch(s *Stream, f func(context.Context)) {
-	c, cancel := context.WithDeadline(k.base, s.Deadline)
+func (svc *Service) launch(s *Stream, f func(context.Context)) {
+	c, cancel := context.WithDeadline(svc.base, s.Deadline)
 	s.cancel = cancel
-	k.mu.Lock()
-	k.streams[s.ID] = s
-	k.mu.Unlock()
-	k.group.Go(func() {
+	svc.mu.Lock()
+	svc.streams[s.ID] = s
+	svc.mu.Unlock()
+	svc.group.Go(func() {
 		defer cancel()
 		f(c)
 	})
@@ -180,10 +180,10 @@
 
 // Find returns a stream that runs on this box or ended on it recently. The error is of kind
 // UnknownRequest.
-func (k *Service) Find(id string) (*Stream, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	s, ok := k.streams[id]
+func (svc *Service) Find(id string) (*Stream, error) {
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	s, ok := svc.streams[id]
 	if !ok {
 		return nil, errkind.New(errkind.UnknownRequest, "no request %s here", id)
 	}
@@ -192,7 +192,7 @@
 
 // trackInFlight adds an attempt to the target's requests in flight until the returned function is
 // called.
-func (k *Service) trackInFlight(t target) func() {
+func (svc *Service) trackInFlight(t target) func() {
 	if t.endpoint == nil {
 		return func() {}
 	}
@@ -201,17 +201,17 @@
 }
 
 // isGone reports whether a box was reclaimed: it is unknown, gone, or leaving and past its deadline.
-func (k *Service) isGone(box string) bool {
-	s := k.view.Endpoint(box)
+func (svc *Service) isGone(box string) bool {
+	s := svc.view.Endpoint(box)
 	return s == nil || s.State == fleet.Gone || s.State == fleet.Leaving && time.Now().After(s.Deadline)
 }
 
 // live returns the streams that have not ended.
-func (k *Service) live() []*Stream {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (svc *Service) live() []*Stream {
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
 	var ss []*Stream
-	for _, s := range k.streams {
+	for _, s := range svc.streams {
 		if !s.Done() {
 			ss = append(ss, s)
 		}
@@ -220,65 +220,65 @@
 }
 
 // Live returns the number of streams that have not ended.
-func (k *Service) Live() int { return len(k.live()) }
+func (svc *Service) Live() int { return len(svc.live()) }
 
-func (k *Service) sweepLoop() {
+func (svc *Service) sweepLoop() {
 	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
 	for {
 		select {
-		case <-k.base.Done():
+		case <-svc.base.Done():
 			return
 		case now := <-t.C:
-			k.sweep(now)
+			svc.sweep(now)
 		}
 	}
 }
 
 // sweep cancels repeatable streams that have no reader, and drops finished answers that are older
 // than finishedRetention or exceed MaxFinished, oldest first.
-func (k *Service) sweep(now time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (svc *Service) sweep(now time.Time) {
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
 	var ended []*Stream
-	for id, s := range k.streams {
+	for id, s := range svc.streams {
 		s.mu.Lock()
 		done, at := s.done, s.endedAt
 		s.mu.Unlock()
 		switch {
 		case done && now.Sub(at) > finishedRetention:
-			delete(k.streams, id)
+			delete(svc.streams, id)
 		case done:
 			ended = append(ended, s)
 		case s.unreadFor(now) > abandonTimeout && s.Repeatable:
 			s.cancel()
 		}
 	}
-	if over := len(ended) - k.MaxFinished; over > 0 {
+	if over := len(ended) - svc.MaxFinished; over > 0 {
 		slices.SortFunc(ended, func(a, b *Stream) int { return a.endedAt.Compare(b.endedAt) })
 		for _, s := range ended[:over] {
-			delete(k.streams, s.ID)
+			delete(svc.streams, s.ID)
 		}
 	}
 }
 
 // evacuate moves the streams off a leaving box. It plans again every replanInterval until the
 // deadline.
-func (k *Service) evacuate(box string, deadline time.Time) {
-	for k.base.Err() == nil && time.Now().Before(deadline) {
-		k.evacuateOnce(box, time.Until(deadline))
-		wait.For(k.base, replanInterval)
+func (svc *Service) evacuate(box string, deadline time.Time) {
+	for svc.base.Err() == nil && time.Now().Before(deadline) {
+		svc.evacuateOnce(box, time.Until(deadline))
+		wait.For(svc.base, replanInterval)
 	}
 }
 
-func (k *Service) evacuateOnce(box string, notice time.Duration) {
+func (svc *Service) evacuateOnce(box string, notice time.Duration) {
 	var ss []reclaim.Stream
 	by := map[string]*Stream{}
 	rate := 1.0
-	if s := k.view.Endpoint(box); s != nil {
+	if s := svc.view.Endpoint(box); s != nil {
 		rate = s.TokensPerSecond
 	}
-	for _, s := range k.live() {
+	for _, s := range svc.live() {
 		if s.Stats().Box == box {
 			ss = append(ss, reclaimInput(s, rate))
 			by[s.ID] = s
@@ -288,8 +288,8 @@
 		return
 	}
 	l := reclaim.Limits{Notice: notice, Margin: notice / marginDivisor, BytesPerSecond: transferBytesPerSecond}
-	for _, m := range reclaim.Plan(ss, k.freeDestinations(), l) {
-		k.decisions.Record(decisions.Decision{Subject: m.ID, Event: "reclaim", Choice: m.To, Reason: m.Reason, Workload: by[m.ID].Workload})
+	for _, m := range reclaim.Plan(ss, svc.freeDestinations(), l) {
+		svc.decisions.Record(decisions.Decision{Subject: m.ID, Event: "reclaim", Choice: m.To, Reason: m.Reason, Workload: by[m.ID].Workload})
 		if m.Action == reclaim.Finish {
 			continue
 		}
@@ -301,10 +301,10 @@
 }
 
 // freeDestinations returns the other endpoints with this box's share of their free slots.
-func (k *Service) freeDestinations() []reclaim.Destination {
-	n := max(len(k.members.LocalBoxes()), 1)
+func (svc *Service) freeDestinations() []reclaim.Destination {
+	n := max(len(svc.members.LocalBoxes()), 1)
 	var ds []reclaim.Destination
-	for _, e := range k.destinationEndpoints() {
+	for _, e := range svc.destinationEndpoints() {
 		if free := (e.Slots - e.Running - e.Waiting + n - 1) / n; free > 0 {
 			ds = append(ds, reclaim.Destination{Box: e.Name, Workloads: e.Loaded, FreeSlots: free})
 		}
--- a/view/view.go
+++ b/view/view.go
@@ -60,13 +60,13 @@
 
 // EstimateRequests estimates the number of requests at the endpoint: those of the last
 // load row, corrected by the requests that this box has sent or ended since.
-func (s *EndpointState) EstimateRequests() int {
-	return max(s.Running+s.Waiting+int(s.InFlight.Load()-s.reportedInFlight), int(s.InFlight.Load()), 0)
+func (e *EndpointState) EstimateRequests() int {
+	return max(e.Running+e.Waiting+int(e.InFlight.Load()-e.reportedInFlight), int(e.InFlight.Load()), 0)
 }
 
 // ProcessID identifies the process at the endpoint. State reported by a process, such
 // as a back-off period, doesn't apply to its successor.
-func (s *EndpointState) ProcessID() string { return s.Name + "/" + s.Incarnation }
+func (e *EndpointState) ProcessID() string { return e.Name + "/" + e.Incarnation }
 
 // ID returns the hash that identifies a box in load rows.
 func ID(box string) uint32 { return uint32(rendezvous.Hash(box)) }
